--- a/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
@@ -131,7 +131,7 @@
     }
     if (left != null) {
       handOverToLeave();
-    } else if (ownership.owns() && pace.slowed() && timers.nowMillis() >= slowedAgainAt) {
+    } else if (ownership.isOwner() && pace.slowed() && timers.nowMillis() >= slowedAgainAt) {
       handOverToQuicker();
     } else {
       handOverIfRefused();
@@ -156,9 +156,9 @@
   }
 
   private void handOverToLeave() {
-    if (ownership.settled()) {
+    if (ownership.isSafeToShutDown()) {
       left.tryComplete();
-    } else if (ownership.owns()) {
+    } else if (ownership.isOwner()) {
       offer(
               peer -> peer.sinceAskedMillis(timers.nowMillis()) >= ASK_AGAIN_MILLIS,
               all -> all,
@@ -166,7 +166,7 @@
           .onSuccess(
               taken -> {
                 // An owner that has learnt of its successor has nothing more to give up.
-                if (ownership.settled()) {
+                if (ownership.isSafeToShutDown()) {
                   left.tryComplete();
                 }
               });
@@ -190,7 +190,7 @@
   }
 
   private boolean refused() {
-    return ownership.refusedFor(REFUSED_MILLIS);
+    return ownership.isStoreUnavailableFor(REFUSED_MILLIS);
   }
 
   /**
@@ -246,7 +246,7 @@
    * @return whether one has said that it has taken over
    */
   private Future<Boolean> handOver(List<Peer> candidates, BooleanSupplier wanted) {
-    if (candidates.isEmpty() || !ownership.owns() || !wanted.getAsBoolean()) {
+    if (candidates.isEmpty() || !ownership.isOwner() || !wanted.getAsBoolean()) {
       handingOver = false;
       return Future.succeededFuture(false);
     }
@@ -255,7 +255,7 @@
     next.askedToTakeOver(timers.nowMillis());
     resting = !refused();
     if (resting) {
-      ownership.rest(REST_MILLIS);
+      ownership.pauseWriting(REST_MILLIS);
     }
     return next.link()
         .ask(new LinkRequest.TakeOver(), TAKE_OVER_MILLIS)
@@ -280,7 +280,7 @@
         candidates.size());
     if (taken) {
       handingOver = false;
-      ownership.handedOver();
+      ownership.completeHandover();
       return Future.succeededFuture(true);
     }
     if (error != null) {
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
@@ -130,7 +130,7 @@
             self,
             settings.groupLifetimeMillis(),
             directory);
-    ownership.addAsker(settings.address(), (request, timeout) -> advise(request));
+    ownership.addAdvisorClient(settings.address(), (request, timeout) -> advise(request));
     configuration =
         new ConfigurationWatch(
             store, timers, pauses, log, settings.revokeMillis(), this::configured);
@@ -161,7 +161,7 @@
               Link link = new Link(socket, answers, timers);
               String address = socket.remoteAddress().hostAddress();
               answers.peer = handover.linked(link, address);
-              Runnable forget = ownership.addAsker(address, link::ask);
+              Runnable forget = ownership.addAdvisorClient(address, link::ask);
               link.onClose(
                   () -> {
                     handover.unlinked(answers.peer);
@@ -204,7 +204,7 @@
   }
 
   private void ownerChanged(OwnerRecord owner) {
-    ownership.learnt(owner);
+    ownership.observeOwner(owner);
     gateway.ownerChanged();
   }
 
@@ -229,7 +229,7 @@
     }
     if (request instanceof LinkRequest.ProveOwnership) {
       return Future.succeededFuture(
-          ownership.proven() ? new LinkReply.Noted() : new LinkReply.NotOwner());
+          ownership.isProvenOwner() ? new LinkReply.Noted() : new LinkReply.NotOwner());
     }
     if (request instanceof LinkRequest.MeasurePace) {
       return Future.succeededFuture(
@@ -237,7 +237,7 @@
     }
     if (request instanceof LinkRequest.TakeOver) {
       return ownership
-          .takeOverAsAsked()
+          .takeOverOnRequest()
           .map(taken -> taken ? new LinkReply.Noted() : new LinkReply.Failed());
     }
     return ownership.answer(request);
@@ -301,7 +301,7 @@
     control.runOnContext(
         none -> {
           if (ownership != null) {
-            ownership.abdicate();
+            ownership.shutDown();
           }
           done.complete();
         });
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/AdviceDesk.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/AdviceDesk.java
@@ -67,7 +67,7 @@
    * free of long calls: the advisor still works off what the lost owner had asked, and a short
    * check behind it waited for 1.1 s.
    */
-  Helper add(String address, Ownership.Asker asker) {
+  Helper add(String address, Ownership.AdvisorClient asker) {
     Helper helper = new Helper(address, asker);
     int place = 0;
     while (place < helpers.size() && helpers.get(place).address.compareTo(address) <= 0) {
@@ -180,12 +180,12 @@
   static final class Helper {
 
     private final String address;
-    private final Ownership.Asker asker;
+    private final Ownership.AdvisorClient asker;
     private double aheadMillis;
     private boolean silent;
     private int calls;
 
-    private Helper(String address, Ownership.Asker asker) {
+    private Helper(String address, Ownership.AdvisorClient asker) {
       this.address = address;
       this.asker = asker;
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/AppendTimeout.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/AppendTimeout.java
@@ -18,28 +18,28 @@
    * without warning. With 350 ms each append was sent twice then, and its connections were given
    * up.
    */
-  static final long LEAST_MILLIS = 500;
+  static final long MIN_TIMEOUT_MILLIS = 500;
 
   /** Longer than the slowest answer that was seen, 0.9 s. */
-  static final long MOST_MILLIS = 1_500;
+  static final long MAX_TIMEOUT_MILLIS = 1_500;
 
   /** Answers vary by a factor of two or so while the store has a queue. */
-  private static final int TIMES_THE_SLOWEST = 3;
+  private static final int SLOWEST_ANSWER_FACTOR = 3;
 
   /** Each quicker answer counts so much: after a slow spell 20 answers bring the wait down. */
   private static final double DECAY = 0.95;
 
-  private static final int MOST_DOUBLINGS = 3;
+  private static final int MAX_DOUBLINGS = 3;
 
-  private double slowest;
+  private double slowestMillis;
 
   /**
    * Notes an answer to an append that was sent once.
    *
    * @param millis how long it took
    */
-  void answered(long millis) {
-    slowest = Math.max(millis, slowest * DECAY);
+  void recordAnswer(long millis) {
+    slowestMillis = Math.max(millis, slowestMillis * DECAY);
   }
 
   /**
@@ -49,9 +49,9 @@
    * @param waitedMillis how long it was waited for
    * @param sinceAnswerMillis how long ago the store answered anything
    */
-  void unanswered(long waitedMillis, long sinceAnswerMillis) {
+  void recordTimeout(long waitedMillis, long sinceAnswerMillis) {
     if (sinceAnswerMillis >= waitedMillis) {
-      answered(waitedMillis);
+      recordAnswer(waitedMillis);
     }
   }
 
@@ -61,8 +61,8 @@
    * @param attempt the number of the attempt, from 1
    * @return milliseconds
    */
-  long millis(int attempt) {
-    long wait = Math.max(LEAST_MILLIS, Math.round(TIMES_THE_SLOWEST * slowest));
-    return Math.min(MOST_MILLIS, wait << Math.min(MOST_DOUBLINGS, attempt - 1));
+  long timeoutMillis(int attempt) {
+    long wait = Math.max(MIN_TIMEOUT_MILLIS, Math.round(SLOWEST_ANSWER_FACTOR * slowestMillis));
+    return Math.min(MAX_TIMEOUT_MILLIS, wait << Math.min(MAX_DOUBLINGS, attempt - 1));
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Candidate.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Candidate.java
@@ -10,7 +10,7 @@
  */
 public record Candidate(String address, Strength strength) {
 
-  OwnerRecord ownerOf(int epoch) {
+  OwnerRecord toOwnerRecord(int epoch) {
     return new OwnerRecord(epoch, address, strength);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationWatch.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationWatch.java
@@ -81,7 +81,7 @@
     long sentAt = timers.nowMillis();
     // After a suspension or a lost answer a proof is wanted at once, not after a wait.
     long wait = current != null && fresh() ? WAIT_MILLIS : 0;
-    reader.next(wait).onComplete(changes -> read(changes, sentAt), this::failed);
+    reader.readNext(wait).onComplete(changes -> read(changes, sentAt), this::failed);
   }
 
   @Override
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Directory.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Directory.java
@@ -46,7 +46,7 @@
 
   /** Begins to watch. */
   public void start() {
-    reader.next(WAIT_MILLIS).onComplete(this::read, error -> timers.after(RETRY, this::start));
+    reader.readNext(WAIT_MILLIS).onComplete(this::read, error -> timers.after(RETRY, this::start));
   }
 
   /**
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/FormerOwnership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/FormerOwnership.java
@@ -20,7 +20,7 @@
   }
 
   /** Returns the message for the successor, with what is left of the leases. */
-  LinkRequest.FormerOwner message(long now) {
+  LinkRequest.FormerOwner toMessage(long now) {
     long elapsed = now - endedAt;
     return new LinkRequest.FormerOwner(
         epoch, roster.stream().map(entry -> entry.after(elapsed)).toList());
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Gateway.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Gateway.java
@@ -154,12 +154,12 @@
   private final class Waiting implements OwnerFailureDetector.Requests {
 
     @Override
-    public int waiting() {
+    public int pendingCount() {
       return pending.size();
     }
 
     @Override
-    public long quietMillis() {
+    public long silentMillis() {
       return timers.nowMillis() - Math.max(repliedAt, firstSentAt());
     }
 
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public OwnerRecord linkedTo() {
+    public OwnerRecord linkedOwner() {
       return linkedTo;
     }
 
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public void alive() {
+    public void ownerResponded() {
       repliedAt = timers.nowMillis();
     }
   }
@@ -194,9 +194,9 @@
     denials = 0;
     if (present.address().equals(self.address())) {
       closeLink();
-      if (!ownership.owns()) {
+      if (!ownership.isOwner()) {
         // This process was the owner before its restart; nobody has taken over since.
-        ownership.stepIn("this instance was the owner in an earlier life");
+        ownership.tryTakeOver("this instance was the owner in an earlier life");
       }
       sendAll();
     } else if (!present.equals(linkedTo)) {
@@ -211,7 +211,7 @@
    * @return true if it does so in time
    */
   public Future<Boolean> ownerAlive() {
-    if (ownership.owns()) {
+    if (ownership.isOwner()) {
       return Future.succeededFuture(true);
     }
     if (link == null) {
@@ -247,7 +247,7 @@
    * @return false while none is known or connected
    */
   public boolean reachable() {
-    return ownership.owns() || link != null;
+    return ownership.isOwner() || link != null;
   }
 
   /**
@@ -265,7 +265,7 @@
    * @return milliseconds; 0 while an owner answers or nobody asks one
    */
   public long silentMillis() {
-    if (ownership.owns() || pending.isEmpty() && link != null) {
+    if (ownership.isOwner() || pending.isEmpty() && link != null) {
       return 0;
     }
     return timers.nowMillis() - (link == null ? Math.max(repliedAt, ownerlessSince) : repliedAt);
@@ -293,7 +293,7 @@
               long age = timers.nowMillis() - startedAt;
               opened.ask(
                   new LinkRequest.Introduce(self.strength().score(), age), PROOF_REPLY_MILLIS);
-              ownership.tellSuccessor(
+              ownership.notifySuccessor(
                   target.epoch(), request -> opened.ask(request, PROOF_REPLY_MILLIS));
               link = opened;
               refusals = 0;
@@ -321,13 +321,13 @@
   }
 
   private Duration stepInDelay() {
-    boolean weak = directory.owner().strength().farAbove(self.strength());
-    return StepInDelay.of(self.address(), weak, pace.slowed());
+    boolean weak = directory.owner().strength().isMuchStrongerThan(self.strength());
+    return TakeoverDelay.of(self.address(), weak, pace.slowed());
   }
 
   private void stepIn(OwnerRecord dead) {
     if (link == null && dead.equals(directory.owner())) {
-      ownership.stepIn("the owner refuses connections");
+      ownership.tryTakeOver("the owner refuses connections");
     }
   }
 
@@ -362,7 +362,7 @@
     if (next.promise.future().isComplete()) {
       return;
     }
-    if (ownership.owns()) {
+    if (ownership.isOwner()) {
       next.sent++;
       ownership.answer(next.request).onSuccess(reply -> replied(next, reply));
     } else if (link != null) {
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Estate.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalContents.java
@@ -13,15 +13,15 @@
 import org.hickorypier.wire.UndecodableException;
 
 /** What an owner finds in the journal. Belongs to the control thread. */
-final class Estate {
+final class JournalContents {
 
-  private static final Progress NOTHING_DONE =
+  private static final Progress NO_PROGRESS =
       new Progress(SubmissionState.QUEUED, 0, List.of(), Map.of());
 
   private final Map<String, byte[]> values;
   private final EventLog log;
 
-  Estate(Map<String, byte[]> values, EventLog log) {
+  JournalContents(Map<String, byte[]> values, EventLog log) {
     this.values = values;
     this.log = log;
   }
@@ -54,10 +54,11 @@
   int restore(Cell cell, long now, long wallMillis) {
     int count = 0;
     for (Map.Entry<String, byte[]> entry : values.entrySet()) {
-      if (JournalKeys.isSpec(entry.getKey()) && entry.getValue() != null) {
+      if (JournalKeys.isSpecKey(entry.getKey()) && entry.getValue() != null) {
         count++;
         try {
-          restore(cell, JournalKeys.id(entry.getKey()), entry.getValue(), now, wallMillis);
+          restore(
+              cell, JournalKeys.submissionId(entry.getKey()), entry.getValue(), now, wallMillis);
         } catch (UndecodableException error) {
           log.event(
               "journal", "unreadable-record", "key", entry.getKey(), "error", error.getMessage());
@@ -69,8 +70,8 @@
 
   private void restore(Cell cell, String id, byte[] spec, long now, long wallMillis)
       throws UndecodableException {
-    byte[] value = values.get(JournalKeys.progress(id));
-    Progress progress = value == null ? NOTHING_DONE : SubmissionCodec.decodeProgress(value);
+    byte[] value = values.get(JournalKeys.progressKey(id));
+    Progress progress = value == null ? NO_PROGRESS : SubmissionCodec.decodeProgress(value);
     if (progress.state().terminal() && progress.endedAtMillis() > 0) {
       String customer = SubmissionCodec.customerOf(spec);
       cell.restoreEnded(
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalKeys.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalKeys.java
@@ -27,19 +27,19 @@
 
   private JournalKeys() {}
 
-  static String spec(String id) {
+  static String specKey(String id) {
     return SPEC_PREFIX + id;
   }
 
-  static String progress(String id) {
+  static String progressKey(String id) {
     return PROGRESS_PREFIX + id;
   }
 
-  static boolean isSpec(String key) {
+  static boolean isSpecKey(String key) {
     return key.startsWith(SPEC_PREFIX);
   }
 
-  static String id(String key) {
+  static String submissionId(String key) {
     return key.substring(SPEC_PREFIX.length());
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
@@ -35,7 +35,7 @@
   /** What comes within this time shares one append; the store charges and limits calls. */
   private static final Duration LINGER = Duration.ofMillis(8);
 
-  private static final Duration RETRY = Duration.ofMillis(80);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(80);
 
   /** Without other appends one is made after this time, as a proof of ownership. */
   private static final long PROOF_PERIOD_MILLIS = 1_000;
@@ -45,31 +45,31 @@
    * with one at a time each write would wait for up to two answers. The store repeats the answers
    * of the last five.
    */
-  private static final int MOST_UNDER_WAY = 3;
+  private static final int MAX_IN_FLIGHT_APPENDS = 3;
 
   /** Well under the largest call that the store takes, 2 MB. */
   private static final int BATCH_BYTES = 1 << 20;
 
   private final StoreClient store;
   private final TimerService timers;
-  private final PauseGuard pauses;
+  private final PauseGuard pauseGuard;
   private final EventLog log;
   private final int epoch;
   private final Callbacks callbacks;
-  private final Map<String, Submission> specs = new LinkedHashMap<>();
-  private final Set<Submission> progress = new LinkedHashSet<>();
-  private final Map<String, byte[]> others = new LinkedHashMap<>();
-  private final List<Runnable> waiting = new ArrayList<>();
+  private final Map<String, Submission> unsavedSpecs = new LinkedHashMap<>();
+  private final Set<Submission> changedSubmissions = new LinkedHashSet<>();
+  private final Map<String, byte[]> otherRecords = new LinkedHashMap<>();
+  private final List<Runnable> waitingActions = new ArrayList<>();
   private final AppendTimeout timeout = new AppendTimeout();
   private long sequence;
-  private final List<Batch> underWay = new ArrayList<>();
+  private final List<Batch> inFlight = new ArrayList<>();
   private boolean scheduled;
   private boolean stopped;
   private boolean unavailable;
   private long unavailableSince;
   private long provenAt;
   private long answeredAt;
-  private long restsUntil;
+  private long pausedUntil;
 
   /**
    * Creates the writer.
@@ -86,7 +86,7 @@
       Callbacks callbacks) {
     this.store = store;
     this.timers = timers;
-    this.pauses = pauses;
+    this.pauseGuard = pauses;
     this.log = log;
     this.epoch = epoch;
     this.sequence = sequence;
@@ -106,29 +106,34 @@
 
   void save(Submission submission) {
     if (!submission.durable()) {
-      specs.put(submission.spec().id(), submission);
+      unsavedSpecs.put(submission.spec().id(), submission);
     }
-    progress.add(submission);
+    changedSubmissions.add(submission);
     schedule();
   }
 
   void put(String key, byte[] value) {
-    others.put(key, value);
+    otherRecords.put(key, value);
     schedule();
   }
 
   void afterSave(Runnable action) {
-    if (underWay.isEmpty() && specs.isEmpty() && progress.isEmpty() && others.isEmpty()) {
+    if (inFlight.isEmpty()
+        && unsavedSpecs.isEmpty()
+        && changedSubmissions.isEmpty()
+        && otherRecords.isEmpty()) {
       action.run();
     } else {
-      waiting.add(action);
+      waitingActions.add(action);
       schedule();
     }
   }
 
   /** Tells whether no successor can have taken over more than some time ago. */
-  boolean proven(long withinMillis) {
-    return !stopped && pauses.unbroken(provenAt) && timers.nowMillis() - provenAt <= withinMillis;
+  boolean isProven(long withinMillis) {
+    return !stopped
+        && pauseGuard.unbroken(provenAt)
+        && timers.nowMillis() - provenAt <= withinMillis;
   }
 
   /** Returns for how long the store has refused or left unanswered the present append. */
@@ -138,7 +143,7 @@
 
   void tick() {
     boolean old = timers.nowMillis() - provenAt > PROOF_PERIOD_MILLIS;
-    if (!stopped && underWay.isEmpty() && (old || !pauses.unbroken(provenAt))) {
+    if (!stopped && inFlight.isEmpty() && (old || !pauseGuard.unbroken(provenAt))) {
       put(JournalKeys.PROOF, new byte[] {1});
     }
   }
@@ -152,13 +157,13 @@
    *
    * @param millis the time, in milliseconds
    */
-  void rest(long millis) {
-    restsUntil = timers.nowMillis() + millis;
+  void pauseAppends(long millis) {
+    pausedUntil = timers.nowMillis() + millis;
   }
 
   /** Ends the rest, and asks the store for a proof that no successor has taken over. */
-  void resume() {
-    restsUntil = 0;
+  void resumeAppends() {
+    pausedUntil = 0;
     scheduled = false;
     put(JournalKeys.PROOF, new byte[] {1});
   }
@@ -168,7 +173,7 @@
   }
 
   private void schedule() {
-    if (!scheduled && !stopped && underWay.size() < MOST_UNDER_WAY) {
+    if (!scheduled && !stopped && inFlight.size() < MAX_IN_FLIGHT_APPENDS) {
       scheduled = true;
       timers.after(LINGER, this::flush);
     }
@@ -176,28 +181,28 @@
 
   private void flush() {
     scheduled = false;
-    if (stopped || underWay.size() >= MOST_UNDER_WAY) {
+    if (stopped || inFlight.size() >= MAX_IN_FLIGHT_APPENDS) {
       return;
     }
-    long rest = restsUntil - timers.nowMillis();
+    long rest = pausedUntil - timers.nowMillis();
     if (rest > 0) {
       scheduled = true;
       timers.after(Duration.ofMillis(rest), this::flush);
       return;
     }
     List<KeyedRecord> records = new ArrayList<>();
-    others.forEach((key, value) -> records.add(new KeyedRecord(key, value)));
-    others.clear();
-    final Map<Submission, Long> versions = takeChanged(records);
+    otherRecords.forEach((key, value) -> records.add(new KeyedRecord(key, value)));
+    otherRecords.clear();
+    final Map<Submission, Long> versions = drainChanges(records);
     if (records.isEmpty()) {
-      settleWaiting();
+      releaseWaitingActions();
       return;
     }
     // Actions wait for all that was saved before them, so they stay while something is left over.
     List<Runnable> actions = new ArrayList<>();
-    if (progress.isEmpty()) {
-      actions.addAll(waiting);
-      waiting.clear();
+    if (changedSubmissions.isEmpty()) {
+      actions.addAll(waitingActions);
+      waitingActions.clear();
     }
     sequence++;
     Append append =
@@ -210,47 +215,47 @@
             epoch,
             sequence);
     Batch batch = new Batch(append, versions, actions);
-    underWay.add(batch);
+    inFlight.add(batch);
     send(batch);
     scheduleIfNeeded();
   }
 
   /** There is nothing to write: all that the actions wait for is under way, or written already. */
-  private void settleWaiting() {
-    List<Runnable> actions = List.copyOf(waiting);
-    waiting.clear();
-    if (underWay.isEmpty()) {
+  private void releaseWaitingActions() {
+    List<Runnable> actions = List.copyOf(waitingActions);
+    waitingActions.clear();
+    if (inFlight.isEmpty()) {
       actions.forEach(Runnable::run);
     } else {
-      underWay.get(underWay.size() - 1).actions.addAll(actions);
+      inFlight.get(inFlight.size() - 1).actions.addAll(actions);
     }
   }
 
-  private Map<Submission, Long> takeChanged(List<KeyedRecord> records) {
+  private Map<Submission, Long> drainChanges(List<KeyedRecord> records) {
     Map<Submission, Long> versions = new HashMap<>();
     int bytes = 0;
-    var changed = progress.iterator();
+    var changed = changedSubmissions.iterator();
     while (changed.hasNext() && bytes < BATCH_BYTES) {
       Submission submission = changed.next();
       changed.remove();
       String id = submission.spec().id();
       versions.put(submission, submission.version());
-      if (specs.remove(id) != null) {
+      if (unsavedSpecs.remove(id) != null) {
         byte[] spec = SubmissionCodec.encode(submission.spec(), submission.number());
         bytes += spec.length;
-        records.add(new KeyedRecord(JournalKeys.spec(id), spec));
+        records.add(new KeyedRecord(JournalKeys.specKey(id), spec));
       }
       if (submission.worthSaving()) {
         byte[] value = SubmissionCodec.encodeProgress(submission.progress());
         bytes += value.length;
-        records.add(new KeyedRecord(JournalKeys.progress(id), value));
+        records.add(new KeyedRecord(JournalKeys.progressKey(id), value));
       }
     }
     return versions;
   }
 
   private void scheduleIfNeeded() {
-    if (!progress.isEmpty() || !others.isEmpty() || !waiting.isEmpty()) {
+    if (!changedSubmissions.isEmpty() || !otherRecords.isEmpty() || !waitingActions.isEmpty()) {
       schedule();
     }
   }
@@ -261,15 +266,16 @@
     batch.sentAt = batch.attempts == 1 ? now : batch.sentAt;
     batch.lastSentAt = now;
     store
-        .append(batch.append, timeout.millis(batch.attempts))
-        .onComplete(end -> succeeded(batch), error -> failed(batch, (StoreException) error));
+        .append(batch.append, timeout.timeoutMillis(batch.attempts))
+        .onComplete(
+            end -> handleSuccess(batch), error -> handleFailure(batch, (StoreException) error));
   }
 
-  private void succeeded(Batch batch) {
+  private void handleSuccess(Batch batch) {
     batch.done = true;
     answeredAt = timers.nowMillis();
     if (batch.attempts == 1) {
-      timeout.answered(timers.nowMillis() - batch.sentAt);
+      timeout.recordAnswer(timers.nowMillis() - batch.sentAt);
     }
     provenAt = Math.max(provenAt, batch.sentAt);
     if (unavailable) {
@@ -278,15 +284,15 @@
     }
     // The partition takes appends in the order of their numbers, so an answer to a later one says
     // that the earlier are written; they are told in order all the same.
-    while (!stopped && !underWay.isEmpty() && underWay.get(0).done) {
-      Batch written = underWay.remove(0);
+    while (!stopped && !inFlight.isEmpty() && inFlight.get(0).done) {
+      Batch written = inFlight.remove(0);
       written.versions.forEach(callbacks::written);
       written.actions.forEach(Runnable::run);
     }
     scheduleIfNeeded();
   }
 
-  private void failed(Batch batch, StoreException error) {
+  private void handleFailure(Batch batch, StoreException error) {
     boolean early =
         error.error() == StoreError.OUT_OF_SEQUENCE && error.offset() < batch.append.sequence();
     if (error.error() == StoreError.FENCED
@@ -297,7 +303,7 @@
     }
     if (error.error() == StoreError.UNKNOWN) {
       long now = timers.nowMillis();
-      timeout.unanswered(now - batch.lastSentAt, now - answeredAt);
+      timeout.recordTimeout(now - batch.lastSentAt, now - answeredAt);
     }
     if (!early && !unavailable) {
       unavailable = true;
@@ -313,7 +319,7 @@
           timers.nowMillis() - provenAt);
     }
     timers.after(
-        early ? LINGER : RETRY,
+        early ? LINGER : RETRY_DELAY,
         () -> {
           if (!stopped) {
             send(batch);
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Renewals.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
@@ -13,14 +13,14 @@
  *
  * <p>Belongs to the control thread.
  */
-final class Renewals {
+final class LeaseRenewer {
 
   /**
    * A worker answers at the latest after this time, or at once when a run ends. A busy worker ends
    * some four runs a second, so it rarely waits; when an answer is lost, nothing is known of its
    * ends until it is given up, and short checks on it come too late.
    */
-  private static final long WAIT_MILLIS = 400;
+  private static final long ANSWER_WAIT_MILLIS = 400;
 
   /** The wait while a roster is being written that allows the next renewal to carry a lease. */
   private static final long ROSTER_WAIT_MILLIS = 100;
@@ -28,25 +28,25 @@
   /**
    * Ends that come within this time are told in one answer; each look at a worker has its price.
    */
-  private static final Duration PACE = Duration.ofMillis(40);
+  private static final Duration RENEWAL_DELAY = Duration.ofMillis(40);
 
   /**
    * Pace of renewals while ends wait for the store. Until they are durable the worker answers at
    * once, and each look has its price; but a store that takes 0.25 s an answer would put off the
    * news of each further end by as much, half of what a short check has to spare.
    */
-  private static final Duration UNSAVED_PACE = Duration.ofMillis(100);
+  private static final Duration UNSAVED_RENEWAL_DELAY = Duration.ofMillis(100);
 
   /** After one lost answer the worker is asked again at once, over a new connection. */
-  private static final Duration FIRST_RETRY = Duration.ofMillis(10);
+  private static final Duration FIRST_RETRY_DELAY = Duration.ofMillis(10);
 
   /** A worker that does not answer is asked again after this time. */
-  private static final Duration RETRY = Duration.ofMillis(250);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
   private final Instruments instruments;
   private final Cell cell;
   private final WorkerView worker;
-  private final long token;
+  private final long fencingToken;
   private final BooleanSupplier mayOrder;
   private final Events events;
   private boolean stopped;
@@ -55,7 +55,7 @@
   interface Events {
 
     /** The worker has told what it runs. */
-    void answered();
+    void workerAnswered();
 
     /** The worker has seen a higher token. */
     void fenced(String worker);
@@ -64,7 +64,7 @@
     void afterSave(Runnable action);
   }
 
-  Renewals(
+  LeaseRenewer(
       Instruments instruments,
       Cell cell,
       WorkerView worker,
@@ -74,16 +74,16 @@
     this.instruments = instruments;
     this.cell = cell;
     this.worker = worker;
-    this.token = token;
+    this.fencingToken = token;
     this.mayOrder = mayOrder;
     this.events = events;
   }
 
-  boolean of(WorkerView other) {
+  boolean isFor(WorkerView other) {
     return worker == other;
   }
 
-  boolean finished() {
+  boolean isStopped() {
     return stopped;
   }
 
@@ -91,7 +91,7 @@
     stopped = true;
   }
 
-  void start() {
+  void renew() {
     if (stopped) {
       return;
     }
@@ -100,7 +100,7 @@
       return;
     }
     if (!mayOrder.getAsBoolean()) {
-      instruments.timers().after(RETRY, this::start);
+      instruments.timers().after(RETRY_DELAY, this::renew);
       return;
     }
     long sentAt = instruments.timers().nowMillis();
@@ -113,10 +113,10 @@
                 worker.id(),
                 worker.entry().address(),
                 deadline,
-                token,
+                fencingToken,
                 worker.acknowledged(sentAt),
                 wait))
-        .onComplete(report -> answered(report, sentAt, wait), this::failed);
+        .onComplete(report -> handleReport(report, sentAt, wait), this::handleFailure);
   }
 
   private long waitMillis(long deadline) {
@@ -125,27 +125,29 @@
     }
     // Without a reading of the worker's clock no lease can be asked for: the first answer is
     // wanted at once.
-    return deadline < 0 ? 0 : WAIT_MILLIS;
+    return deadline < 0 ? 0 : ANSWER_WAIT_MILLIS;
   }
 
-  private void answered(HoldReport report, long sentAt, long wait) {
+  private void handleReport(HoldReport report, long sentAt, long wait) {
     if (stopped) {
       return;
     }
     long now = instruments.timers().nowMillis();
     cell.held(worker, report, sentAt, now);
-    events.answered();
+    events.workerAnswered();
     if (wait == 0) {
-      start();
+      renew();
     } else if (report.ended().isEmpty()) {
-      instruments.timers().after(now - sentAt < wait / 2 ? PACE : Duration.ZERO, this::start);
+      instruments
+          .timers()
+          .after(now - sentAt < wait / 2 ? RENEWAL_DELAY : Duration.ZERO, this::renew);
     } else {
       // Until the ends are durable the worker would list them again, at once. But while the store
       // is
       // away the lease must go on, or all that runs would be thrown away.
-      Once next = new Once(this::start);
-      events.afterSave(() -> instruments.timers().after(PACE, next));
-      instruments.timers().after(UNSAVED_PACE, next);
+      Once next = new Once(this::renew);
+      events.afterSave(() -> instruments.timers().after(RENEWAL_DELAY, next));
+      instruments.timers().after(UNSAVED_RENEWAL_DELAY, next);
     }
   }
 
@@ -168,7 +170,7 @@
     }
   }
 
-  private void failed(Throwable error) {
+  private void handleFailure(Throwable error) {
     if (stopped) {
       return;
     }
@@ -178,6 +180,6 @@
     }
     boolean again = worker.silent();
     cell.holdUnanswered(worker, instruments.timers().nowMillis());
-    instruments.timers().after(again ? RETRY : FIRST_RETRY, this::start);
+    instruments.timers().after(again ? RETRY_DELAY : FIRST_RETRY_DELAY, this::renew);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OrderSender.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OrderSender.java
@@ -43,7 +43,7 @@
     boolean ended();
 
     /** An answer may let something start. */
-    void answered();
+    void workerAnswered();
 
     /** A worker has seen a higher token. */
     void fenced(String worker);
@@ -92,7 +92,7 @@
       return;
     }
     cell.startAnswered(run, outcome, now());
-    events.answered();
+    events.workerAnswered();
   }
 
   @Override
@@ -156,7 +156,7 @@
           .log()
           .event(PART, "advice-failed", "id", id, "step", step.index(), "took_ms", took);
     }
-    events.answered();
+    events.workerAnswered();
   }
 
   @Override
@@ -166,8 +166,8 @@
 
   @Override
   public void drop(String id) {
-    journal.put(JournalKeys.spec(id), null);
-    journal.put(JournalKeys.progress(id), null);
+    journal.put(JournalKeys.specKey(id), null);
+    journal.put(JournalKeys.progressKey(id), null);
   }
 
   @Override
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
@@ -60,7 +60,7 @@
   private final JournalWriter journal;
   private final WorkerList workerList;
   private final Consumer<String> lost;
-  private final Map<String, Renewals> renewals = new HashMap<>();
+  private final Map<String, LeaseRenewer> renewals = new HashMap<>();
   private final Map<Submission, List<Promise<LinkReply>>> acceptances = new HashMap<>();
 
   /** Cancellations that wait for the journal. */
@@ -74,7 +74,7 @@
 
   Owner(
       Instruments instruments,
-      Takeover.Taken taken,
+      Takeover.Result taken,
       AdviceDesk advice,
       Optional<Collection<CustomerTerms>> customers,
       Consumer<String> lost) {
@@ -96,7 +96,7 @@
     this.workerList = new WorkerList(instruments, this::listed);
     orders.connect(cell, journal);
     customers.ifPresent(cell::configure);
-    Estate estate = new Estate(taken.values(), instruments.log());
+    JournalContents estate = new JournalContents(taken.values(), instruments.log());
     this.predecessorEpoch = estate.owner().epoch();
     long wall = instruments.wall().getAsLong();
     int restored = estate.restore(cell, now, wall);
@@ -128,7 +128,7 @@
 
   /** Tells whether no successor can have taken over more than some time ago. */
   boolean proven(long withinMillis) {
-    return !ended && journal.proven(withinMillis);
+    return !ended && journal.isProven(withinMillis);
   }
 
   /** Tells whether the store has taken no append for some time. */
@@ -212,7 +212,7 @@
    * callers may be told so for 3 s after the acknowledgement.
    */
   private boolean knowsAll() {
-    return journal.proven(KNOWN_MILLIS);
+    return journal.isProven(KNOWN_MILLIS);
   }
 
   LinkReply explain(String id) {
@@ -242,7 +242,7 @@
     ticks.cancel();
     journal.stop();
     workerList.stop();
-    renewals.values().forEach(Renewals::stop);
+    renewals.values().forEach(LeaseRenewer::stop);
     acceptances
         .values()
         .forEach(promises -> promises.forEach(next -> next.tryComplete(new LinkReply.NotOwner())));
@@ -280,13 +280,13 @@
 
   /** Writes and starts nothing for some milliseconds, while a successor claims the cell. */
   void rest(long millis) {
-    journal.rest(millis);
+    journal.pauseAppends(millis);
     startsRestUntil = now() + millis;
   }
 
   /** Goes on writing, but starts nothing for some milliseconds: a successor may have the cell. */
   void resumeWriting(long startsRestMillis) {
-    journal.resume();
+    journal.resumeAppends();
     startsRestUntil = now() + startsRestMillis;
   }
 
@@ -300,7 +300,7 @@
   }
 
   private boolean mayOrder() {
-    return !ended && journal.proven(instruments.terms().proofMillis());
+    return !ended && journal.isProven(instruments.terms().proofMillis());
   }
 
   private void listed(Map<String, WorkerEntry> entries, Set<String> departed) {
@@ -311,16 +311,17 @@
   }
 
   private void renewAll() {
-    renewals.values().removeIf(Renewals::finished);
+    renewals.values().removeIf(LeaseRenewer::isStopped);
     for (WorkerView worker : cell.workers()) {
-      Renewals present = renewals.get(worker.id());
-      if (present == null || !present.of(worker)) {
+      LeaseRenewer present = renewals.get(worker.id());
+      if (present == null || !present.isFor(worker)) {
         if (present != null) {
           present.stop();
         }
-        Renewals begun = new Renewals(instruments, cell, worker, epoch, this::mayOrder, answers);
+        LeaseRenewer begun =
+            new LeaseRenewer(instruments, cell, worker, epoch, this::mayOrder, answers);
         renewals.put(worker.id(), begun);
-        begun.start();
+        begun.renew();
       }
     }
   }
@@ -364,7 +365,7 @@
   }
 
   /** Hears of the workers' answers to orders and renewals. */
-  private final class Answers implements OrderSender.Events, Renewals.Events {
+  private final class Answers implements OrderSender.Events, LeaseRenewer.Events {
 
     @Override
     public boolean ended() {
@@ -372,7 +373,7 @@
     }
 
     @Override
-    public void answered() {
+    public void workerAnswered() {
       requestPass();
     }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerFailureDetector.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerFailureDetector.java
@@ -22,45 +22,45 @@
 
   private static final String PART = "gateway";
 
-  private static final Duration PERIOD = Duration.ofMillis(50);
+  private static final Duration CHECK_PERIOD = Duration.ofMillis(50);
 
   /**
    * An owner that leaves requests without any reply for so long is asked for a sign of life. Most
    * replies take 20 ms; acceptances take as long as the store, which such an owner tells at once.
    */
-  private static final long QUIET_MILLIS = 200;
+  private static final long PROBE_AFTER_MILLIS = 200;
 
   /** An owner that gives no sign of life within this time is suspected to be lost. */
-  private static final long SIGN_MILLIS = 250;
+  private static final long PROBE_TIMEOUT_MILLIS = 250;
 
   private final TimerService timers;
   private final EventLog log;
   private final Directory directory;
   private final Ownership ownership;
   private final Requests requests;
-  private final Supplier<Duration> stepInDelay;
-  private boolean asking;
+  private final Supplier<Duration> takeoverDelay;
+  private boolean probeInFlight;
 
   /** The requests that wait for the owner. */
   interface Requests {
 
     /** Returns how many wait. */
-    int waiting();
+    int pendingCount();
 
     /** Returns for how long requests have waited without any reply, in milliseconds. */
-    long quietMillis();
+    long silentMillis();
 
     /** Returns the link to the owner, or null. */
     Link link();
 
     /** Returns the owner at the other end of the link. */
-    OwnerRecord linkedTo();
+    OwnerRecord linkedOwner();
 
     /** Returns when the owner last replied, by the timers' clock. */
     long repliedAt();
 
     /** Takes notice of a sign of life. */
-    void alive();
+    void ownerResponded();
   }
 
   OwnerFailureDetector(
@@ -75,36 +75,36 @@
     this.directory = directory;
     this.ownership = ownership;
     this.requests = requests;
-    this.stepInDelay = stepInDelay;
+    this.takeoverDelay = stepInDelay;
   }
 
   void start() {
-    timers.every(PERIOD, this::look);
+    timers.every(CHECK_PERIOD, this::checkOwner);
   }
 
-  private void look() {
+  private void checkOwner() {
     Link link = requests.link();
     if (link == null
-        || asking
-        || requests.waiting() == 0
-        || requests.quietMillis() < QUIET_MILLIS) {
+        || probeInFlight
+        || requests.pendingCount() == 0
+        || requests.silentMillis() < PROBE_AFTER_MILLIS) {
       return;
     }
-    asking = true;
-    OwnerRecord asked = requests.linkedTo();
-    link.ask(new LinkRequest.ProveOwnership(), SIGN_MILLIS)
+    probeInFlight = true;
+    OwnerRecord asked = requests.linkedOwner();
+    link.ask(new LinkRequest.ProveOwnership(), PROBE_TIMEOUT_MILLIS)
         .onComplete(
             reply -> {
-              asking = false;
-              requests.alive();
+              probeInFlight = false;
+              requests.ownerResponded();
             },
             error -> {
-              asking = false;
-              suspect(asked);
+              probeInFlight = false;
+              suspectOwner(asked);
             });
   }
 
-  private void suspect(OwnerRecord silent) {
+  private void suspectOwner(OwnerRecord silent) {
     if (!silent.equals(directory.owner())) {
       return;
     }
@@ -115,13 +115,13 @@
         "epoch",
         silent.epoch(),
         "silent_ms",
-        requests.quietMillis(),
+        requests.silentMillis(),
         "pending",
-        requests.waiting());
+        requests.pendingCount());
     timers.after(
-        stepInDelay.get(),
+        takeoverDelay.get(),
         () ->
-            ownership.stepInUnlessAlive(
+            ownership.tryTakeOverUnlessAlive(
                 "the owner answers nothing",
                 () -> silent.equals(directory.owner()) && requests.repliedAt() == lastReply));
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
@@ -34,52 +34,52 @@
   private static final String PART = "ownership";
 
   /** Signs a lifetime of the group's members: two may be lost. */
-  private static final int SIGNS_A_LIFETIME = 4;
+  private static final int HEARTBEATS_PER_LIFETIME = 4;
 
-  private static final Duration ANNOUNCE_RETRY = Duration.ofMillis(150);
+  private static final Duration ANNOUNCE_RETRY_DELAY = Duration.ofMillis(150);
 
-  private static final Duration TELL_AGAIN = Duration.ofMillis(100);
+  private static final Duration NOTIFY_RETRY_DELAY = Duration.ofMillis(100);
 
   /** An owner that has proved itself within this time is left alone. */
-  private static final long PROOF_MILLIS = 1_600;
+  private static final long PROOF_VALIDITY_MILLIS = 1_600;
 
   /**
    * An instance steps in by itself at most so often: where two sides of a cut refuse each other's
    * connections, the cell would otherwise go back and forth all the time.
    */
-  private static final long STEP_IN_MILLIS = 5_000;
+  private static final long MIN_TAKEOVER_INTERVAL_MILLIS = 5_000;
 
   /**
    * A suspicion is followed up at most so often. An instance that is cut off from the owner asks
    * the store again and again, and finds the owner at work each time.
    */
-  private static final long SUSPECT_MILLIS = 700;
+  private static final long MIN_SUSPICION_INTERVAL_MILLIS = 700;
 
   /**
    * A weak machine joins the group only when no owner has answered for so long: the stronger ones
    * have had their chance by then, and the lifetime of a lost member is over.
    */
-  private static final long WEAK_PATIENCE_MILLIS = 3_000;
+  private static final long WEAK_JOIN_DELAY_MILLIS = 3_000;
 
   /** How often an instance compares its machine with the owner's; instances differ a little. */
-  private static final int COMPARE_MILLIS = 1_000;
+  private static final int COMPARE_PERIOD_MILLIS = 1_000;
 
-  private static final int COMPARE_SPREAD_MILLIS = 500;
+  private static final int COMPARE_JITTER_MILLIS = 500;
 
   /**
    * A suspected owner that lives writes within this time: while callers wait it appends some 50
    * times a second.
    */
-  private static final Duration SIGN_OF_LIFE = Duration.ofMillis(150);
+  private static final Duration LIVENESS_WAIT = Duration.ofMillis(150);
 
   /** An owner that asked for a takeover turns to another instance after some more than this. */
-  private static final long ASKED_MILLIS = 700;
+  private static final long REQUESTED_TAKEOVER_TIMEOUT_MILLIS = 700;
 
   /** What is under way is written within some 20 ms, unless the store is away. */
-  private static final Duration LEAVE_PATIENCE = Duration.ofMillis(300);
+  private static final Duration LEAVE_FLUSH_TIMEOUT = Duration.ofMillis(300);
 
   private final Instruments instruments;
-  private final String member;
+  private final String memberName;
   private final Candidate self;
   private final long lifetimeMillis;
   private final Directory directory;
@@ -90,12 +90,12 @@
   private Owner owner;
 
   /** The last ownership of this process, until the successor knows what it left on the workers. */
-  private FormerOwnership former;
+  private FormerOwnership formerOwnership;
 
   private long generation;
   private boolean takingOver;
-  private long steppedInAt = -STEP_IN_MILLIS;
-  private long suspectedAt = -SUSPECT_MILLIS;
+  private long lastTakeoverAttemptAt = -MIN_TAKEOVER_INTERVAL_MILLIS;
+  private long lastSuspicionAt = -MIN_SUSPICION_INTERVAL_MILLIS;
   private boolean leaving;
   private boolean closed;
   private boolean joining;
@@ -118,7 +118,7 @@
       Directory directory) {
     this.instruments = instruments;
     this.advice = new AdviceDesk(instruments.timers());
-    this.member = member;
+    this.memberName = member;
     this.self = self;
     this.lifetimeMillis = lifetimeMillis;
     this.directory = directory;
@@ -133,7 +133,7 @@
      *
      * @return true if there is an owner that need not be replaced
      */
-    Future<Boolean> test();
+    Future<Boolean> hasProvenOwner();
   }
 
   /**
@@ -145,36 +145,40 @@
   public void start(OwnerCheck check, LongSupplier ownerSilentMillis) {
     ownerCheck = check;
     silentMillis = ownerSilentMillis;
-    instruments.timers().every(Duration.ofMillis(lifetimeMillis / SIGNS_A_LIFETIME), this::joinNow);
-    int spread = Math.floorMod(member.hashCode(), COMPARE_SPREAD_MILLIS);
-    instruments.timers().every(Duration.ofMillis(COMPARE_MILLIS + spread), this::compare);
-    joinNow();
+    instruments
+        .timers()
+        .every(Duration.ofMillis(lifetimeMillis / HEARTBEATS_PER_LIFETIME), this::joinGroup);
+    int spread = Math.floorMod(memberName.hashCode(), COMPARE_JITTER_MILLIS);
+    instruments
+        .timers()
+        .every(Duration.ofMillis(COMPARE_PERIOD_MILLIS + spread), this::compareWithOwner);
+    joinGroup();
   }
 
   /** A machine that is far stronger than the owner's takes over, whatever made that one owner. */
-  private void compare() {
+  private void compareWithOwner() {
     OwnerRecord present = directory.owner();
-    if (!leaving && self.strength().farAbove(present.strength())) {
-      stepIn("the owner's machine is weaker");
+    if (!leaving && self.strength().isMuchStrongerThan(present.strength())) {
+      tryTakeOver("the owner's machine is weaker");
     }
   }
 
-  private boolean tooWeakToJoin() {
-    return directory.owner().strength().farAbove(self.strength())
+  private boolean isTooWeakToJoin() {
+    return directory.owner().strength().isMuchStrongerThan(self.strength())
         && directory.owner().epoch() > 0
-        && silentMillis.getAsLong() < WEAK_PATIENCE_MILLIS;
+        && silentMillis.getAsLong() < WEAK_JOIN_DELAY_MILLIS;
   }
 
-  private void joinNow() {
-    if (leaving || joining || tooWeakToJoin()) {
+  private void joinGroup() {
+    if (leaving || joining || isTooWeakToJoin()) {
       return;
     }
     joining = true;
     instruments
         .store()
-        .join(JournalKeys.GROUP, member, JournalKeys.TOPIC, lifetimeMillis, generation)
+        .join(JournalKeys.GROUP, memberName, JournalKeys.TOPIC, lifetimeMillis, generation)
         .onComplete(
-            this::joined,
+            this::handleMembership,
             error -> {
               // The store tells nothing; the journal's epoch, not the group, protects the workers.
               joining = false;
@@ -207,7 +211,7 @@
    *
    * @return true from takeover to the end
    */
-  public boolean owns() {
+  public boolean isOwner() {
     return owner != null;
   }
 
@@ -218,14 +222,14 @@
    * @param asker asks through that instance
    * @return what to run when the instance is gone
    */
-  public Runnable addAsker(String address, Asker asker) {
+  public Runnable addAdvisorClient(String address, AdvisorClient asker) {
     AdviceDesk.Helper helper = advice.add(address, asker);
     return () -> advice.remove(helper);
   }
 
   /** An instance that can ask the advisor. */
   @FunctionalInterface
-  public interface Asker {
+  public interface AdvisorClient {
 
     /**
      * Asks.
@@ -268,8 +272,8 @@
    *
    * @return true if no other instance need take over
    */
-  public boolean proven() {
-    return owner != null && owner.proven(PROOF_MILLIS);
+  public boolean isProvenOwner() {
+    return owner != null && owner.proven(PROOF_VALIDITY_MILLIS);
   }
 
   /**
@@ -278,7 +282,7 @@
    * @param millis the time, in milliseconds
    * @return true if another instance should try
    */
-  public boolean refusedFor(long millis) {
+  public boolean isStoreUnavailableFor(long millis) {
     return owner != null && owner.storeUnavailableFor(millis);
   }
 
@@ -287,10 +291,10 @@
    *
    * @param reason why, for the log
    */
-  public void stepIn(String reason) {
+  public void tryTakeOver(String reason) {
     long now = instruments.timers().nowMillis();
-    if (owner == null && now - steppedInAt > STEP_IN_MILLIS) {
-      steppedInAt = now;
+    if (owner == null && now - lastTakeoverAttemptAt > MIN_TAKEOVER_INTERVAL_MILLIS) {
+      lastTakeoverAttemptAt = now;
       takeOver(reason, () -> true, null);
     }
   }
@@ -302,17 +306,19 @@
    * @param reason why, for the log
    * @param silent tells whether the owner is still silent
    */
-  public void stepInUnlessAlive(String reason, BooleanSupplier silent) {
+  public void tryTakeOverUnlessAlive(String reason, BooleanSupplier silent) {
     long now = instruments.timers().nowMillis();
-    if (owner == null && now - suspectedAt > SUSPECT_MILLIS && silent.getAsBoolean()) {
-      suspectedAt = now;
-      takeOver(reason, silent, this::awaitSign);
+    if (owner == null
+        && now - lastSuspicionAt > MIN_SUSPICION_INTERVAL_MILLIS
+        && silent.getAsBoolean()) {
+      lastSuspicionAt = now;
+      takeOver(reason, silent, this::awaitSignOfLife);
     }
   }
 
-  private Future<Void> awaitSign() {
+  private Future<Void> awaitSignOfLife() {
     Promise<Void> over = Promise.promise();
-    instruments.timers().after(SIGN_OF_LIFE, over::tryComplete);
+    instruments.timers().after(LIVENESS_WAIT, over::tryComplete);
     return over.future();
   }
 
@@ -322,14 +328,14 @@
    *
    * @return true if this instance is the owner afterwards
    */
-  public Future<Boolean> takeOverAsAsked() {
-    long until = instruments.timers().nowMillis() + ASKED_MILLIS;
+  public Future<Boolean> takeOverOnRequest() {
+    long until = instruments.timers().nowMillis() + REQUESTED_TAKEOVER_TIMEOUT_MILLIS;
     return takeOver(
         "the owner asked for it", () -> instruments.timers().nowMillis() <= until, null);
   }
 
   private Future<Boolean> takeOver(
-      String reason, BooleanSupplier wanted, Takeover.Pause signOfLife) {
+      String reason, BooleanSupplier wanted, Takeover.Delay signOfLife) {
     if (owner != null) {
       return Future.succeededFuture(true);
     }
@@ -342,7 +348,7 @@
             instruments.store(),
             instruments.log(),
             self,
-            firstSequence(),
+            randomFirstSequence(),
             directory.owner().epoch(),
             wanted,
             signOfLife)
@@ -353,7 +359,7 @@
               if (error != null) {
                 instruments.log().event(PART, "takeover-failed", "error", error.getMessage());
                 return error instanceof SupersededException newer
-                    ? superseded(newer.owner(), reason, wanted, signOfLife)
+                    ? handleSuperseded(newer.owner(), reason, wanted, signOfLife)
                     : Future.succeededFuture(false);
               }
               if (closed) {
@@ -361,14 +367,14 @@
               }
               // One that was told to leave meanwhile has fenced its predecessor all the same: a
               // cell whose owner dropped it has none. It hands over in its turn.
-              owner = new Owner(instruments, taken, advice, customers, this::lost);
-              announce(self.ownerOf(taken.epoch()));
+              owner = new Owner(instruments, taken, advice, customers, this::endOwnership);
+              announceOwner(self.toOwnerRecord(taken.epoch()));
               return Future.succeededFuture(true);
             });
   }
 
-  private Future<Boolean> superseded(
-      OwnerRecord newer, String reason, BooleanSupplier wanted, Takeover.Pause signOfLife) {
+  private Future<Boolean> handleSuperseded(
+      OwnerRecord newer, String reason, BooleanSupplier wanted, Takeover.Delay signOfLife) {
     if (newer.address().equals(self.address())) {
       // A claim of this instance has succeeded while its answer was lost.
       directory.learn(newer);
@@ -377,12 +383,12 @@
     // Its process may have ended between the claim and the announcement. Then each instance would
     // find out by a failed takeover of its own, and the named one, once back, not at all. A second
     // announcement of one claim is answered like the first.
-    announce(newer);
+    announceOwner(newer);
     return Future.succeededFuture(false);
   }
 
   /** Far apart for two candidates, and far from the end of the range. */
-  private static long firstSequence() {
+  private static long randomFirstSequence() {
     return ThreadLocalRandom.current().nextLong(1, Integer.MAX_VALUE);
   }
 
@@ -391,9 +397,9 @@
    *
    * @param newer the owner
    */
-  public void learnt(OwnerRecord newer) {
+  public void observeOwner(OwnerRecord newer) {
     if (owner != null && newer.epoch() > owner.epoch()) {
-      lost("epoch " + newer.epoch() + " has been announced");
+      endOwnership("epoch " + newer.epoch() + " has been announced");
     }
   }
 
@@ -406,7 +412,7 @@
     leaving = true;
     instruments
         .store()
-        .leave(JournalKeys.GROUP, member)
+        .leave(JournalKeys.GROUP, memberName)
         .onFailure(
             error -> instruments.log().event(PART, "leave-failed", "error", error.getMessage()));
     if (owner == null) {
@@ -414,7 +420,7 @@
     }
     Promise<Void> written = Promise.promise();
     owner.whenWritten(written::tryComplete);
-    instruments.timers().after(LEAVE_PATIENCE, written::tryComplete);
+    instruments.timers().after(LEAVE_FLUSH_TIMEOUT, written::tryComplete);
     return written.future();
   }
 
@@ -423,7 +429,7 @@
    *
    * @return true if it may end without harm to callers
    */
-  public boolean settled() {
+  public boolean isSafeToShutDown() {
     return owner == null && !takingOver;
   }
 
@@ -432,7 +438,7 @@
    *
    * @param millis the time, in milliseconds
    */
-  public void rest(long millis) {
+  public void pauseWriting(long millis) {
     if (owner != null) {
       owner.rest(millis);
     }
@@ -451,23 +457,23 @@
   }
 
   /** Stops deciding, since a successor has said that it has taken over. */
-  public void handedOver() {
-    lost("handed over");
+  public void completeHandover() {
+    endOwnership("handed over");
   }
 
   /** Stops deciding for good, since the process is over in a moment. */
-  public void abdicate() {
+  public void shutDown() {
     closed = true;
-    lost("shutdown");
+    endOwnership("shutdown");
   }
 
-  private void joined(Membership membership) {
+  private void handleMembership(Membership membership) {
     joining = false;
     generation = membership.generation();
     if (membership.partitions().contains(JournalKeys.PARTITION) && owner == null && !leaving) {
       int judged = directory.owner().epoch();
       ownerCheck
-          .test()
+          .hasProvenOwner()
           .onSuccess(
               alive -> {
                 // Another instance may have stepped in while the lost owner was asked.
@@ -481,7 +487,7 @@
     }
   }
 
-  private void announce(OwnerRecord present) {
+  private void announceOwner(OwnerRecord present) {
     directory.learn(present);
     Append announcement =
         new Append(
@@ -498,7 +504,7 @@
         .onFailure(
             error -> {
               if (owner != null && owner.epoch() == present.epoch()) {
-                instruments.timers().after(ANNOUNCE_RETRY, () -> announce(present));
+                instruments.timers().after(ANNOUNCE_RETRY_DELAY, () -> announceOwner(present));
               }
             });
   }
@@ -510,37 +516,37 @@
    * @param successorEpoch the epoch of the present owner
    * @param successor asks the present owner; its future fails once it cannot be asked any more
    */
-  public void tellSuccessor(
+  public void notifySuccessor(
       int successorEpoch, Function<LinkRequest, Future<LinkReply>> successor) {
-    FormerOwnership told = former;
+    FormerOwnership told = formerOwnership;
     if (told == null || told.epoch() >= successorEpoch) {
       return;
     }
     successor
-        .apply(told.message(instruments.timers().nowMillis()))
+        .apply(told.toMessage(instruments.timers().nowMillis()))
         .onSuccess(
             reply -> {
-              if (former != told) {
+              if (formerOwnership != told) {
                 return;
               }
               if (reply instanceof LinkReply.NotOwner) {
                 instruments
                     .timers()
-                    .after(TELL_AGAIN, () -> tellSuccessor(successorEpoch, successor));
+                    .after(NOTIFY_RETRY_DELAY, () -> notifySuccessor(successorEpoch, successor));
               } else {
-                former = null;
+                formerOwnership = null;
               }
             });
   }
 
-  private void lost(String reason) {
+  private void endOwnership(String reason) {
     if (owner != null) {
       Owner ending = owner;
       // Whom the end tells that this is not the owner has to find it so.
       owner = null;
       onLost.run();
       ending.end(reason);
-      former =
+      formerOwnership =
           new FormerOwnership(
               ending.epoch(), ending.finalRoster(), instruments.timers().nowMillis());
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Strength.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Strength.java
@@ -16,19 +16,19 @@
   /** Of a machine about which nothing is known: it is never replaced for its weakness. */
   public static final Strength UNKNOWN = new Strength(Integer.MAX_VALUE);
 
-  private static final double MILLIS_A_CORE = 1_000;
+  private static final double SCORE_PER_CORE = 1_000;
 
   /**
    * An owner moves some 16 Mbit for each second of processor time; half again as much leaves room
    * for bursts.
    */
-  private static final double MEGABITS_A_CORE = 24;
+  private static final double MEGABITS_PER_CORE = 24;
 
   /**
    * Less of a difference is not worth the pause of a takeover, and machines that are alike never
    * replace each other.
    */
-  private static final double WORTH_A_TAKEOVER = 1.5;
+  private static final double TAKEOVER_RATIO = 1.5;
 
   /**
    * Rates a machine by what binds first.
@@ -38,8 +38,8 @@
    * @return its strength
    */
   public static Strength of(double processors, double linkMegabits) {
-    double cores = Math.min(processors, linkMegabits / MEGABITS_A_CORE);
-    return new Strength((int) Math.max(1, Math.round(cores * MILLIS_A_CORE)));
+    double cores = Math.min(processors, linkMegabits / MEGABITS_PER_CORE);
+    return new Strength((int) Math.max(1, Math.round(cores * SCORE_PER_CORE)));
   }
 
   /**
@@ -48,7 +48,7 @@
    * @param other the other machine
    * @return true if it is so much stronger that a takeover pays
    */
-  public boolean farAbove(Strength other) {
-    return score > other.score * WORTH_A_TAKEOVER;
+  public boolean isMuchStrongerThan(Strength other) {
+    return score > other.score * TAKEOVER_RATIO;
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Takeover.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Takeover.java
@@ -30,20 +30,20 @@
 final class Takeover {
 
   /** While the predecessor still writes, the end moves; after so many tries it is fenced first. */
-  private static final int TRIES_BEFORE_FENCE = 3;
+  private static final int RETRIES_BEFORE_FENCE = 3;
 
-  private static final int MOST_TRIES = 12;
+  private static final int MAX_CLAIM_RETRIES = 12;
 
   /** Attempts at one claim: where a third of the answers is lost, one in 80 is not settled then. */
-  private static final int MOST_ATTEMPTS = 4;
+  private static final int MAX_APPEND_ATTEMPTS = 4;
 
   private final StoreClient store;
   private final EventLog log;
   private final Candidate candidate;
   private final long sequence;
   private final int replacedEpoch;
-  private final BooleanSupplier wanted;
-  private final Pause signOfLife;
+  private final BooleanSupplier stillWanted;
+  private final Delay livenessDelay;
   private final AppendTimeout timeout = new AppendTimeout();
   private OwnerRecord predecessor;
 
@@ -64,26 +64,26 @@
       long sequence,
       int replacedEpoch,
       BooleanSupplier wanted,
-      Pause signOfLife) {
+      Delay signOfLife) {
     this.store = store;
     this.log = log;
     this.candidate = candidate;
     this.sequence = sequence;
     this.replacedEpoch = replacedEpoch;
-    this.wanted = wanted;
-    this.signOfLife = signOfLife;
+    this.stillWanted = wanted;
+    this.livenessDelay = signOfLife;
   }
 
   /** Lets some time pass. */
   @FunctionalInterface
-  interface Pause {
+  interface Delay {
 
     /**
      * Begins the pause.
      *
      * @return done when it is over
      */
-    Future<Void> begin();
+    Future<Void> start();
   }
 
   /**
@@ -93,15 +93,15 @@
    * @param sequence the number of the epoch's last append
    * @param values what the journal holds
    */
-  record Taken(int epoch, long sequence, Map<String, byte[]> values) {}
+  record Result(int epoch, long sequence, Map<String, byte[]> values) {}
 
-  Future<Taken> run() {
+  Future<Result> run() {
     return store
         .snapshot(JournalKeys.TOPIC, JournalKeys.PARTITION)
-        .compose(snapshot -> readOn(snapshot.from(), snapshot.values(), 0, 0));
+        .compose(snapshot -> readToEnd(snapshot.from(), snapshot.values(), 0, 0));
   }
 
-  private Future<Taken> readOn(long from, Map<String, byte[]> values, int tries, int fenced) {
+  private Future<Result> readToEnd(long from, Map<String, byte[]> values, int tries, int fenced) {
     return store
         .read(JournalKeys.TOPIC, JournalKeys.PARTITION, from, 0)
         .compose(
@@ -111,56 +111,56 @@
               }
               long next = from + page.records().size();
               if (next < page.end()) {
-                return readOn(next, values, tries, fenced);
+                return readToEnd(next, values, tries, fenced);
               }
-              return signOfLife == null
+              return livenessDelay == null
                   ? claim(next, values, tries, fenced)
-                  : signOfLife.begin().compose(over -> claim(next, values, tries, fenced));
+                  : livenessDelay.start().compose(over -> claim(next, values, tries, fenced));
             });
   }
 
-  private Future<Taken> claim(long end, Map<String, byte[]> values, int tries, int fenced) {
-    OwnerRecord present = new Estate(values, log).owner();
+  private Future<Result> claim(long end, Map<String, byte[]> values, int tries, int fenced) {
+    OwnerRecord present = new JournalContents(values, log).owner();
     boolean newer = replacedEpoch > 0 && present.epoch() > replacedEpoch;
     if (newer || predecessor != null && !present.equals(predecessor)) {
       return Future.failedFuture(new SupersededException(present));
     }
-    if (!wanted.getAsBoolean()) {
+    if (!stillWanted.getAsBoolean()) {
       return Future.failedFuture(new AbandonedException());
     }
     predecessor = present;
     int epoch = Math.max(present.epoch(), fenced) + 1;
-    if (tries == TRIES_BEFORE_FENCE) {
+    if (tries == RETRIES_BEFORE_FENCE) {
       return store
           .append(append(List.of(), OptionalLong.empty(), epoch, sequence))
-          .compose(done -> readOn(end, values, tries + 1, epoch));
+          .compose(done -> readToEnd(end, values, tries + 1, epoch));
     }
-    KeyedRecord owner = new KeyedRecord(JournalKeys.OWNER, candidate.ownerOf(epoch).encode());
-    return claimed(append(List.of(owner), OptionalLong.of(end), epoch, sequence), 1)
-        .map(newEnd -> new Taken(epoch, sequence, values))
+    KeyedRecord owner = new KeyedRecord(JournalKeys.OWNER, candidate.toOwnerRecord(epoch).encode());
+    return appendClaim(append(List.of(owner), OptionalLong.of(end), epoch, sequence), 1)
+        .map(newEnd -> new Result(epoch, sequence, values))
         .recover(
             error -> {
               boolean moved =
                   error instanceof StoreException failure && failure.error() == StoreError.MOVED;
-              if (moved && signOfLife != null) {
+              if (moved && livenessDelay != null) {
                 return Future.failedFuture(new AbandonedException());
               }
-              return moved && tries < MOST_TRIES
-                  ? readOn(end, values, tries + 1, fenced)
+              return moved && tries < MAX_CLAIM_RETRIES
+                  ? readToEnd(end, values, tries + 1, fenced)
                   : Future.failedFuture(error);
             });
   }
 
   /** Appends; one without an answer is repeated, since the store answers a repeat as the first. */
-  private Future<Long> claimed(Append claim, int attempt) {
+  private Future<Long> appendClaim(Append claim, int attempt) {
     return store
-        .append(claim, timeout.millis(attempt))
+        .append(claim, timeout.timeoutMillis(attempt))
         .recover(
             error -> {
               boolean unknown =
                   error instanceof StoreException failure && failure.error() == StoreError.UNKNOWN;
-              return unknown && attempt < MOST_ATTEMPTS
-                  ? claimed(claim, attempt + 1)
+              return unknown && attempt < MAX_APPEND_ATTEMPTS
+                  ? appendClaim(claim, attempt + 1)
                   : Future.failedFuture(error);
             });
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/StepInDelay.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/TakeoverDelay.java
@@ -10,15 +10,15 @@
  * owner. Each waits for a time of its own, and such a machine until the others have had their
  * chance.
  */
-final class StepInDelay {
+final class TakeoverDelay {
 
   /** Instances step in one after another, so that one takes over before the next tries. */
   private static final int SPREAD_MILLIS = 250;
 
   /** Three spreads of the others. */
-  static final int LAST_MILLIS = 750;
+  static final int WEAK_OR_SLOWED_EXTRA_MILLIS = 750;
 
-  private StepInDelay() {}
+  private TakeoverDelay() {}
 
   /**
    * Tells how long to wait.
@@ -29,6 +29,6 @@
    */
   static Duration of(String address, boolean weak, boolean slowed) {
     int spread = 1 + Math.floorMod(address.hashCode(), SPREAD_MILLIS);
-    return Duration.ofMillis(spread + (weak || slowed ? LAST_MILLIS : 0));
+    return Duration.ofMillis(spread + (weak || slowed ? WEAK_OR_SLOWED_EXTRA_MILLIS : 0));
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/TopicReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/TopicReader.java
@@ -19,11 +19,11 @@
 final class TopicReader {
 
   private static final int PARTITION = 0;
-  private static final long NOWHERE = -1;
+  private static final long NO_POSITION = -1;
 
   private final StoreClient store;
   private final String topic;
-  private long position = NOWHERE;
+  private long position = NO_POSITION;
 
   TopicReader(StoreClient store, String topic) {
     this.store = store;
@@ -39,7 +39,7 @@
    * @param caughtUp true if there was nothing further when the store answered
    * @param records the records, in the order of writing
    */
-  record Changes(boolean whole, boolean caughtUp, List<KeyedRecord> records) {
+  record Changes(boolean isSnapshot, boolean caughtUp, List<KeyedRecord> records) {
 
     Changes {
       records = List.copyOf(records);
@@ -52,12 +52,12 @@
    * @param waitMillis how long the store may wait for a record, in milliseconds
    * @return what was found; or the store's error, after which the read may be repeated
    */
-  Future<Changes> next(long waitMillis) {
+  Future<Changes> readNext(long waitMillis) {
     Future<Changes> read =
-        position == NOWHERE
+        position == NO_POSITION
             ? store.snapshot(topic, PARTITION).map(this::fromSnapshot)
             : store.read(topic, PARTITION, position, waitMillis).map(this::fromPage);
-    return read.onFailure(this::beginAnewIfForgotten);
+    return read.onFailure(this::restartIfExpired);
   }
 
   private Changes fromSnapshot(Snapshot snapshot) {
@@ -72,9 +72,9 @@
     return new Changes(false, position >= page.end(), page.records());
   }
 
-  private void beginAnewIfForgotten(Throwable error) {
+  private void restartIfExpired(Throwable error) {
     if (error instanceof StoreException failure && failure.error() == StoreError.EXPIRED) {
-      position = NOWHERE;
+      position = NO_POSITION;
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerList.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerList.java
@@ -69,7 +69,7 @@
   void start() {
     if (!stopped) {
       readSentAt = timers.nowMillis();
-      reader.next(0).onComplete(this::read, error -> again());
+      reader.readNext(0).onComplete(this::read, error -> again());
     }
   }
 
@@ -78,14 +78,14 @@
   }
 
   private void read(TopicReader.Changes changes) {
-    if (changes.whole()) {
+    if (changes.isSnapshot()) {
       entries.clear();
     }
     Set<String> departed = new HashSet<>();
     for (KeyedRecord entry : changes.records()) {
       take(entry.key(), entry.value(), departed);
     }
-    if (changes.whole()) {
+    if (changes.isSnapshot()) {
       departures.clear();
     }
     if (changes.caughtUp()) {
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/AppendTimeoutTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/AppendTimeoutTest.java
@@ -10,19 +10,19 @@
 
   @Test
   void quickStoreIsNotWaitedForLong() {
-    timeout.answered(4);
-    assertThat(timeout.millis(1)).isEqualTo(AppendTimeout.LEAST_MILLIS);
+    timeout.recordAnswer(4);
+    assertThat(timeout.timeoutMillis(1)).isEqualTo(AppendTimeout.MIN_TIMEOUT_MILLIS);
   }
 
   /** A store that takes 360 ms without being lost is not sent everything twice. */
   @Test
   void slowStoreIsWaitedForLonger() {
-    timeout.answered(360);
-    assertThat(timeout.millis(1)).isEqualTo(1_080);
+    timeout.recordAnswer(360);
+    assertThat(timeout.timeoutMillis(1)).isEqualTo(1_080);
     for (int answers = 0; answers < 20; answers++) {
-      timeout.answered(4);
+      timeout.recordAnswer(4);
     }
-    assertThat(timeout.millis(1)).isEqualTo(AppendTimeout.LEAST_MILLIS);
+    assertThat(timeout.timeoutMillis(1)).isEqualTo(AppendTimeout.MIN_TIMEOUT_MILLIS);
   }
 
   /**
@@ -30,21 +30,21 @@
    */
   @Test
   void silenceOfTheWholeStoreIsTakenForSlowness() {
-    timeout.unanswered(500, 600);
-    assertThat(timeout.millis(1)).isEqualTo(AppendTimeout.MOST_MILLIS);
+    timeout.recordTimeout(500, 600);
+    assertThat(timeout.timeoutMillis(1)).isEqualTo(AppendTimeout.MAX_TIMEOUT_MILLIS);
   }
 
   /** One answer of many is lost; the others came meanwhile, so the store is as quick as before. */
   @Test
   void lostAnswerDoesNotMakeTheNextWaitLonger() {
-    timeout.unanswered(500, 20);
-    assertThat(timeout.millis(1)).isEqualTo(AppendTimeout.LEAST_MILLIS);
+    timeout.recordTimeout(500, 20);
+    assertThat(timeout.timeoutMillis(1)).isEqualTo(AppendTimeout.MIN_TIMEOUT_MILLIS);
   }
 
   @Test
   void eachFurtherAttemptWaitsTwiceAsLong() {
-    assertThat(timeout.millis(2)).isEqualTo(2 * AppendTimeout.LEAST_MILLIS);
-    assertThat(timeout.millis(3)).isEqualTo(AppendTimeout.MOST_MILLIS);
-    assertThat(timeout.millis(9)).isEqualTo(AppendTimeout.MOST_MILLIS);
+    assertThat(timeout.timeoutMillis(2)).isEqualTo(2 * AppendTimeout.MIN_TIMEOUT_MILLIS);
+    assertThat(timeout.timeoutMillis(3)).isEqualTo(AppendTimeout.MAX_TIMEOUT_MILLIS);
+    assertThat(timeout.timeoutMillis(9)).isEqualTo(AppendTimeout.MAX_TIMEOUT_MILLIS);
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/StrengthTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/StrengthTest.java
@@ -15,10 +15,10 @@
   @Test
   void onlyFarStrongerMachineIsWorthTakeover() {
     Strength common = Strength.of(0.75, 1_000);
-    assertThat(Strength.of(1.5, 140).farAbove(common)).isTrue();
-    assertThat(Strength.of(0.8, 1_000).farAbove(common)).isFalse();
-    assertThat(common.farAbove(common)).isFalse();
-    assertThat(Strength.of(4, 1_000).farAbove(Strength.UNKNOWN)).isFalse();
+    assertThat(Strength.of(1.5, 140).isMuchStrongerThan(common)).isTrue();
+    assertThat(Strength.of(0.8, 1_000).isMuchStrongerThan(common)).isFalse();
+    assertThat(common.isMuchStrongerThan(common)).isFalse();
+    assertThat(Strength.of(4, 1_000).isMuchStrongerThan(Strength.UNKNOWN)).isFalse();
   }
 
   @Test
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/StepInDelayTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/TakeoverDelayTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class StepInDelayTest {
+class TakeoverDelayTest {
 
   private static final String ADDRESS = "10.1.0.17:7420";
 
@@ -16,16 +16,18 @@
    */
   @Test
   void slowedMachineStepsInAfterAllOthers() {
-    Duration slowed = StepInDelay.of(ADDRESS, false, true);
+    Duration slowed = TakeoverDelay.of(ADDRESS, false, true);
     for (int last = 1; last < 255; last++) {
-      Duration other = StepInDelay.of("10.1.0." + last + ":7420", false, false);
+      Duration other = TakeoverDelay.of("10.1.0." + last + ":7420", false, false);
       assertThat(other).isLessThan(slowed);
     }
   }
 
   @Test
   void weakMachineStepsInAfterAllOthers() {
-    assertThat(StepInDelay.of(ADDRESS, true, false))
-        .isEqualTo(StepInDelay.of(ADDRESS, false, false).plusMillis(StepInDelay.LAST_MILLIS));
+    assertThat(TakeoverDelay.of(ADDRESS, true, false))
+        .isEqualTo(
+            TakeoverDelay.of(ADDRESS, false, false)
+                .plusMillis(TakeoverDelay.WEAK_OR_SLOWED_EXTRA_MILLIS));
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/TakeoverTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/TakeoverTest.java
@@ -55,7 +55,7 @@
   }
 
   private Takeover candidate(
-      String address, long sequence, int replacedEpoch, boolean wanted, Takeover.Pause signOfLife) {
+      String address, long sequence, int replacedEpoch, boolean wanted, Takeover.Delay signOfLife) {
     return new Takeover(
         store,
         (part, event, fields) -> {},
@@ -80,17 +80,17 @@
   void ofTwoCandidatesAtOnceOneSucceeds() throws Exception {
     // The first append is held back, so that both have read the journal before either writes.
     storeServer.gate().plan(new FaultPlan("append", Fault.NONE, 1, HELD_BACK_MILLIS));
-    Future<Takeover.Taken> one = candidate("10.0.0.1:1", 17).run();
-    Future<Takeover.Taken> other = candidate("10.0.0.2:1", 4_711).run();
+    Future<Takeover.Result> one = candidate("10.0.0.1:1", 17).run();
+    Future<Takeover.Result> other = candidate("10.0.0.2:1", 4_711).run();
     await(Future.join(one, other).otherwiseEmpty());
     assertThat(one.succeeded() ^ other.succeeded()).isTrue();
   }
 
   @Test
   void successorReadsWhatWasWrittenAndFencesItsPredecessor() throws Exception {
-    Takeover.Taken first = await(candidate("10.0.0.1:1", 17).run());
+    Takeover.Result first = await(candidate("10.0.0.1:1", 17).run());
     await(store.append(write(first, 1, "s.1")));
-    Takeover.Taken second = await(candidate("10.0.0.2:1", 4).run());
+    Takeover.Result second = await(candidate("10.0.0.2:1", 4).run());
 
     assertThat(second.epoch()).isEqualTo(first.epoch() + 1);
     assertThat(second.values()).containsKey("s.1");
@@ -107,9 +107,9 @@
    */
   @Test
   void laterCandidateDoesNotReplaceTheSuccessorOfTheLostOwner() throws Exception {
-    Takeover.Taken lost = await(candidate("10.0.0.1:1", 17).run());
-    Takeover.Taken successor = await(candidate("10.0.0.2:1", 4, lost.epoch(), true).run());
-    Future<Takeover.Taken> later = candidate("10.0.0.3:1", 90, lost.epoch(), true).run();
+    Takeover.Result lost = await(candidate("10.0.0.1:1", 17).run());
+    Takeover.Result successor = await(candidate("10.0.0.2:1", 4, lost.epoch(), true).run());
+    Future<Takeover.Result> later = candidate("10.0.0.3:1", 90, lost.epoch(), true).run();
     await(later.otherwiseEmpty());
 
     assertThat(later.cause()).isInstanceOf(SupersededException.class);
@@ -125,8 +125,8 @@
    */
   @Test
   void takeoverThatTookTooLongClaimsNothing() throws Exception {
-    Takeover.Taken owner = await(candidate("10.0.0.1:1", 17).run());
-    Future<Takeover.Taken> late = candidate("10.0.0.2:1", 4, owner.epoch(), false).run();
+    Takeover.Result owner = await(candidate("10.0.0.1:1", 17).run());
+    Future<Takeover.Result> late = candidate("10.0.0.2:1", 4, owner.epoch(), false).run();
     await(late.otherwiseEmpty());
     assertThat(late.cause()).hasMessageContaining("took too long");
     await(store.append(write(owner, 1, "s.1")));
@@ -139,9 +139,9 @@
    */
   @Test
   void ownerThatStillWritesIsNotReplacedOnSuspicion() throws Exception {
-    Takeover.Taken owner = await(candidate("10.0.0.1:1", 17).run());
-    Takeover.Pause ownerWrites = () -> store.append(write(owner, 1, "s.1")).mapEmpty();
-    Future<Takeover.Taken> cutOff =
+    Takeover.Result owner = await(candidate("10.0.0.1:1", 17).run());
+    Takeover.Delay ownerWrites = () -> store.append(write(owner, 1, "s.1")).mapEmpty();
+    Future<Takeover.Result> cutOff =
         candidate("10.0.0.2:1", 4, owner.epoch(), true, ownerWrites).run();
     await(cutOff.otherwiseEmpty());
     assertThat(cutOff.cause()).isInstanceOf(AbandonedException.class);
@@ -150,8 +150,8 @@
 
   @Test
   void silentOwnerIsReplacedOnSuspicion() throws Exception {
-    Takeover.Taken owner = await(candidate("10.0.0.1:1", 17).run());
-    Takeover.Taken successor =
+    Takeover.Result owner = await(candidate("10.0.0.1:1", 17).run());
+    Takeover.Result successor =
         await(candidate("10.0.0.2:1", 4, owner.epoch(), true, Future::succeededFuture).run());
     assertThat(successor.epoch()).isEqualTo(owner.epoch() + 1);
   }
@@ -163,12 +163,12 @@
   @Test
   void claimWithoutAnAnswerIsRepeated() throws Exception {
     storeServer.gate().plan(FaultPlan.once("append", Fault.SILENT_AFTER_EFFECT));
-    Takeover.Taken taken = await(candidate("10.0.0.1:1", 17).run());
+    Takeover.Result taken = await(candidate("10.0.0.1:1", 17).run());
     assertThat(taken.epoch()).isEqualTo(1);
     assertThat(memory.end(JournalKeys.TOPIC, 0)).isEqualTo(1);
   }
 
-  private static Append write(Takeover.Taken by, int offset, String key) {
+  private static Append write(Takeover.Result by, int offset, String key) {
     return new Append(
         JournalKeys.TOPIC,
         JournalKeys.PARTITION,
