--- a/daemon/src/main/java/org/hickorypier/daemon/HickorydMain.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/HickorydMain.java
@@ -29,7 +29,7 @@
    * @param arguments the flags
    */
   public static void main(String[] arguments) {
-    LogSetup.prepare();
+    LogSetup.selectLogManager();
     try {
       SettingsResult result = new SettingsReader().read(List.of(arguments), System.getenv());
       if (result instanceof SettingsResult.Print print) {
--- a/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
@@ -14,9 +14,9 @@
 import java.util.function.LongSupplier;
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.daemon.owner.ConfigurationSource;
-import org.hickorypier.daemon.time.ContextTimers;
 import org.hickorypier.daemon.time.TimerService;
 import org.hickorypier.daemon.time.TimerSubscription;
+import org.hickorypier.daemon.time.VertxTimerService;
 import org.hickorypier.platform.http.ServiceAddress;
 import org.hickorypier.platform.intake.CallerWords;
 
@@ -83,7 +83,7 @@
       EventLog log) {
     this.vertx = vertx;
     this.traffic = vertx.getOrCreateContext();
-    this.timers = new ContextTimers(vertx, traffic);
+    this.timers = new VertxTimerService(vertx, traffic);
     this.ready = ready;
     this.connections = new CallerConnections(timers);
     this.handler =
--- a/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
@@ -120,7 +120,7 @@
     String host = request.getHeader("Host");
     return Judgement.of(
         configuration.current(),
-        configuration.proven(),
+        configuration.isProven(),
         host == null ? "" : host,
         request.path(),
         request.getHeader("Authorization"));
--- a/daemon/src/main/java/org/hickorypier/daemon/logging/DaemonLogManager.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/logging/DaemonLogManager.java
@@ -11,18 +11,18 @@
  */
 public final class DaemonLogManager extends LogManager {
 
-  private volatile boolean started;
+  private volatile boolean keepsHandlers;
 
   /** Creates the manager. The platform does so by the name of the class. */
   public DaemonLogManager() {}
 
-  void start() {
-    started = true;
+  void keepHandlersOnReset() {
+    keepsHandlers = true;
   }
 
   @Override
   public void reset() {
-    if (!started) {
+    if (!keepsHandlers) {
       super.reset();
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/logging/LineFormatter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/logging/LineFormatter.java
@@ -13,25 +13,25 @@
  */
 final class LineFormatter extends Formatter {
 
-  private static final DateTimeFormatter TIME =
+  private static final DateTimeFormatter TIMESTAMP_FORMAT =
       DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
 
   /** Enough to find the place; the whole trace of a fault that repeats would bury the rest. */
-  private static final int MOST_FRAMES = 6;
+  private static final int MAX_FRAMES = 6;
 
-  private static final int MOST_CAUSES = 4;
+  private static final int MAX_CAUSES = 4;
 
   @Override
   public String format(LogRecord event) {
     StringBuilder line = new StringBuilder();
-    line.append(TIME.format(event.getInstant())).append(' ');
-    line.append("%-7s ".formatted(name(event.getLevel())));
+    line.append(TIMESTAMP_FORMAT.format(event.getInstant())).append(' ');
+    line.append("%-7s ".formatted(levelName(event.getLevel())));
     appendPrintable(line, formatMessage(event));
     appendCauses(line, event.getThrown());
     return line.append('\n').toString();
   }
 
-  private static String name(Level level) {
+  private static String levelName(Level level) {
     if (level.intValue() >= Level.SEVERE.intValue()) {
       return "ERROR";
     } else if (level.intValue() >= Level.WARNING.intValue()) {
@@ -44,7 +44,7 @@
 
   private static void appendCauses(StringBuilder line, Throwable thrown) {
     Throwable cause = thrown;
-    for (int depth = 0; cause != null && depth < MOST_CAUSES; depth++) {
+    for (int depth = 0; cause != null && depth < MAX_CAUSES; depth++) {
       line.append(depth == 0 ? " | " : " | caused by ");
       appendPrintable(line, cause.toString());
       appendFrames(line, cause.getStackTrace());
@@ -53,7 +53,7 @@
   }
 
   private static void appendFrames(StringBuilder line, StackTraceElement[] frames) {
-    for (int index = 0; index < Math.min(MOST_FRAMES, frames.length); index++) {
+    for (int index = 0; index < Math.min(MAX_FRAMES, frames.length); index++) {
       line.append(" at ").append(frames[index]);
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/logging/LineHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/logging/LineHandler.java
@@ -8,7 +8,7 @@
 final class LineHandler extends Handler {
 
   private final PrintStream stream;
-  private final LineFormatter lines = new LineFormatter();
+  private final LineFormatter formatter = new LineFormatter();
 
   LineHandler(PrintStream stream) {
     this.stream = stream;
@@ -17,7 +17,7 @@
   @Override
   public void publish(LogRecord event) {
     if (isLoggable(event)) {
-      stream.print(lines.format(event));
+      stream.print(formatter.format(event));
       stream.flush();
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/logging/LogSetup.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/logging/LogSetup.java
@@ -16,7 +16,7 @@
 public final class LogSetup {
 
   private static final String MANAGER_PROPERTY = "java.util.logging.manager";
-  private static final String OWN_PACKAGE = "org.hickorypier";
+  private static final String PROJECT_PACKAGE = "org.hickorypier";
 
   private static final Map<String, Level> LEVELS =
       Map.of(
@@ -28,7 +28,7 @@
 
   // The manager holds loggers weakly. Without this reference the collector takes the logger and the
   // level set on it, and after some time the log falls back to the default level.
-  private static Logger own;
+  private static Logger projectLogger;
 
   private LogSetup() {}
 
@@ -37,7 +37,7 @@
    * changes it, and libraries make loggers as soon as one of their classes is used; so this is the
    * first call of a program. Too late, it does no harm, but the log ends where the shutdown begins.
    */
-  public static void prepare() {
+  public static void selectLogManager() {
     if (System.getProperty(MANAGER_PROPERTY) == null) {
       System.setProperty(MANAGER_PROPERTY, DaemonLogManager.class.getName());
     }
@@ -59,10 +59,10 @@
     root.addHandler(handler);
     // Libraries tell of every connection that a caller resets; only their warnings are of use.
     root.setLevel(Level.WARNING);
-    own = Logger.getLogger(OWN_PACKAGE);
-    own.setLevel(LEVELS.getOrDefault(level, Level.INFO));
+    projectLogger = Logger.getLogger(PROJECT_PACKAGE);
+    projectLogger.setLevel(LEVELS.getOrDefault(level, Level.INFO));
     if (LogManager.getLogManager() instanceof DaemonLogManager manager) {
-      manager.start();
+      manager.keepHandlersOnReset();
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
@@ -15,7 +15,7 @@
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
 import org.hickorypier.daemon.owner.Ownership;
-import org.hickorypier.daemon.owner.WorkPace;
+import org.hickorypier.daemon.owner.ProcessorSpeedMonitor;
 import org.hickorypier.daemon.time.TimerService;
 
 /**
@@ -71,7 +71,7 @@
   private static final int QUICKER_TIMES = 2;
 
   private final Ownership ownership;
-  private final WorkPace pace;
+  private final ProcessorSpeedMonitor pace;
   private final TimerService timers;
   private final EventLog log;
   private final List<Peer> peers = new ArrayList<>();
@@ -88,7 +88,7 @@
   private long slowedAgainAt;
   private int turn;
 
-  Handover(Ownership ownership, WorkPace pace, TimerService timers, EventLog log) {
+  Handover(Ownership ownership, ProcessorSpeedMonitor pace, TimerService timers, EventLog log) {
     this.ownership = ownership;
     this.pace = pace;
     this.timers = timers;
@@ -131,7 +131,7 @@
     }
     if (left != null) {
       handOverToLeave();
-    } else if (ownership.owns() && pace.slowed() && timers.nowMillis() >= slowedAgainAt) {
+    } else if (ownership.owns() && pace.isSlowed() && timers.nowMillis() >= slowedAgainAt) {
       handOverToQuicker();
     } else {
       handOverIfRefused();
@@ -146,7 +146,7 @@
   private void handOverToQuicker() {
     slowedAgainAt = timers.nowMillis() + SLOWED_AGAIN_MILLIS;
     int own = pace.measureMicros();
-    offer(peer -> true, all -> quickerThan(own, all), pace::slowed);
+    offer(peer -> true, all -> quickerThan(own, all), pace::isSlowed);
   }
 
   private static List<Peer> quickerThan(int micros, List<Peer> all) {
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
@@ -17,15 +17,15 @@
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
 import org.hickorypier.daemon.owner.Candidate;
-import org.hickorypier.daemon.owner.ConfigurationWatch;
-import org.hickorypier.daemon.owner.Directory;
-import org.hickorypier.daemon.owner.Gateway;
-import org.hickorypier.daemon.owner.Instruments;
+import org.hickorypier.daemon.owner.ConfigurationWatcher;
+import org.hickorypier.daemon.owner.OwnerDependencies;
+import org.hickorypier.daemon.owner.OwnerDirectory;
+import org.hickorypier.daemon.owner.OwnerGateway;
 import org.hickorypier.daemon.owner.OwnerRecord;
 import org.hickorypier.daemon.owner.Ownership;
-import org.hickorypier.daemon.owner.WorkPace;
-import org.hickorypier.daemon.time.ContextTimers;
-import org.hickorypier.daemon.time.PauseGuard;
+import org.hickorypier.daemon.owner.ProcessorSpeedMonitor;
+import org.hickorypier.daemon.time.SuspensionDetector;
+import org.hickorypier.daemon.time.VertxTimerService;
 import org.hickorypier.platform.advice.AdviceClient;
 import org.hickorypier.platform.execution.WorkerClient;
 import org.hickorypier.platform.http.HttpCalls;
@@ -66,10 +66,10 @@
   private final NodeSettings settings;
   private final EventLog log;
   private final LongSupplier wall;
-  private final WorkPace pace;
-  private ConfigurationWatch configuration;
+  private final ProcessorSpeedMonitor pace;
+  private ConfigurationWatcher configuration;
   private Ownership ownership;
-  private Gateway gateway;
+  private OwnerGateway gateway;
   private volatile FrontServer front;
   private volatile boolean stopping;
   private volatile long endsAtNanos;
@@ -78,7 +78,7 @@
   private volatile long ownerlessMillis;
   private Handover handover;
   private AdviceClient advisor;
-  private ContextTimers timers;
+  private VertxTimerService timers;
 
   /**
    * Creates the instance.
@@ -88,10 +88,10 @@
    * @param wall the time of day, milliseconds since 1970
    */
   public Node(NodeSettings settings, EventLog log, LongSupplier wall) {
-    this(settings, log, wall, new WorkPace(WorkPace::work));
+    this(settings, log, wall, new ProcessorSpeedMonitor(ProcessorSpeedMonitor::runWorkload));
   }
 
-  Node(NodeSettings settings, EventLog log, LongSupplier wall, WorkPace pace) {
+  Node(NodeSettings settings, EventLog log, LongSupplier wall, ProcessorSpeedMonitor pace) {
     this.settings = settings;
     this.log = log;
     this.wall = wall;
@@ -103,15 +103,15 @@
     if (stopping) {
       return Future.failedFuture("the instance was told to end before it had started");
     }
-    timers = new ContextTimers(vertx, context);
-    PauseGuard pauses = new PauseGuard(timers::nowMillis, wall);
+    timers = new VertxTimerService(vertx, context);
+    SuspensionDetector pauses = new SuspensionDetector(timers::nowMillis, wall);
     StoreClient store = new StoreClient(new HttpCalls(vertx, STORE_CONNECTIONS), settings.store());
     advisor =
         settings.advisor() == null
             ? null
             : new AdviceClient(new HttpCalls(vertx, ADVICE_CONNECTIONS), settings.advisor());
-    Instruments instruments =
-        new Instruments(
+    OwnerDependencies instruments =
+        new OwnerDependencies(
             store,
             new WorkerClient(new HttpCalls(vertx, WORKER_CONNECTIONS)),
             timers,
@@ -121,7 +121,7 @@
             settings.cell(),
             settings.workerHeartbeatMillis());
     String peerAddress = "" + settings.advertisedPeer();
-    Directory directory = new Directory(store, timers, log, this::ownerChanged);
+    OwnerDirectory directory = new OwnerDirectory(store, timers, log, this::ownerChanged);
     Candidate self = new Candidate(peerAddress, settings.strength());
     ownership =
         new Ownership(
@@ -132,11 +132,11 @@
             directory);
     ownership.addAsker(settings.address(), (request, timeout) -> advise(request));
     configuration =
-        new ConfigurationWatch(
+        new ConfigurationWatcher(
             store, timers, pauses, log, settings.revokeMillis(), this::configured);
     handover = new Handover(ownership, pace, timers, log);
     gateway =
-        new Gateway(
+        new OwnerGateway(
             vertx.createNetClient(
                 new NetClientOptions().setConnectTimeout(CONNECT_MILLIS).setTcpNoDelay(true)),
             timers,
@@ -171,7 +171,7 @@
         .listen(settings.peerPort(), settings.address())
         .onSuccess(
             listening -> {
-              ownership.start(gateway::ownerAlive, gateway::silentMillis);
+              ownership.start(gateway::checkOwnerAlive, gateway::silentMillis);
               handover.start();
             })
         .compose(listening -> traffic);
@@ -195,7 +195,7 @@
   private boolean ready() {
     return !stopping
         && configuration.current() != null
-        && configuration.fresh()
+        && configuration.isFresh()
         && ownerlessMillis < OWNERLESS_MILLIS;
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/AdviceDesk.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/AdviceCallBalancer.java
@@ -24,41 +24,41 @@
  * an answer in time is asked again through another instance, and the silent one is the last choice
  * until it answers. Belongs to the control thread.
  */
-final class AdviceDesk {
+final class AdviceCallBalancer {
 
   /** Calls for gangs take 0.4 s and more, those for short checks some 10 ms. */
   private static final double LONG_CALL_MILLIS = 60;
 
   /** More than this ahead of a call, and its tickets would come too late to be of use. */
-  private static final double MOST_AHEAD_MILLIS = 1_500;
+  private static final double MAX_BACKLOG_MILLIS = 1_500;
 
   /**
    * A call may take so much longer than expected before it counts as lost. The advisor still works
    * off what an instance asked before its restart, and a call that is given up is worked off all
    * the same: asking anew only makes the queue longer.
    */
-  private static final long SLACK_MILLIS = 2_500;
+  private static final long TIMEOUT_SLACK_MILLIS = 2_500;
 
   /**
    * Calls of one instance at once. The advisor serves them in turn, so more only fix the order
    * early, before more urgent steps are known; after a restart of all instances hundreds of steps
    * ask at once while few instances are linked.
    */
-  private static final int MOST_CALLS = 8;
+  private static final int MAX_CONCURRENT_CALLS = 8;
 
   /** One in three instances is kept for short calls. */
-  private static final int SHORT_SHARE = 3;
+  private static final int INSTANCES_PER_RESERVED_INSTANCE = 3;
 
   /**
    * A short call may be so much late before it is asked again elsewhere: ten times an answer's
    * usual time on the wire.
    */
-  private static final long PATIENCE_MILLIS = 150;
+  private static final long SHORT_CALL_RETRY_DELAY_MILLIS = 150;
 
-  private final List<Helper> helpers = new ArrayList<>();
+  private final List<Instance> instances = new ArrayList<>();
   private final TimerService timers;
 
-  AdviceDesk(TimerService timers) {
+  AdviceCallBalancer(TimerService timers) {
     this.timers = timers;
   }
 
@@ -67,18 +67,18 @@
    * free of long calls: the advisor still works off what the lost owner had asked, and a short
    * check behind it waited for 1.1 s.
    */
-  Helper add(String address, Ownership.Asker asker) {
-    Helper helper = new Helper(address, asker);
+  Instance add(String address, Ownership.Asker asker) {
+    Instance helper = new Instance(address, asker);
     int place = 0;
-    while (place < helpers.size() && helpers.get(place).address.compareTo(address) <= 0) {
+    while (place < instances.size() && instances.get(place).address.compareTo(address) <= 0) {
       place++;
     }
-    helpers.add(place, helper);
+    instances.add(place, helper);
     return helper;
   }
 
-  void remove(Helper helper) {
-    helpers.remove(helper);
+  void remove(Instance helper) {
+    instances.remove(helper);
   }
 
   /**
@@ -90,120 +90,124 @@
    * @return the reply, or empty if all instances have too much ahead
    */
   Optional<Future<LinkReply>> ask(String step, List<String> workers, double callMillis) {
-    return choose(callMillis).map(helper -> new Question(step, workers, callMillis).begin(helper));
+    return choose(callMillis)
+        .map(helper -> new AdviceCall(step, workers, callMillis).start(helper));
   }
 
   /** Returns the instance to ask, or empty if all have too much ahead. */
-  Optional<Helper> choose(double callMillis) {
-    int kept = helpers.size() / SHORT_SHARE;
-    int usable = callMillis > LONG_CALL_MILLIS ? helpers.size() - kept : helpers.size();
-    Helper best = null;
-    for (int index = helpers.size() - 1; index >= 0; index--) {
-      Helper helper = helpers.get(index);
-      if (index < usable && (best == null || helper.before(best))) {
+  Optional<Instance> choose(double callMillis) {
+    int kept = instances.size() / INSTANCES_PER_RESERVED_INSTANCE;
+    int usable = callMillis > LONG_CALL_MILLIS ? instances.size() - kept : instances.size();
+    Instance best = null;
+    for (int index = instances.size() - 1; index >= 0; index--) {
+      Instance helper = instances.get(index);
+      if (index < usable && (best == null || helper.isPreferredTo(best))) {
         best = helper;
       }
     }
     return Optional.ofNullable(best)
-        .filter(helper -> helper.aheadMillis < MOST_AHEAD_MILLIS && helper.calls < MOST_CALLS);
+        .filter(
+            helper ->
+                helper.backlogMillis < MAX_BACKLOG_MILLIS
+                    && helper.openCalls < MAX_CONCURRENT_CALLS);
   }
 
   /** One question, asked at most twice. */
-  private final class Question {
+  private final class AdviceCall {
 
     private final String step;
     private final List<String> workers;
     private final double callMillis;
     private final Promise<LinkReply> answer = Promise.promise();
-    private TimerSubscription patience = () -> {};
-    private boolean repeated;
-    private int open;
+    private TimerSubscription retryTimer = () -> {};
+    private boolean retried;
+    private int openAttempts;
 
-    Question(String step, List<String> workers, double callMillis) {
+    AdviceCall(String step, List<String> workers, double callMillis) {
       this.step = step;
       this.workers = workers;
       this.callMillis = callMillis;
     }
 
-    Future<LinkReply> begin(Helper helper) {
-      put(helper);
+    Future<LinkReply> start(Instance helper) {
+      send(helper);
       if (callMillis <= LONG_CALL_MILLIS) {
-        long expected = Math.round(helper.aheadMillis) + PATIENCE_MILLIS;
-        patience = timers.after(Duration.ofMillis(expected), () -> overdue(helper));
+        long expected = Math.round(helper.backlogMillis) + SHORT_CALL_RETRY_DELAY_MILLIS;
+        retryTimer = timers.after(Duration.ofMillis(expected), () -> handleOverdue(helper));
       }
-      return answer.future().onComplete(done -> patience.cancel());
+      return answer.future().onComplete(done -> retryTimer.cancel());
     }
 
-    private void overdue(Helper helper) {
+    private void handleOverdue(Instance helper) {
       helper.silent = true;
-      repeat();
+      retry();
     }
 
-    private void repeat() {
-      if (!repeated) {
-        repeated = true;
-        choose(callMillis).ifPresent(this::put);
+    private void retry() {
+      if (!retried) {
+        retried = true;
+        choose(callMillis).ifPresent(this::send);
       }
     }
 
-    private void put(Helper helper) {
-      open++;
+    private void send(Instance helper) {
+      openAttempts++;
       helper
           .ask(step, workers, callMillis)
           .onComplete(
               reply -> {
                 helper.silent = false;
-                replied(reply);
+                handleReply(reply);
               },
               error -> {
                 helper.silent = true;
-                replied(new LinkReply.Failed());
+                handleReply(new LinkReply.Failed());
               });
     }
 
-    private void replied(LinkReply reply) {
-      open--;
+    private void handleReply(LinkReply reply) {
+      openAttempts--;
       if (!(reply instanceof LinkReply.Failed)) {
         answer.tryComplete(reply);
         return;
       }
       if (!answer.future().isComplete()) {
-        repeat();
+        retry();
       }
-      if (open == 0) {
+      if (openAttempts == 0) {
         answer.tryComplete(reply);
       }
     }
   }
 
   /** One instance with the calls that it has in hand. */
-  static final class Helper {
+  static final class Instance {
 
     private final String address;
     private final Ownership.Asker asker;
-    private double aheadMillis;
+    private double backlogMillis;
     private boolean silent;
-    private int calls;
+    private int openCalls;
 
-    private Helper(String address, Ownership.Asker asker) {
+    private Instance(String address, Ownership.Asker asker) {
       this.address = address;
       this.asker = asker;
     }
 
-    private boolean before(Helper other) {
-      return silent == other.silent ? aheadMillis < other.aheadMillis : other.silent;
+    private boolean isPreferredTo(Instance other) {
+      return silent == other.silent ? backlogMillis < other.backlogMillis : other.silent;
     }
 
     Future<LinkReply> ask(String step, List<String> workers, double callMillis) {
-      long timeout = Math.round(aheadMillis + callMillis) + SLACK_MILLIS;
-      aheadMillis += callMillis;
-      calls++;
+      long timeout = Math.round(backlogMillis + callMillis) + TIMEOUT_SLACK_MILLIS;
+      backlogMillis += callMillis;
+      openCalls++;
       return asker
-          .ask(new LinkRequest.Advise(step, workers, timeout), timeout + SLACK_MILLIS)
+          .ask(new LinkRequest.Advise(step, workers, timeout), timeout + TIMEOUT_SLACK_MILLIS)
           .onComplete(
               done -> {
-                aheadMillis -= callMillis;
-                calls--;
+                backlogMillis -= callMillis;
+                openCalls--;
               });
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationSource.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationSource.java
@@ -17,5 +17,5 @@
    *
    * @return true while a key that it holds cannot have been withdrawn long ago
    */
-  boolean proven();
+  boolean isProven();
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationWatch.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationWatcher.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.core.cluster.ClusterConfiguration;
-import org.hickorypier.daemon.time.PauseGuard;
+import org.hickorypier.daemon.time.SuspensionDetector;
 import org.hickorypier.daemon.time.TimerService;
 import org.hickorypier.platform.configuration.ConfigurationDecoder;
 import org.hickorypier.platform.store.KeyedRecord;
@@ -17,39 +17,39 @@
  * <p>Invariant: versions only rise. {@link #current} and {@link #proven} are thread safe; the rest
  * belongs to the control thread.
  */
-public final class ConfigurationWatch implements ConfigurationSource {
+public final class ConfigurationWatcher implements ConfigurationSource {
 
   private static final String PART = "configuration";
 
   /** A read without a new record proves, after this time, that there was none. */
-  private static final long WAIT_MILLIS = 1_000;
+  private static final long READ_WAIT_MILLIS = 1_000;
 
-  private static final Duration RETRY = Duration.ofMillis(100);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
   /**
    * Part of the time within which a withdrawn key must stop working. A request is judged after it
    * was sent, so a proof as old as the whole time would do; the rest covers clocks.
    */
-  private static final double PART_OF_REVOCATION = 0.8;
+  private static final double REVOCATION_FRACTION = 0.8;
 
   /**
    * With an older proof the balancer should send new connections to others: a read takes 1 s at
    * rest, so one lost answer voids none.
    */
-  private static final long FRESH_MILLIS = 2_500;
+  private static final long MAX_FRESH_PROOF_AGE_MILLIS = 2_500;
 
   /** After so long without a proof the store counts as lost, which is told once. */
-  private static final long LOST_MILLIS = 2_500;
+  private static final long STORE_LOST_AFTER_MILLIS = 2_500;
 
   private final TopicReader reader;
   private final TimerService timers;
-  private final PauseGuard pauses;
+  private final SuspensionDetector suspensionDetector;
   private final EventLog log;
   private final Consumer<ClusterConfiguration> listener;
   private volatile ClusterConfiguration current;
-  private final long proofMillis;
+  private final long maxProofAgeMillis;
   private volatile long provenAt = Long.MIN_VALUE / 2;
-  private boolean lost;
+  private boolean storeLost;
 
   /**
    * Creates the watch.
@@ -61,18 +61,18 @@
    * @param revokeMillis within this time a withdrawn key must stop working, in milliseconds
    * @param listener hears of each new version, on the control thread
    */
-  public ConfigurationWatch(
+  public ConfigurationWatcher(
       StoreClient store,
       TimerService timers,
-      PauseGuard pauses,
+      SuspensionDetector pauses,
       EventLog log,
       long revokeMillis,
       Consumer<ClusterConfiguration> listener) {
     this.reader = new TopicReader(store, StoreClient.OPERATOR_TOPIC);
     this.timers = timers;
-    this.pauses = pauses;
+    this.suspensionDetector = pauses;
     this.log = log;
-    this.proofMillis = Math.round(PART_OF_REVOCATION * revokeMillis);
+    this.maxProofAgeMillis = Math.round(REVOCATION_FRACTION * revokeMillis);
     this.listener = listener;
   }
 
@@ -80,8 +80,10 @@
   public void start() {
     long sentAt = timers.nowMillis();
     // After a suspension or a lost answer a proof is wanted at once, not after a wait.
-    long wait = current != null && fresh() ? WAIT_MILLIS : 0;
-    reader.next(wait).onComplete(changes -> read(changes, sentAt), this::failed);
+    long wait = current != null && isFresh() ? READ_WAIT_MILLIS : 0;
+    reader
+        .next(wait)
+        .onComplete(changes -> handleChanges(changes, sentAt), this::handleReadFailure);
   }
 
   @Override
@@ -90,8 +92,8 @@
   }
 
   @Override
-  public boolean proven() {
-    return provenWithin(proofMillis);
+  public boolean isProven() {
+    return isProvenWithin(maxProofAgeMillis);
   }
 
   /**
@@ -99,36 +101,36 @@
    *
    * @return false if the store seems to be away, for this instance or for all
    */
-  public boolean fresh() {
-    return provenWithin(Math.min(FRESH_MILLIS, proofMillis));
+  public boolean isFresh() {
+    return isProvenWithin(Math.min(MAX_FRESH_PROOF_AGE_MILLIS, maxProofAgeMillis));
   }
 
-  private boolean provenWithin(long millis) {
+  private boolean isProvenWithin(long millis) {
     long proof = provenAt;
-    return pauses.unbroken(proof) && timers.nowMillis() - proof <= millis;
+    return suspensionDetector.isUninterruptedSince(proof) && timers.nowMillis() - proof <= millis;
   }
 
-  private void read(TopicReader.Changes changes, long sentAt) {
+  private void handleChanges(TopicReader.Changes changes, long sentAt) {
     for (KeyedRecord entry : changes.records()) {
       if (entry.key().equals(StoreClient.CONFIGURATION_KEY)) {
-        take(entry.value());
+        applyConfiguration(entry.value());
       }
     }
     if (changes.caughtUp()) {
-      proved(sentAt);
+      recordProof(sentAt);
     }
     start();
   }
 
-  private void proved(long sentAt) {
+  private void recordProof(long sentAt) {
     provenAt = sentAt;
-    if (lost) {
-      lost = false;
+    if (storeLost) {
+      storeLost = false;
       log.event(PART, "store-regained", "version", current == null ? 0 : current.version());
     }
   }
 
-  private void take(byte[] value) {
+  private void applyConfiguration(byte[] value) {
     if (value == null) {
       return;
     }
@@ -152,11 +154,11 @@
     }
   }
 
-  private void failed(Throwable error) {
-    if (!lost && timers.nowMillis() - provenAt > LOST_MILLIS) {
-      lost = true;
+  private void handleReadFailure(Throwable error) {
+    if (!storeLost && timers.nowMillis() - provenAt > STORE_LOST_AFTER_MILLIS) {
+      storeLost = true;
       log.event(PART, "store-lost", "error", error.getMessage());
     }
-    timers.after(RETRY, this::start);
+    timers.after(RETRY_DELAY, this::start);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
@@ -12,7 +12,7 @@
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.core.cell.Submission;
 import org.hickorypier.core.submission.SubmissionCodec;
-import org.hickorypier.daemon.time.PauseGuard;
+import org.hickorypier.daemon.time.SuspensionDetector;
 import org.hickorypier.daemon.time.TimerService;
 import org.hickorypier.platform.store.Append;
 import org.hickorypier.platform.store.KeyedRecord;
@@ -52,7 +52,7 @@
 
   private final StoreClient store;
   private final TimerService timers;
-  private final PauseGuard pauses;
+  private final SuspensionDetector pauses;
   private final EventLog log;
   private final int epoch;
   private final Callbacks callbacks;
@@ -79,7 +79,7 @@
   JournalWriter(
       StoreClient store,
       TimerService timers,
-      PauseGuard pauses,
+      SuspensionDetector pauses,
       EventLog log,
       int epoch,
       long sequence,
@@ -128,7 +128,9 @@
 
   /** Tells whether no successor can have taken over more than some time ago. */
   boolean proven(long withinMillis) {
-    return !stopped && pauses.unbroken(provenAt) && timers.nowMillis() - provenAt <= withinMillis;
+    return !stopped
+        && pauses.isUninterruptedSince(provenAt)
+        && timers.nowMillis() - provenAt <= withinMillis;
   }
 
   /** Returns for how long the store has refused or left unanswered the present append. */
@@ -138,7 +140,7 @@
 
   void tick() {
     boolean old = timers.nowMillis() - provenAt > PROOF_PERIOD_MILLIS;
-    if (!stopped && underWay.isEmpty() && (old || !pauses.unbroken(provenAt))) {
+    if (!stopped && underWay.isEmpty() && (old || !pauses.isUninterruptedSince(provenAt))) {
       put(JournalKeys.PROOF, new byte[] {1});
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OrderSender.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OrderSender.java
@@ -29,9 +29,9 @@
 
   private static final String PART = "owner";
 
-  private final Instruments instruments;
+  private final OwnerDependencies dependencies;
   private final int epoch;
-  private final AdviceDesk advice;
+  private final AdviceCallBalancer adviceCalls;
   private final Events events;
   private Cell cell;
   private JournalWriter journal;
@@ -40,7 +40,7 @@
   interface Events {
 
     /** Tells whether the owner's time is over. */
-    boolean ended();
+    boolean isEnded();
 
     /** An answer may let something start. */
     void answered();
@@ -49,10 +49,10 @@
     void fenced(String worker);
   }
 
-  OrderSender(Instruments instruments, int epoch, AdviceDesk advice, Events events) {
-    this.instruments = instruments;
+  OrderSender(OwnerDependencies instruments, int epoch, AdviceCallBalancer advice, Events events) {
+    this.dependencies = instruments;
     this.epoch = epoch;
-    this.advice = advice;
+    this.adviceCalls = advice;
     this.events = events;
   }
 
@@ -63,7 +63,7 @@
   }
 
   private long now() {
-    return instruments.timers().nowMillis();
+    return dependencies.timers().nowMillis();
   }
 
   @Override
@@ -80,11 +80,11 @@
             epoch,
             run.checkpoint(),
             ticket);
-    instruments.workers().start(order).onSuccess(outcome -> started(run, outcome));
+    dependencies.workers().start(order).onSuccess(outcome -> handleStartOutcome(run, outcome));
   }
 
-  private void started(Run run, StartOutcome outcome) {
-    if (events.ended()) {
+  private void handleStartOutcome(Run run, StartOutcome outcome) {
+    if (events.isEnded()) {
       return;
     }
     if (outcome == StartOutcome.FENCED) {
@@ -97,14 +97,14 @@
 
   @Override
   public void stop(WorkerView worker, RunKey run) {
-    instruments
+    dependencies
         .workers()
         .stop(worker.id(), worker.entry().address(), run, epoch)
-        .onSuccess(outcome -> stopped(worker, run, outcome));
+        .onSuccess(outcome -> handleStopOutcome(worker, run, outcome));
   }
 
-  private void stopped(WorkerView worker, RunKey run, StopOutcome outcome) {
-    if (events.ended()) {
+  private void handleStopOutcome(WorkerView worker, RunKey run, StopOutcome outcome) {
+    if (events.isEnded()) {
       return;
     }
     if (outcome == StopOutcome.FENCED) {
@@ -122,20 +122,22 @@
         TaskNames.formatStep(step.submission().spec().id(), step.occurrence(), step.index());
     List<String> ids = workers.stream().map(WorkerView::id).toList();
     long asked = now();
-    Optional<Future<LinkReply>> question = advice.ask(name, ids, call);
-    question.ifPresent(answer -> answer.onSuccess(reply -> advised(step, workers, reply, asked)));
+    Optional<Future<LinkReply>> question = adviceCalls.ask(name, ids, call);
+    question.ifPresent(
+        answer -> answer.onSuccess(reply -> handleAdviceReply(step, workers, reply, asked)));
     return question.isPresent();
   }
 
-  private void advised(StepRun step, List<WorkerView> workers, LinkReply reply, long askedAt) {
-    if (events.ended()) {
+  private void handleAdviceReply(
+      StepRun step, List<WorkerView> workers, LinkReply reply, long askedAt) {
+    if (events.isEnded()) {
       return;
     }
     String id = step.submission().spec().id();
     long took = now() - askedAt;
     if (reply instanceof LinkReply.Tickets tickets) {
       cell.adviceAnswered(step, workers, tickets.tickets(), tickets.validMillis(), now());
-      instruments
+      dependencies
           .log()
           .event(
               PART,
@@ -152,7 +154,7 @@
               took);
     } else {
       cell.adviceFailed(step, now());
-      instruments
+      dependencies
           .log()
           .event(PART, "advice-failed", "id", id, "step", step.index(), "took_ms", took);
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
@@ -36,69 +36,69 @@
   /** Events that come within this time are placed in one pass. */
   private static final Duration PASS_DELAY = Duration.ofMillis(4);
 
-  private static final Duration TICK = Duration.ofMillis(100);
+  private static final Duration TICK_PERIOD = Duration.ofMillis(100);
 
   /**
    * Submissions that wait at most. Each takes some 2 KB here; beyond this the oldest wait longer
    * than any caller's objective.
    */
-  private static final int MOST_WAITING = 20_000;
+  private static final int MAX_WAITING_SUBMISSIONS = 20_000;
 
   /** A full queue shrinks by some thousand submissions in this time. */
-  private static final long COME_BACK_MILLIS = 2_000;
+  private static final long QUEUE_FULL_RETRY_AFTER_MILLIS = 2_000;
 
   /** A takeover is over within this time if any instance reaches the store. */
-  private static final long HANDOVER_MILLIS = 2_200;
+  private static final long TAKEOVER_MILLIS = 2_200;
 
   /** Younger than the 3 s after which an accepted submission must be known everywhere. */
-  private static final long KNOWN_MILLIS = 2_000;
+  private static final long NOT_KNOWN_PROOF_AGE_MILLIS = 2_000;
 
-  private final Instruments instruments;
+  private final OwnerDependencies dependencies;
   private final int epoch;
   private final int predecessorEpoch;
   private final Cell cell;
   private final JournalWriter journal;
-  private final WorkerList workerList;
-  private final Consumer<String> lost;
+  private final WorkerListReader workerListReader;
+  private final Consumer<String> onLost;
   private final Map<String, Renewals> renewals = new HashMap<>();
-  private final Map<Submission, List<Promise<LinkReply>>> acceptances = new HashMap<>();
+  private final Map<Submission, List<Promise<LinkReply>>> pendingAcceptances = new HashMap<>();
 
   /** Cancellations that wait for the journal. */
-  private final List<Promise<LinkReply>> endings = new ArrayList<>();
+  private final List<Promise<LinkReply>> pendingCancellations = new ArrayList<>();
 
-  private final Answers answers = new Answers();
-  private final TimerSubscription ticks;
+  private final WorkerEvents workerEvents = new WorkerEvents();
+  private final TimerSubscription tickTimer;
   private boolean passScheduled;
   private boolean ended;
-  private long startsRestUntil;
+  private long startsSuspendedUntil;
 
   Owner(
-      Instruments instruments,
+      OwnerDependencies instruments,
       Takeover.Taken taken,
-      AdviceDesk advice,
+      AdviceCallBalancer advice,
       Optional<Collection<CustomerTerms>> customers,
       Consumer<String> lost) {
-    this.instruments = instruments;
+    this.dependencies = instruments;
     this.epoch = taken.epoch();
-    this.lost = lost;
+    this.onLost = lost;
     long now = instruments.timers().nowMillis();
-    OrderSender orders = new OrderSender(instruments, taken.epoch(), advice, answers);
+    OrderSender orders = new OrderSender(instruments, taken.epoch(), advice, workerEvents);
     this.cell = new Cell(instruments.terms(), orders, instruments.log(), taken.epoch(), now);
     this.journal =
         new JournalWriter(
             instruments.store(),
             instruments.timers(),
-            instruments.pauses(),
+            instruments.suspensionDetector(),
             instruments.log(),
             taken.epoch(),
             taken.sequence(),
-            new Written());
-    this.workerList = new WorkerList(instruments, this::listed);
+            new JournalEvents());
+    this.workerListReader = new WorkerListReader(instruments, this::workersListed);
     orders.connect(cell, journal);
     customers.ifPresent(cell::configure);
     Estate estate = new Estate(taken.values(), instruments.log());
     this.predecessorEpoch = estate.owner().epoch();
-    long wall = instruments.wall().getAsLong();
+    long wall = instruments.wallClock().getAsLong();
     int restored = estate.restore(cell, now, wall);
     cell.restoreRoster(estate.roster());
     instruments
@@ -112,9 +112,9 @@
             restored,
             "roster",
             estate.roster().size());
-    workerList.start();
-    renewAll();
-    this.ticks = instruments.timers().every(TICK, this::tick);
+    workerListReader.start();
+    updateRenewals();
+    this.tickTimer = instruments.timers().every(TICK_PERIOD, this::tick);
   }
 
   int epoch() {
@@ -127,12 +127,12 @@
   }
 
   /** Tells whether no successor can have taken over more than some time ago. */
-  boolean proven(long withinMillis) {
+  boolean isProven(long withinMillis) {
     return !ended && journal.proven(withinMillis);
   }
 
   /** Tells whether the store has taken no append for some time. */
-  boolean storeUnavailableFor(long millis) {
+  boolean isStoreUnavailableFor(long millis) {
     return journal.unavailableMillis() > millis;
   }
 
@@ -141,23 +141,23 @@
     if (known != null && known.durable()) {
       return Future.succeededFuture(new LinkReply.Accepted());
     }
-    if (known == null && cell.size() >= MOST_WAITING) {
-      return refused(spec, "the queue is full", COME_BACK_MILLIS);
+    if (known == null && cell.size() >= MAX_WAITING_SUBMISSIONS) {
+      return refuse(spec, "the queue is full", QUEUE_FULL_RETRY_AFTER_MILLIS);
     }
-    if (known == null && journal.unavailableMillis() > HANDOVER_MILLIS) {
+    if (known == null && journal.unavailableMillis() > TAKEOVER_MILLIS) {
       // No other instance has taken over, so the store is away for all: the caller is better off
       // knowing at once. Before that its request waits, since a successor takes it in a moment.
-      return refused(spec, "the store is unavailable", ComeBack.afterMillis(spec));
+      return refuse(spec, "the store is unavailable", ComeBack.afterMillis(spec));
     }
     Submission submission = cell.accept(spec, now());
     requestPass();
     Promise<LinkReply> promise = Promise.promise();
-    acceptances.computeIfAbsent(submission, key -> new ArrayList<>()).add(promise);
+    pendingAcceptances.computeIfAbsent(submission, key -> new ArrayList<>()).add(promise);
     return promise.future();
   }
 
-  private Future<LinkReply> refused(SubmissionSpec spec, String reason, long comeBackMillis) {
-    instruments
+  private Future<LinkReply> refuse(SubmissionSpec spec, String reason, long comeBackMillis) {
+    dependencies
         .log()
         .event(
             PART,
@@ -180,17 +180,17 @@
   }
 
   LinkReply inquire(String id, String customer) {
-    SubmissionStatus status = visible(id, customer);
+    SubmissionStatus status = visibleStatus(id, customer);
     if (status != null) {
       return new LinkReply.State(status.state());
     }
-    return knowsAll() ? new LinkReply.NotKnown() : new LinkReply.NotOwner();
+    return knowsAllAccepted() ? new LinkReply.NotKnown() : new LinkReply.NotOwner();
   }
 
   Future<LinkReply> cancel(String id, String customer) {
-    if (visible(id, customer) == null) {
+    if (visibleStatus(id, customer) == null) {
       return Future.succeededFuture(
-          knowsAll() ? new LinkReply.NotKnown() : new LinkReply.NotOwner());
+          knowsAllAccepted() ? new LinkReply.NotKnown() : new LinkReply.NotOwner());
     }
     Submission submission = cell.find(id);
     if (submission != null) {
@@ -198,8 +198,8 @@
     }
     Promise<LinkReply> promise = Promise.promise();
     journal.afterSave(() -> promise.tryComplete(new LinkReply.State(cell.status(id).state())));
-    endings.add(promise);
-    promise.future().onComplete(done -> endings.remove(promise));
+    pendingCancellations.add(promise);
+    promise.future().onComplete(done -> pendingCancellations.remove(promise));
     return promise.future();
   }
 
@@ -211,19 +211,21 @@
    * told only with a proof that no successor was there a short time ago. It is enough because
    * callers may be told so for 3 s after the acknowledgement.
    */
-  private boolean knowsAll() {
-    return journal.proven(KNOWN_MILLIS);
+  private boolean knowsAllAccepted() {
+    return journal.proven(NOT_KNOWN_PROOF_AGE_MILLIS);
   }
 
   LinkReply explain(String id) {
     return new LinkReply.Lines(cell.explain(id, now()));
   }
 
-  LinkReply count(String queue) {
-    return knowsAll() ? new LinkReply.Number(cell.waiting(queue)) : new LinkReply.NotOwner();
+  LinkReply countWaiting(String queue) {
+    return knowsAllAccepted()
+        ? new LinkReply.Number(cell.waiting(queue))
+        : new LinkReply.NotOwner();
   }
 
-  private SubmissionStatus visible(String id, String customer) {
+  private SubmissionStatus visibleStatus(String id, String customer) {
     SubmissionStatus status = cell.status(id);
     boolean visible = status != null && status.durable() && status.customer().equals(customer);
     return visible ? status : null;
@@ -235,19 +237,26 @@
       return;
     }
     ended = true;
-    instruments
+    dependencies
         .log()
         .event(
-            PART, "owner-lost", "epoch", epoch, "reason", reason, "unanswered", acceptances.size());
-    ticks.cancel();
+            PART,
+            "owner-lost",
+            "epoch",
+            epoch,
+            "reason",
+            reason,
+            "unanswered",
+            pendingAcceptances.size());
+    tickTimer.cancel();
     journal.stop();
-    workerList.stop();
+    workerListReader.stop();
     renewals.values().forEach(Renewals::stop);
-    acceptances
+    pendingAcceptances
         .values()
         .forEach(promises -> promises.forEach(next -> next.tryComplete(new LinkReply.NotOwner())));
-    acceptances.clear();
-    List.copyOf(endings).forEach(next -> next.tryComplete(new LinkReply.NotOwner()));
+    pendingAcceptances.clear();
+    List.copyOf(pendingCancellations).forEach(next -> next.tryComplete(new LinkReply.NotOwner()));
   }
 
   /** Returns what may still run on the workers, once this owner has ended. */
@@ -261,7 +270,7 @@
    */
   void formerOwnerEnded(int formerEpoch, List<RosterEntry> roster) {
     boolean predecessor = formerEpoch == predecessorEpoch;
-    instruments
+    dependencies
         .log()
         .event(
             PART,
@@ -279,15 +288,15 @@
   }
 
   /** Writes and starts nothing for some milliseconds, while a successor claims the cell. */
-  void rest(long millis) {
+  void suspendWriting(long millis) {
     journal.rest(millis);
-    startsRestUntil = now() + millis;
+    startsSuspendedUntil = now() + millis;
   }
 
   /** Goes on writing, but starts nothing for some milliseconds: a successor may have the cell. */
   void resumeWriting(long startsRestMillis) {
     journal.resume();
-    startsRestUntil = now() + startsRestMillis;
+    startsSuspendedUntil = now() + startsRestMillis;
   }
 
   /** Runs something once all that is under way is written. */
@@ -296,21 +305,21 @@
   }
 
   private long now() {
-    return instruments.timers().nowMillis();
+    return dependencies.timers().nowMillis();
   }
 
-  private boolean mayOrder() {
-    return !ended && journal.proven(instruments.terms().proofMillis());
+  private boolean maySendOrders() {
+    return !ended && journal.proven(dependencies.terms().proofMillis());
   }
 
-  private void listed(Map<String, WorkerEntry> entries, Set<String> departed) {
+  private void workersListed(Map<String, WorkerEntry> entries, Set<String> departed) {
     cell.listed(entries, now());
     cell.departed(departed, now());
-    renewAll();
+    updateRenewals();
     requestPass();
   }
 
-  private void renewAll() {
+  private void updateRenewals() {
     renewals.values().removeIf(Renewals::finished);
     for (WorkerView worker : cell.workers()) {
       Renewals present = renewals.get(worker.id());
@@ -318,7 +327,8 @@
         if (present != null) {
           present.stop();
         }
-        Renewals begun = new Renewals(instruments, cell, worker, epoch, this::mayOrder, answers);
+        Renewals begun =
+            new Renewals(dependencies, cell, worker, epoch, this::maySendOrders, workerEvents);
         renewals.put(worker.id(), begun);
         begun.start();
       }
@@ -330,8 +340,8 @@
       return;
     }
     journal.tick();
-    if (mayOrder()) {
-      cell.tick(now(), instruments.wall().getAsLong());
+    if (maySendOrders()) {
+      cell.tick(now(), dependencies.wallClock().getAsLong());
     }
     requestPass();
   }
@@ -339,7 +349,7 @@
   private void requestPass() {
     if (!passScheduled && !ended && cell.wantsPass()) {
       passScheduled = true;
-      instruments.timers().after(PASS_DELAY, this::pass);
+      dependencies.timers().after(PASS_DELAY, this::pass);
     }
   }
 
@@ -352,22 +362,22 @@
    */
   private void pass() {
     passScheduled = false;
-    if (now() >= startsRestUntil && mayOrder()) {
-      cell.pass(now(), instruments.wall().getAsLong());
+    if (now() >= startsSuspendedUntil && maySendOrders()) {
+      cell.pass(now(), dependencies.wallClock().getAsLong());
     }
   }
 
-  private void fenced(String by) {
+  private void reportFenced(String by) {
     if (!ended) {
-      lost.accept(by);
+      onLost.accept(by);
     }
   }
 
   /** Hears of the workers' answers to orders and renewals. */
-  private final class Answers implements OrderSender.Events, Renewals.Events {
+  private final class WorkerEvents implements OrderSender.Events, Renewals.Events {
 
     @Override
-    public boolean ended() {
+    public boolean isEnded() {
       return ended;
     }
 
@@ -378,7 +388,7 @@
 
     @Override
     public void fenced(String worker) {
-      Owner.this.fenced("worker " + worker + " has seen a higher token");
+      Owner.this.reportFenced("worker " + worker + " has seen a higher token");
     }
 
     @Override
@@ -388,14 +398,14 @@
   }
 
   /** Hears of the journal. */
-  private final class Written implements JournalWriter.Callbacks {
+  private final class JournalEvents implements JournalWriter.Callbacks {
 
     @Override
     public void written(Submission submission, long version) {
       boolean first = !submission.durable();
       cell.durable(submission, version);
       if (first) {
-        instruments
+        dependencies
             .log()
             .event(
                 PART,
@@ -410,7 +420,7 @@
                 submission.spec().steps().size(),
                 "epoch",
                 epoch);
-        List<Promise<LinkReply>> promises = acceptances.remove(submission);
+        List<Promise<LinkReply>> promises = pendingAcceptances.remove(submission);
         if (promises != null) {
           promises.forEach(next -> next.tryComplete(new LinkReply.Accepted()));
         }
@@ -420,7 +430,7 @@
 
     @Override
     public void fenced(String reason) {
-      Owner.this.fenced(reason);
+      Owner.this.reportFenced(reason);
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Directory.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerDirectory.java
@@ -13,14 +13,14 @@
  *
  * <p>Invariant: the epoch only rises. Belongs to the control thread.
  */
-public final class Directory {
+public final class OwnerDirectory {
 
   private static final String PART = "directory";
 
   /** One question a period while nothing changes; a change ends the wait at once. */
-  private static final long WAIT_MILLIS = 3_000;
+  private static final long READ_WAIT_MILLIS = 3_000;
 
-  private static final Duration RETRY = Duration.ofMillis(200);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
   private final TopicReader reader;
   private final TimerService timers;
@@ -36,7 +36,7 @@
    * @param log takes the events
    * @param listener hears of each new owner
    */
-  public Directory(
+  public OwnerDirectory(
       StoreClient store, TimerService timers, EventLog log, Consumer<OwnerRecord> listener) {
     this.reader = new TopicReader(store, JournalKeys.DIRECTORY_TOPIC);
     this.timers = timers;
@@ -46,7 +46,9 @@
 
   /** Begins to watch. */
   public void start() {
-    reader.next(WAIT_MILLIS).onComplete(this::read, error -> timers.after(RETRY, this::start));
+    reader
+        .next(READ_WAIT_MILLIS)
+        .onComplete(this::handleChanges, error -> timers.after(RETRY_DELAY, this::start));
   }
 
   /**
@@ -79,16 +81,16 @@
     }
   }
 
-  private void read(TopicReader.Changes changes) {
+  private void handleChanges(TopicReader.Changes changes) {
     for (KeyedRecord entry : changes.records()) {
       if (entry.key().equals(JournalKeys.DIRECTORY_KEY)) {
-        take(entry.value());
+        applyRecord(entry.value());
       }
     }
     start();
   }
 
-  private void take(byte[] value) {
+  private void applyRecord(byte[] value) {
     if (value == null) {
       return;
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerFailureDetector.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerFailureDetector.java
@@ -35,7 +35,7 @@
 
   private final TimerService timers;
   private final EventLog log;
-  private final Directory directory;
+  private final OwnerDirectory directory;
   private final Ownership ownership;
   private final Requests requests;
   private final Supplier<Duration> stepInDelay;
@@ -66,7 +66,7 @@
   OwnerFailureDetector(
       TimerService timers,
       EventLog log,
-      Directory directory,
+      OwnerDirectory directory,
       Ownership ownership,
       Requests requests,
       Supplier<Duration> stepInDelay) {
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Gateway.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerGateway.java
@@ -25,49 +25,49 @@
  * Invariant: a request ends as refused only if no owner may have taken it. Belongs to the control
  * thread.
  */
-public final class Gateway {
+public final class OwnerGateway {
 
   private static final String PART = "gateway";
 
   /** An owner answers within some 20 ms; one that does not for this long is taken for lost. */
-  private static final long REPLY_MILLIS = 900;
+  private static final long REPLY_TIMEOUT_MILLIS = 900;
 
-  private static final Duration RECONNECT = Duration.ofMillis(150);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
   /** The first attempt after a link broke: a killed process refuses it at once. */
-  private static final Duration RECONNECT_FIRST = Duration.ofMillis(30);
+  private static final Duration FIRST_RECONNECT_DELAY = Duration.ofMillis(30);
 
   /** A link opens within some 10 ms. */
-  private static final long LINKING_MILLIS = 300;
+  private static final long LINK_OPEN_TIMEOUT_MILLIS = 300;
 
   /** An owner on a slow machine answers within this time. */
-  private static final long PROOF_REPLY_MILLIS = 500;
+  private static final long PROOF_REPLY_TIMEOUT_MILLIS = 500;
 
   /** Two refused connections in a row: the owner's process is gone, not just busy. */
-  private static final int REFUSALS_TO_STEP_IN = 2;
+  private static final int REFUSALS_BEFORE_TAKEOVER = 2;
 
   /** Questions that an instance may answer with no before it is replaced. */
-  private static final int DENIALS_TO_TAKE_OVER = 2;
+  private static final int DENIALS_BEFORE_TAKEOVER = 2;
 
   /** Waiting for a successor longer than this is worse for a caller than coming back. */
-  private static final long OWNERLESS_MILLIS = 1_800;
+  private static final long MAX_OWNERLESS_WAIT_MILLIS = 1_800;
 
   /** For questions; they cost little, and another instance may have an answer. */
-  private static final long ASK_AGAIN_MILLIS = 1_000;
+  private static final long QUERY_RETRY_AFTER_MILLIS = 1_000;
 
   private final NetClient client;
   private final TimerService timers;
   private final EventLog log;
-  private final Directory directory;
+  private final OwnerDirectory directory;
   private final Ownership ownership;
   private final LinkHandler handler;
   private final Candidate self;
-  private final WorkPace pace;
-  private final Set<Pending> pending = new LinkedHashSet<>();
+  private final ProcessorSpeedMonitor speedMonitor;
+  private final Set<PendingRequest> pendingRequests = new LinkedHashSet<>();
   private Link link;
   private OwnerRecord linkedTo = OwnerRecord.NONE;
   private boolean connecting;
-  private int refusals;
+  private int consecutiveRefusals;
   private int denials;
   private final long startedAt;
   private long ownerlessSince;
@@ -87,15 +87,15 @@
    * @param self this instance
    * @param pace how quick its machine is
    */
-  public Gateway(
+  public OwnerGateway(
       NetClient client,
       TimerService timers,
       EventLog log,
-      Directory directory,
+      OwnerDirectory directory,
       Ownership ownership,
       LinkHandler handler,
       Candidate self,
-      WorkPace pace) {
+      ProcessorSpeedMonitor pace) {
     this.client = client;
     this.timers = timers;
     this.log = log;
@@ -103,7 +103,7 @@
     this.ownership = ownership;
     this.handler = handler;
     this.self = self;
-    this.pace = pace;
+    this.speedMonitor = pace;
     this.startedAt = timers.nowMillis();
     this.ownerlessSince = startedAt;
     this.repliedAt = ownerlessSince;
@@ -129,13 +129,14 @@
    * @return the reply; {@link LinkReply.NotOwner} if its outcome is unknown in the end
    */
   public Future<LinkReply> ask(LinkRequest request, long timeoutMillis) {
-    Pending next = new Pending(request, timers.nowMillis() + timeoutMillis);
-    if (pending.isEmpty()) {
+    PendingRequest next = new PendingRequest(request, timers.nowMillis() + timeoutMillis);
+    if (pendingRequests.isEmpty()) {
       repliedAt = timers.nowMillis();
     }
-    pending.add(next);
-    next.timer = timers.after(Duration.ofMillis(timeoutMillis), () -> giveUp(next, "deadline"));
-    if (!reachable() && timers.nowMillis() - ownerlessSince > OWNERLESS_MILLIS) {
+    pendingRequests.add(next);
+    next.deadlineTimer =
+        timers.after(Duration.ofMillis(timeoutMillis), () -> giveUp(next, "deadline"));
+    if (!isOwnerReachable() && timers.nowMillis() - ownerlessSince > MAX_OWNERLESS_WAIT_MILLIS) {
       // It is known that nobody can take it: the caller learns so at once.
       giveUp(next, "no owner");
     } else {
@@ -146,16 +147,17 @@
 
   /** Begins to watch over the owner. */
   public void start() {
-    new OwnerFailureDetector(timers, log, directory, ownership, new Waiting(), this::stepInDelay)
+    new OwnerFailureDetector(
+            timers, log, directory, ownership, new PendingRequestStatus(), this::takeoverDelay)
         .start();
   }
 
   /** What the watch over the owner looks at. */
-  private final class Waiting implements OwnerFailureDetector.Requests {
+  private final class PendingRequestStatus implements OwnerFailureDetector.Requests {
 
     @Override
     public int waiting() {
-      return pending.size();
+      return pendingRequests.size();
     }
 
     @Override
@@ -185,7 +187,7 @@
   }
 
   private long firstSentAt() {
-    return pending.isEmpty() ? 0 : pending.iterator().next().sentAt;
+    return pendingRequests.isEmpty() ? 0 : pendingRequests.iterator().next().sentAt;
   }
 
   /** Takes notice of a new owner. */
@@ -210,7 +212,7 @@
    *
    * @return true if it does so in time
    */
-  public Future<Boolean> ownerAlive() {
+  public Future<Boolean> checkOwnerAlive() {
     if (ownership.owns()) {
       return Future.succeededFuture(true);
     }
@@ -220,10 +222,10 @@
       return Future.succeededFuture(
           directory.owner().epoch() > 0
               && !directory.owner().address().equals(self.address())
-              && timers.nowMillis() - ownerlessSince < LINKING_MILLIS);
+              && timers.nowMillis() - ownerlessSince < LINK_OPEN_TIMEOUT_MILLIS);
     }
-    return link.ask(new LinkRequest.ProveOwnership(), PROOF_REPLY_MILLIS)
-        .map(this::provesOrMaySoon)
+    return link.ask(new LinkRequest.ProveOwnership(), PROOF_REPLY_TIMEOUT_MILLIS)
+        .map(this::evaluateProofReply)
         .otherwise(false);
   }
 
@@ -232,13 +234,13 @@
    * about to take over again; a second takeover beside it would cost the callers another pause. So
    * it has until the next question.
    */
-  private boolean provesOrMaySoon(LinkReply reply) {
+  private boolean evaluateProofReply(LinkReply reply) {
     if (reply instanceof LinkReply.Noted) {
       denials = 0;
       return true;
     }
     denials++;
-    return denials < DENIALS_TO_TAKE_OVER;
+    return denials < DENIALS_BEFORE_TAKEOVER;
   }
 
   /**
@@ -246,7 +248,7 @@
    *
    * @return false while none is known or connected
    */
-  public boolean reachable() {
+  public boolean isOwnerReachable() {
     return ownership.owns() || link != null;
   }
 
@@ -256,7 +258,7 @@
    * @return milliseconds, 0 if they do
    */
   public long ownerlessMillis() {
-    return reachable() ? 0 : timers.nowMillis() - ownerlessSince;
+    return isOwnerReachable() ? 0 : timers.nowMillis() - ownerlessSince;
   }
 
   /**
@@ -265,7 +267,7 @@
    * @return milliseconds; 0 while an owner answers or nobody asks one
    */
   public long silentMillis() {
-    if (ownership.owns() || pending.isEmpty() && link != null) {
+    if (ownership.owns() || pendingRequests.isEmpty() && link != null) {
       return 0;
     }
     return timers.nowMillis() - (link == null ? Math.max(repliedAt, ownerlessSince) : repliedAt);
@@ -289,14 +291,15 @@
                 return;
               }
               Link opened = new Link(socket, handler, timers);
-              opened.onClose(() -> broken(opened));
+              opened.onClose(() -> handleLinkClosed(opened));
               long age = timers.nowMillis() - startedAt;
               opened.ask(
-                  new LinkRequest.Introduce(self.strength().score(), age), PROOF_REPLY_MILLIS);
+                  new LinkRequest.Introduce(self.strength().score(), age),
+                  PROOF_REPLY_TIMEOUT_MILLIS);
               ownership.tellSuccessor(
-                  target.epoch(), request -> opened.ask(request, PROOF_REPLY_MILLIS));
+                  target.epoch(), request -> opened.ask(request, PROOF_REPLY_TIMEOUT_MILLIS));
               link = opened;
-              refusals = 0;
+              consecutiveRefusals = 0;
               linkedTo = target;
               log.event(
                   PART,
@@ -306,40 +309,42 @@
                   "address",
                   target.address(),
                   "pending",
-                  pending.size());
+                  pendingRequests.size());
               sendAll();
             },
             error -> {
               connecting = false;
-              refusals = error instanceof ConnectException ? refusals + 1 : 0;
-              if (refusals >= REFUSALS_TO_STEP_IN && target.equals(directory.owner())) {
-                refusals = 0;
-                timers.after(stepInDelay(), () -> stepIn(target));
+              consecutiveRefusals = error instanceof ConnectException ? consecutiveRefusals + 1 : 0;
+              if (consecutiveRefusals >= REFUSALS_BEFORE_TAKEOVER
+                  && target.equals(directory.owner())) {
+                consecutiveRefusals = 0;
+                timers.after(takeoverDelay(), () -> requestTakeover(target));
               }
-              timers.after(RECONNECT, this::connect);
+              timers.after(RETRY_DELAY, this::connect);
             });
   }
 
-  private Duration stepInDelay() {
+  private Duration takeoverDelay() {
     boolean weak = directory.owner().strength().farAbove(self.strength());
-    return StepInDelay.of(self.address(), weak, pace.slowed());
+    return StepInDelay.of(self.address(), weak, speedMonitor.isSlowed());
   }
 
-  private void stepIn(OwnerRecord dead) {
+  private void requestTakeover(OwnerRecord dead) {
     if (link == null && dead.equals(directory.owner())) {
       ownership.stepIn("the owner refuses connections");
     }
   }
 
-  private void broken(Link which) {
+  private void handleLinkClosed(Link which) {
     if (which != link) {
       return;
     }
-    log.event(PART, "owner-link-lost", "epoch", linkedTo.epoch(), "pending", pending.size());
+    log.event(
+        PART, "owner-link-lost", "epoch", linkedTo.epoch(), "pending", pendingRequests.size());
     link = null;
     linkedTo = OwnerRecord.NONE;
     ownerlessSince = timers.nowMillis();
-    timers.after(RECONNECT_FIRST, this::connect);
+    timers.after(FIRST_RECONNECT_DELAY, this::connect);
   }
 
   private void closeLink() {
@@ -353,42 +358,42 @@
   }
 
   private void sendAll() {
-    for (Pending next : new ArrayList<>(pending)) {
+    for (PendingRequest next : new ArrayList<>(pendingRequests)) {
       send(next);
     }
   }
 
-  private void send(Pending next) {
+  private void send(PendingRequest next) {
     if (next.promise.future().isComplete()) {
       return;
     }
     if (ownership.owns()) {
-      next.sent++;
-      ownership.answer(next.request).onSuccess(reply -> replied(next, reply));
+      next.sendCount++;
+      ownership.answer(next.request).onSuccess(reply -> handleReply(next, reply));
     } else if (link != null) {
-      next.sent++;
+      next.sendCount++;
       next.sentAt = timers.nowMillis();
       long left = Math.max(1, next.deadline - timers.nowMillis());
-      link.ask(next.request, Math.min(left + REPLY_MILLIS, REPLY_MILLIS))
-          .onComplete(reply -> replied(next, reply), error -> unanswered(next));
+      link.ask(next.request, Math.min(left + REPLY_TIMEOUT_MILLIS, REPLY_TIMEOUT_MILLIS))
+          .onComplete(reply -> handleReply(next, reply), error -> scheduleResend(next));
     }
   }
 
-  private void unanswered(Pending next) {
-    timers.after(RECONNECT, () -> send(next));
+  private void scheduleResend(PendingRequest next) {
+    timers.after(RETRY_DELAY, () -> send(next));
   }
 
-  private void replied(Pending next, LinkReply reply) {
+  private void handleReply(PendingRequest next, LinkReply reply) {
     repliedAt = timers.nowMillis();
     if (reply instanceof LinkReply.NotOwner) {
-      unanswered(next);
+      scheduleResend(next);
       return;
     }
-    boolean uncertain = reply instanceof LinkReply.Refused && next.sent > 1;
+    boolean uncertain = reply instanceof LinkReply.Refused && next.sendCount > 1;
     finish(next, uncertain ? new LinkReply.NotOwner() : reply);
   }
 
-  private void giveUp(Pending next, String reason) {
+  private void giveUp(PendingRequest next, String reason) {
     if (next.promise.future().isComplete()) {
       return;
     }
@@ -400,39 +405,39 @@
         "reason",
         reason,
         "sent",
-        next.sent,
+        next.sendCount,
         "ownerless_ms",
         ownerlessMillis());
     finish(
         next,
-        next.sent == 0
-            ? new LinkReply.Refused("no owner can be reached", comeBackMillis(next.request))
+        next.sendCount == 0
+            ? new LinkReply.Refused("no owner can be reached", retryAfterMillis(next.request))
             : new LinkReply.NotOwner());
   }
 
-  private static long comeBackMillis(LinkRequest request) {
+  private static long retryAfterMillis(LinkRequest request) {
     return request instanceof LinkRequest.Submit submit
         ? ComeBack.afterMillis(submit.spec())
-        : ASK_AGAIN_MILLIS;
+        : QUERY_RETRY_AFTER_MILLIS;
   }
 
-  private void finish(Pending next, LinkReply reply) {
-    pending.remove(next);
-    next.timer.cancel();
+  private void finish(PendingRequest next, LinkReply reply) {
+    pendingRequests.remove(next);
+    next.deadlineTimer.cancel();
     next.promise.tryComplete(reply);
   }
 
   /** A request that waits for its reply. */
-  private static final class Pending {
+  private static final class PendingRequest {
 
     private final LinkRequest request;
     private final long deadline;
     private final Promise<LinkReply> promise = Promise.promise();
-    private TimerSubscription timer = () -> {};
-    private int sent;
+    private TimerSubscription deadlineTimer = () -> {};
+    private int sendCount;
     private long sentAt;
 
-    Pending(LinkRequest request, long deadline) {
+    PendingRequest(LinkRequest request, long deadline) {
       this.request = request;
       this.deadline = deadline;
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
@@ -78,12 +78,12 @@
   /** What is under way is written within some 20 ms, unless the store is away. */
   private static final Duration LEAVE_PATIENCE = Duration.ofMillis(300);
 
-  private final Instruments instruments;
+  private final OwnerDependencies instruments;
   private final String member;
   private final Candidate self;
   private final long lifetimeMillis;
-  private final Directory directory;
-  private final AdviceDesk advice;
+  private final OwnerDirectory directory;
+  private final AdviceCallBalancer advice;
   private OwnerCheck ownerCheck;
   private LongSupplier silentMillis = () -> 0;
   private Optional<Collection<CustomerTerms>> customers = Optional.empty();
@@ -111,13 +111,13 @@
    * @param directory learns of a new owner
    */
   public Ownership(
-      Instruments instruments,
+      OwnerDependencies instruments,
       String member,
       Candidate self,
       long lifetimeMillis,
-      Directory directory) {
+      OwnerDirectory directory) {
     this.instruments = instruments;
-    this.advice = new AdviceDesk(instruments.timers());
+    this.advice = new AdviceCallBalancer(instruments.timers());
     this.member = member;
     this.self = self;
     this.lifetimeMillis = lifetimeMillis;
@@ -219,7 +219,7 @@
    * @return what to run when the instance is gone
    */
   public Runnable addAsker(String address, Asker asker) {
-    AdviceDesk.Helper helper = advice.add(address, asker);
+    AdviceCallBalancer.Instance helper = advice.add(address, asker);
     return () -> advice.remove(helper);
   }
 
@@ -256,7 +256,7 @@
     } else if (request instanceof LinkRequest.Explain explain) {
       return Future.succeededFuture(owner.explain(explain.id()));
     } else if (request instanceof LinkRequest.Count count) {
-      return Future.succeededFuture(owner.count(count.queue()));
+      return Future.succeededFuture(owner.countWaiting(count.queue()));
     } else if (request instanceof LinkRequest.FormerOwner ended) {
       owner.formerOwnerEnded(ended.epoch(), ended.roster());
     }
@@ -269,7 +269,7 @@
    * @return true if no other instance need take over
    */
   public boolean proven() {
-    return owner != null && owner.proven(PROOF_MILLIS);
+    return owner != null && owner.isProven(PROOF_MILLIS);
   }
 
   /**
@@ -279,7 +279,7 @@
    * @return true if another instance should try
    */
   public boolean refusedFor(long millis) {
-    return owner != null && owner.storeUnavailableFor(millis);
+    return owner != null && owner.isStoreUnavailableFor(millis);
   }
 
   /**
@@ -434,7 +434,7 @@
    */
   public void rest(long millis) {
     if (owner != null) {
-      owner.rest(millis);
+      owner.suspendWriting(millis);
     }
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/WorkPace.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/ProcessorSpeedMonitor.java
@@ -12,45 +12,45 @@
  * work takes them; it is enough because the work is the same on all and needs nothing but the
  * processor. Belongs to the control thread.
  */
-public final class WorkPace {
+public final class ProcessorSpeedMonitor {
 
   /** Some 20 us of work on a usual machine; the clock tells microseconds. */
   private static final int ADDITIONS = 20_000;
 
   /** Half a minute of samples: longer than most spells, so that these do not become the usual. */
-  private static final int SAMPLES = 128;
+  private static final int MAX_SAMPLES = 128;
 
   /** An interruption makes one sample longer, seldom four in a row. */
-  private static final int RECENT = 4;
+  private static final int RECENT_SAMPLES = 4;
 
   /** The work is done so many times for one measure. */
-  private static final int ATTEMPTS = 3;
+  private static final int ATTEMPTS_PER_MEASUREMENT = 3;
 
   /** The first seconds of a process are slower than all later ones. */
-  private static final int FEWEST_SAMPLES = 16;
+  private static final int MIN_SAMPLES = 16;
 
   /**
    * A process may take up to three times as long once its first seconds are over, without any harm
    * to its machine.
    */
-  private static final double SLOWED_TIMES = 3.5;
+  private static final double SLOWED_FACTOR = 3.5;
 
-  private static final long NANOS_A_MICRO = 1_000;
+  private static final long NANOS_PER_MICRO = 1_000;
 
   /** Keeps the work from being left out by the compiler. */
   private static volatile long result;
 
-  private final LongSupplier workNanos;
-  private final long[] samples = new long[SAMPLES];
-  private int taken;
+  private final LongSupplier workload;
+  private final long[] samplesNanos = new long[MAX_SAMPLES];
+  private int sampleCount;
 
   /**
    * Creates the pace.
    *
    * @param workNanos does the piece of work and returns how long it took, in nanoseconds
    */
-  public WorkPace(LongSupplier workNanos) {
-    this.workNanos = workNanos;
+  public ProcessorSpeedMonitor(LongSupplier workNanos) {
+    this.workload = workNanos;
   }
 
   /**
@@ -58,7 +58,7 @@
    *
    * @return how long it took, in nanoseconds
    */
-  public static long work() {
+  public static long runWorkload() {
     long begun = System.nanoTime();
     long sum = begun;
     for (int count = 0; count < ADDITIONS; count++) {
@@ -70,8 +70,8 @@
 
   /** Takes a sample; called in regular periods. */
   public void sample() {
-    samples[taken % SAMPLES] = workNanos.getAsLong();
-    taken++;
+    samplesNanos[sampleCount % MAX_SAMPLES] = workload.getAsLong();
+    sampleCount++;
   }
 
   /**
@@ -81,10 +81,10 @@
    */
   public int measureMicros() {
     long least = Long.MAX_VALUE;
-    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
-      least = Math.min(least, workNanos.getAsLong());
+    for (int attempt = 0; attempt < ATTEMPTS_PER_MEASUREMENT; attempt++) {
+      least = Math.min(least, workload.getAsLong());
     }
-    return (int) Math.min(Integer.MAX_VALUE, Math.max(1, least / NANOS_A_MICRO));
+    return (int) Math.min(Integer.MAX_VALUE, Math.max(1, least / NANOS_PER_MICRO));
   }
 
   /**
@@ -92,19 +92,19 @@
    *
    * @return true while the work takes several times as long
    */
-  public boolean slowed() {
-    if (taken < FEWEST_SAMPLES) {
+  public boolean isSlowed() {
+    if (sampleCount < MIN_SAMPLES) {
       return false;
     }
     long recent = Long.MAX_VALUE;
-    for (int back = 1; back <= RECENT; back++) {
-      recent = Math.min(recent, samples[(taken - back) % SAMPLES]);
+    for (int back = 1; back <= RECENT_SAMPLES; back++) {
+      recent = Math.min(recent, samplesNanos[(sampleCount - back) % MAX_SAMPLES]);
     }
-    return recent > SLOWED_TIMES * usualNanos();
+    return recent > SLOWED_FACTOR * medianNanos();
   }
 
-  private long usualNanos() {
-    long[] sorted = Arrays.copyOf(samples, Math.min(taken, SAMPLES));
+  private long medianNanos() {
+    long[] sorted = Arrays.copyOf(samplesNanos, Math.min(sampleCount, MAX_SAMPLES));
     Arrays.sort(sorted);
     return sorted[sorted.length / 2];
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Renewals.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Renewals.java
@@ -43,7 +43,7 @@
   /** A worker that does not answer is asked again after this time. */
   private static final Duration RETRY = Duration.ofMillis(250);
 
-  private final Instruments instruments;
+  private final OwnerDependencies instruments;
   private final Cell cell;
   private final WorkerView worker;
   private final long token;
@@ -65,7 +65,7 @@
   }
 
   Renewals(
-      Instruments instruments,
+      OwnerDependencies instruments,
       Cell cell,
       WorkerView worker,
       long token,
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerList.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerListReader.java
@@ -8,7 +8,7 @@
 import org.hickorypier.core.cell.DepartureDetector;
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.core.cell.WorkerEntry;
-import org.hickorypier.daemon.time.PauseGuard;
+import org.hickorypier.daemon.time.SuspensionDetector;
 import org.hickorypier.daemon.time.TimerService;
 import org.hickorypier.platform.execution.WorkerEntryDecoder;
 import org.hickorypier.platform.store.KeyedRecord;
@@ -20,7 +20,7 @@
  *
  * <p>Belongs to the control thread.
  */
-final class WorkerList {
+final class WorkerListReader {
 
   private static final String PART = "workers";
 
@@ -28,21 +28,21 @@
    * Each worker writes every 1.5 s, so a read that waits would return some 20 times a second. Twice
    * a second is soon enough for a drain, which must be heeded within 2 s.
    */
-  private static final Duration PERIOD = Duration.ofMillis(400);
+  private static final Duration READ_PERIOD = Duration.ofMillis(400);
 
   private final TopicReader reader;
   private final TimerService timers;
   private final EventLog log;
-  private final PauseGuard pauses;
-  private final DepartureDetector departures;
+  private final SuspensionDetector suspensionDetector;
+  private final DepartureDetector departureDetector;
   private final Listener listener;
   private final Map<String, WorkerEntry> entries = new HashMap<>();
-  private final Map<String, String> spoilt = new HashMap<>();
+  private final Map<String, String> decodeErrors = new HashMap<>();
   private boolean stopped;
   private long readSentAt;
 
   /** What is read next was written after this time. */
-  private long completeAt;
+  private long lastCompleteReadSentAt;
 
   /** Hears of the list. */
   @FunctionalInterface
@@ -54,22 +54,22 @@
      * @param entries all listed workers, by id
      * @param departed workers that have left since the list was read before
      */
-    void listed(Map<String, WorkerEntry> entries, Set<String> departed);
+    void workersListed(Map<String, WorkerEntry> entries, Set<String> departed);
   }
 
-  WorkerList(Instruments instruments, Listener listener) {
+  WorkerListReader(OwnerDependencies instruments, Listener listener) {
     this.reader = new TopicReader(instruments.store(), StoreClient.WORKERS_TOPIC);
     this.timers = instruments.timers();
     this.log = instruments.log();
-    this.pauses = instruments.pauses();
-    this.departures = new DepartureDetector(instruments.workerHeartbeatMillis());
+    this.suspensionDetector = instruments.suspensionDetector();
+    this.departureDetector = new DepartureDetector(instruments.workerHeartbeatMillis());
     this.listener = listener;
   }
 
   void start() {
     if (!stopped) {
       readSentAt = timers.nowMillis();
-      reader.next(0).onComplete(this::read, error -> again());
+      reader.next(0).onComplete(this::handleChanges, error -> scheduleRead());
     }
   }
 
@@ -77,37 +77,38 @@
     stopped = true;
   }
 
-  private void read(TopicReader.Changes changes) {
+  private void handleChanges(TopicReader.Changes changes) {
     if (changes.whole()) {
       entries.clear();
     }
     Set<String> departed = new HashSet<>();
     for (KeyedRecord entry : changes.records()) {
-      take(entry.key(), entry.value(), departed);
+      applyRecord(entry.key(), entry.value(), departed);
     }
     if (changes.whole()) {
-      departures.clear();
+      departureDetector.clear();
     }
     if (changes.caughtUp()) {
-      completeAt = readSentAt;
+      lastCompleteReadSentAt = readSentAt;
     }
     if (!stopped) {
-      listener.listed(entries, departed);
+      listener.workersListed(entries, departed);
     }
-    again();
+    scheduleRead();
   }
 
-  private void again() {
+  private void scheduleRead() {
     if (!stopped) {
-      timers.after(PERIOD, this::start);
+      timers.after(READ_PERIOD, this::start);
     }
   }
 
-  private void take(String id, byte[] value, Set<String> departed) {
+  private void applyRecord(String id, byte[] value, Set<String> departed) {
     departed.remove(id);
     if (value == null) {
       entries.remove(id);
-      if (departures.removed(id, pauses.unbrokenSince(), timers.nowMillis())) {
+      if (departureDetector.removed(
+          id, suspensionDetector.uninterruptedSince(), timers.nowMillis())) {
         departed.add(id);
       }
       return;
@@ -115,11 +116,11 @@
     try {
       WorkerEntry entry = WorkerEntryDecoder.decode(id, value);
       entries.put(id, entry);
-      departures.written(entry, completeAt);
-      spoilt.remove(id);
+      departureDetector.written(entry, lastCompleteReadSentAt);
+      decodeErrors.remove(id);
     } catch (UndecodableException error) {
       entries.remove(id);
-      if (!error.getMessage().equals(spoilt.put(id, error.getMessage()))) {
+      if (!error.getMessage().equals(decodeErrors.put(id, error.getMessage()))) {
         log.event(PART, "unreadable-entry", "worker", id, "error", error.getMessage());
       }
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/time/PauseGuard.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/time/SuspensionDetector.java
@@ -11,14 +11,14 @@
  * during a suspension, so the two clocks drift apart; proofs from before are then void. A step of
  * the time of day looks the same and costs one question to the store. Thread safe.
  */
-public final class PauseGuard {
+public final class SuspensionDetector {
 
   /** Clocks are slewed by less than a millisecond between two looks. */
-  private static final long DRIFT_MILLIS = 250;
+  private static final long MAX_DRIFT_MILLIS = 250;
 
   private final LongSupplier steadyMillis;
   private final LongSupplier wallMillis;
-  private volatile long drift;
+  private volatile long driftMillis;
   private volatile long resumedAt = Long.MIN_VALUE;
 
   /**
@@ -27,10 +27,10 @@
    * @param steadyMillis the steady clock
    * @param wallMillis the time of day
    */
-  public PauseGuard(LongSupplier steadyMillis, LongSupplier wallMillis) {
+  public SuspensionDetector(LongSupplier steadyMillis, LongSupplier wallMillis) {
     this.steadyMillis = steadyMillis;
     this.wallMillis = wallMillis;
-    this.drift = wallMillis.getAsLong() - steadyMillis.getAsLong();
+    this.driftMillis = wallMillis.getAsLong() - steadyMillis.getAsLong();
   }
 
   /**
@@ -39,8 +39,8 @@
    * @param learntAt when it was learnt, on the steady clock
    * @return false if the process may have been suspended since
    */
-  public boolean unbroken(long learntAt) {
-    return learntAt > unbrokenSince();
+  public boolean isUninterruptedSince(long learntAt) {
+    return learntAt > uninterruptedSince();
   }
 
   /**
@@ -48,11 +48,11 @@
    *
    * @return a time on the steady clock
    */
-  public long unbrokenSince() {
+  public long uninterruptedSince() {
     long steady = steadyMillis.getAsLong();
     long present = wallMillis.getAsLong() - steady;
-    if (Math.abs(present - drift) > DRIFT_MILLIS) {
-      drift = present;
+    if (Math.abs(present - driftMillis) > MAX_DRIFT_MILLIS) {
+      driftMillis = present;
       resumedAt = steady;
     }
     return resumedAt;
--- a/daemon/src/main/java/org/hickorypier/daemon/time/ContextTimers.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/time/VertxTimerService.java
@@ -10,7 +10,7 @@
  *
  * <p>Thread safe; callbacks run on the context.
  */
-public final class ContextTimers implements TimerService {
+public final class VertxTimerService implements TimerService {
 
   private final Vertx vertx;
   private final Context context;
@@ -22,7 +22,7 @@
    * @param vertx runs them
    * @param context where the callbacks run
    */
-  public ContextTimers(Vertx vertx, Context context) {
+  public VertxTimerService(Vertx vertx, Context context) {
     this.vertx = vertx;
     this.context = context;
   }
--- a/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
@@ -124,7 +124,7 @@
   /** A configuration that is always in force. */
   private record FixedConfiguration(ClusterConfiguration current) implements ConfigurationSource {
     @Override
-    public boolean proven() {
+    public boolean isProven() {
       return true;
     }
   }
--- a/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
@@ -31,8 +31,8 @@
 import org.hickorypier.core.cluster.CustomerAccess;
 import org.hickorypier.core.model.Resources;
 import org.hickorypier.core.submission.QueueTerms;
+import org.hickorypier.daemon.owner.ProcessorSpeedMonitor;
 import org.hickorypier.daemon.owner.Strength;
-import org.hickorypier.daemon.owner.WorkPace;
 import org.hickorypier.platform.http.HttpCalls;
 import org.hickorypier.platform.http.HttpReply;
 import org.hickorypier.platform.http.ServiceAddress;
@@ -245,7 +245,7 @@
           log.event(part, event, fields);
         },
         System::currentTimeMillis,
-        new WorkPace(work::get));
+        new ProcessorSpeedMonitor(work::get));
   }
 
   /** Tells whether an instance has logged an event. */
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/AdviceDeskTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/AdviceCallBalancerTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 
 /** Gangs ask for 0.6 s, short checks for 9 ms; the advisor serves each instance in turn. */
-class AdviceDeskTest {
+class AdviceCallBalancerTest {
 
   private static final double LONG = 630;
   private static final double SHORT = 9;
 
   private final ManualTimerService timers = new ManualTimerService();
-  private final AdviceDesk desk = new AdviceDesk(timers);
+  private final AdviceCallBalancer desk = new AdviceCallBalancer(timers);
   private final List<Promise<LinkReply>> open = new ArrayList<>();
-  private final List<AdviceDesk.Helper> helpers = new ArrayList<>();
+  private final List<AdviceCallBalancer.Instance> helpers = new ArrayList<>();
 
   private void instances(int count) {
     for (int index = 0; index < count; index++) {
@@ -38,8 +38,8 @@
     }
   }
 
-  private AdviceDesk.Helper ask(double millis) {
-    AdviceDesk.Helper helper = desk.choose(millis).orElseThrow();
+  private AdviceCallBalancer.Instance ask(double millis) {
+    AdviceCallBalancer.Instance helper = desk.choose(millis).orElseThrow();
     helper.ask("step", List.of("w"), millis);
     return helper;
   }
@@ -47,7 +47,7 @@
   @Test
   void longCallsLeaveInstancesFreeForShortOnes() {
     instances(7);
-    Set<AdviceDesk.Helper> busy = new HashSet<>();
+    Set<AdviceCallBalancer.Instance> busy = new HashSet<>();
     for (int call = 0; call < 10; call++) {
       busy.add(ask(LONG));
     }
@@ -67,8 +67,8 @@
     for (int call = 0; call < 8; call++) {
       busy.add(helpers.indexOf(ask(LONG)));
     }
-    AdviceDesk successor = new AdviceDesk(timers);
-    List<AdviceDesk.Helper> linked = new ArrayList<>();
+    AdviceCallBalancer successor = new AdviceCallBalancer(timers);
+    List<AdviceCallBalancer.Instance> linked = new ArrayList<>();
     for (int index = 5; index >= 0; index--) {
       linked.add(
           0,
@@ -77,7 +77,7 @@
     }
     Set<Integer> busyAgain = new HashSet<>();
     for (int call = 0; call < 8; call++) {
-      AdviceDesk.Helper helper = successor.choose(LONG).orElseThrow();
+      AdviceCallBalancer.Instance helper = successor.choose(LONG).orElseThrow();
       helper.ask("step", List.of("w"), LONG);
       busyAgain.add(linked.indexOf(helper));
     }
@@ -124,7 +124,7 @@
     assertThat(open).hasSize(2);
     open.get(1).complete(new LinkReply.Tickets(Map.of("w", "ticket"), 2_500));
     assertThat(reply.result()).isInstanceOf(LinkReply.Tickets.class);
-    Set<AdviceDesk.Helper> chosen = new HashSet<>();
+    Set<AdviceCallBalancer.Instance> chosen = new HashSet<>();
     for (int call = 0; call < 6; call++) {
       chosen.add(ask(SHORT));
     }
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/WorkPaceTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/ProcessorSpeedMonitorTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class WorkPaceTest {
+class ProcessorSpeedMonitorTest {
 
   private long nanos = 20_000;
-  private final WorkPace pace = new WorkPace(() -> nanos);
+  private final ProcessorSpeedMonitor pace = new ProcessorSpeedMonitor(() -> nanos);
 
   private void samples(int count, long each) {
     nanos = each;
@@ -24,13 +24,13 @@
   void slowSpellIsToldFromItsFourthSampleToItsEnd() {
     samples(100, 20_000);
     samples(3, 100_000);
-    assertThat(pace.slowed()).isFalse();
+    assertThat(pace.isSlowed()).isFalse();
     samples(1, 100_000);
-    assertThat(pace.slowed()).isTrue();
+    assertThat(pace.isSlowed()).isTrue();
     samples(44, 100_000);
-    assertThat(pace.slowed()).isTrue();
+    assertThat(pace.isSlowed()).isTrue();
     samples(1, 20_000);
-    assertThat(pace.slowed()).isFalse();
+    assertThat(pace.isSlowed()).isFalse();
   }
 
   /**
@@ -43,7 +43,7 @@
     samples(6, 38_000);
     for (int index = 0; index < 60; index++) {
       samples(1, 57_000);
-      assertThat(pace.slowed()).isFalse();
+      assertThat(pace.isSlowed()).isFalse();
     }
   }
 
@@ -51,7 +51,7 @@
   void interruptionIsNoSlowness() {
     samples(100, 20_000);
     samples(1, 3_000_000);
-    assertThat(pace.slowed()).isFalse();
+    assertThat(pace.isSlowed()).isFalse();
   }
 
   /** A process is slow while its code is new; that says nothing of its machine. */
@@ -59,7 +59,7 @@
   void nothingIsToldOfTheFirstSamples() {
     samples(3, 20_000);
     samples(12, 400_000);
-    assertThat(pace.slowed()).isFalse();
+    assertThat(pace.isSlowed()).isFalse();
   }
 
   @Test
