--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
@@ -12,7 +12,7 @@
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.core.cell.Submission;
 import org.hickorypier.core.submission.SubmissionCodec;
-import org.hickorypier.daemon.time.PauseGuard;
+import org.hickorypier.daemon.time.SuspensionDetector;
 import org.hickorypier.daemon.time.TimerService;
 import org.hickorypier.platform.store.Append;
 import org.hickorypier.platform.store.KeyedRecord;
@@ -52,7 +52,7 @@
 
   private final StoreClient store;
   private final TimerService timers;
-  private final PauseGuard pauseGuard;
+  private final SuspensionDetector pauseGuard;
   private final EventLog log;
   private final int epoch;
   private final Callbacks callbacks;
@@ -79,7 +79,7 @@
   JournalWriter(
       StoreClient store,
       TimerService timers,
-      PauseGuard pauses,
+      SuspensionDetector pauses,
       EventLog log,
       int epoch,
       long sequence,
@@ -132,7 +132,7 @@
   /** Tells whether no successor can have taken over more than some time ago. */
   boolean isProven(long withinMillis) {
     return !stopped
-        && pauseGuard.unbroken(provenAt)
+        && pauseGuard.isUninterruptedSince(provenAt)
         && timers.nowMillis() - provenAt <= withinMillis;
   }
 
@@ -143,7 +143,7 @@
 
   void tick() {
     boolean old = timers.nowMillis() - provenAt > PROOF_PERIOD_MILLIS;
-    if (!stopped && inFlight.isEmpty() && (old || !pauseGuard.unbroken(provenAt))) {
+    if (!stopped && inFlight.isEmpty() && (old || !pauseGuard.isUninterruptedSince(provenAt))) {
       put(JournalKeys.PROOF, new byte[] {1});
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
@@ -78,12 +78,12 @@
   /** What is under way is written within some 20 ms, unless the store is away. */
   private static final Duration LEAVE_FLUSH_TIMEOUT = Duration.ofMillis(300);
 
-  private final Instruments instruments;
+  private final OwnerDependencies instruments;
   private final String memberName;
   private final Candidate self;
   private final long lifetimeMillis;
-  private final Directory directory;
-  private final AdviceDesk advice;
+  private final OwnerDirectory directory;
+  private final AdviceCallBalancer advice;
   private OwnerCheck ownerCheck;
   private LongSupplier silentMillis = () -> 0;
   private Optional<Collection<CustomerTerms>> customers = Optional.empty();
@@ -111,13 +111,13 @@
    * @param directory learns of a new owner
    */
   public Ownership(
-      Instruments instruments,
+      OwnerDependencies instruments,
       String member,
       Candidate self,
       long lifetimeMillis,
-      Directory directory) {
+      OwnerDirectory directory) {
     this.instruments = instruments;
-    this.advice = new AdviceDesk(instruments.timers());
+    this.advice = new AdviceCallBalancer(instruments.timers());
     this.memberName = member;
     this.self = self;
     this.lifetimeMillis = lifetimeMillis;
@@ -223,7 +223,7 @@
    * @return what to run when the instance is gone
    */
   public Runnable addAdvisorClient(String address, AdvisorClient asker) {
-    AdviceDesk.Helper helper = advice.add(address, asker);
+    AdviceCallBalancer.Instance helper = advice.add(address, asker);
     return () -> advice.remove(helper);
   }
 
@@ -260,7 +260,7 @@
     } else if (request instanceof LinkRequest.Explain explain) {
       return Future.succeededFuture(owner.explain(explain.id()));
     } else if (request instanceof LinkRequest.Count count) {
-      return Future.succeededFuture(owner.count(count.queue()));
+      return Future.succeededFuture(owner.countWaiting(count.queue()));
     } else if (request instanceof LinkRequest.FormerOwner ended) {
       owner.formerOwnerEnded(ended.epoch(), ended.roster());
     }
@@ -273,7 +273,7 @@
    * @return true if no other instance need take over
    */
   public boolean isProvenOwner() {
-    return owner != null && owner.proven(PROOF_VALIDITY_MILLIS);
+    return owner != null && owner.isProven(PROOF_VALIDITY_MILLIS);
   }
 
   /**
@@ -283,7 +283,7 @@
    * @return true if another instance should try
    */
   public boolean isStoreUnavailableFor(long millis) {
-    return owner != null && owner.storeUnavailableFor(millis);
+    return owner != null && owner.isStoreUnavailableFor(millis);
   }
 
   /**
@@ -440,7 +440,7 @@
    */
   public void pauseWriting(long millis) {
     if (owner != null) {
-      owner.rest(millis);
+      owner.suspendWriting(millis);
     }
   }
 
