--- a/daemon/src/main/java/org/hickorypier/daemon/owner/AdviceCallBalancer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/AdviceCallBalancer.java
@@ -12,46 +12,46 @@
 import org.hickorypier.daemon.time.TimerSubscription;
 
 /**
- * Spreads the owner's questions to the advisor over the instances.
+ * Distributes the owner's calls to the advisor over the instances.
  *
- * <p>The advisor serves one call at a time for each instance, in turn, so one instance alone can
- * ask less than the cell needs: 1.6 s of calls a second on the users' sites in calm. Short calls
- * must not wait behind long ones, since the work that they are for is short as well: some instances
- * are kept free of long calls.
+ * <p>The advisor serves one call at a time for each instance, in order of arrival, so a single
+ * instance can make fewer calls than the cell needs: 1.6 s of call time per second on the users'
+ * sites in calm periods. Short calls must not queue behind long ones, since the work that they are
+ * for is short as well, so some instances are reserved for short calls.
  *
- * <p>An instance that has lost power or path answers nothing, and nothing tells so. A short check
- * would wait some 3 s for its call to time out, five times its own length. So a short call without
- * an answer in time is asked again through another instance, and the silent one is the last choice
- * until it answers. Belongs to the control thread.
+ * <p>An instance that has lost power or connectivity does not answer, and nothing reports the loss.
+ * A short check would wait some 3 s for its call to time out, five times its own length. A short
+ * call without a timely answer is therefore retried through another instance, and the silent
+ * instance is chosen last until it answers. Confined to the control thread.
  */
 final class AdviceCallBalancer {
 
   /** Calls for gangs take 0.4 s and more, those for short checks some 10 ms. */
   private static final double LONG_CALL_MILLIS = 60;
 
-  /** More than this ahead of a call, and its tickets would come too late to be of use. */
+  /** With a longer backlog ahead of a call, its tickets arrive too late to be of use. */
   private static final double MAX_BACKLOG_MILLIS = 1_500;
 
   /**
-   * A call may take so much longer than expected before it counts as lost. The advisor still works
-   * off what an instance asked before its restart, and a call that is given up is worked off all
-   * the same: asking anew only makes the queue longer.
+   * How much later than expected a call may be answered before it counts as lost. The advisor still
+   * works off the calls that an instance made before its restart, and also the calls that were
+   * given up, so a retry only makes its queue longer.
    */
   private static final long TIMEOUT_SLACK_MILLIS = 2_500;
 
   /**
-   * Calls of one instance at once. The advisor serves them in turn, so more only fix the order
-   * early, before more urgent steps are known; after a restart of all instances hundreds of steps
-   * ask at once while few instances are linked.
+   * Limit of the concurrent calls through one instance. The advisor serves them in order, so more
+   * calls only fix the order early, before more urgent steps are known. After a restart of all
+   * instances, hundreds of steps need calls at once while few instances are linked.
    */
   private static final int MAX_CONCURRENT_CALLS = 8;
 
-  /** One in three instances is kept for short calls. */
+  /** One in three instances is reserved for short calls. */
   private static final int INSTANCES_PER_RESERVED_INSTANCE = 3;
 
   /**
-   * A short call may be so much late before it is asked again elsewhere: ten times an answer's
-   * usual time on the wire.
+   * How late a short call may be before it is retried through another instance: ten times the usual
+   * time of an answer on the wire.
    */
   private static final long SHORT_CALL_RETRY_DELAY_MILLIS = 150;
 
@@ -63,62 +63,62 @@
   }
 
   /**
-   * Adds an instance. The instances are ordered by address, so that a successor keeps the same ones
-   * free of long calls: the advisor still works off what the lost owner had asked, and a short
-   * check behind it waited for 1.1 s.
+   * Adds an instance. The instances are ordered by address, so that a successor reserves the same
+   * ones for short calls: the advisor still works off the calls of the lost owner, and a short
+   * check queued behind them waits for 1.1 s.
    */
   Instance add(String address, Ownership.Asker asker) {
-    Instance helper = new Instance(address, asker);
-    int place = 0;
-    while (place < instances.size() && instances.get(place).address.compareTo(address) <= 0) {
-      place++;
+    Instance instance = new Instance(address, asker);
+    int position = 0;
+    while (position < instances.size() && instances.get(position).address.compareTo(address) <= 0) {
+      position++;
     }
-    instances.add(place, helper);
-    return helper;
+    instances.add(position, instance);
+    return instance;
   }
 
-  void remove(Instance helper) {
-    instances.remove(helper);
+  void remove(Instance instance) {
+    instances.remove(instance);
   }
 
   /**
-   * Asks the advisor through some instance.
+   * Calls the advisor through one of the instances.
    *
    * @param step the step's name
-   * @param workers the workers to name
-   * @param callMillis how long the advisor works on it, in milliseconds
-   * @return the reply, or empty if all instances have too much ahead
+   * @param workers the ids of the workers to ask about
+   * @param callMillis how long the advisor works on the call, in milliseconds
+   * @return the reply, or empty if the backlog of all instances is too long; the reply never fails
    */
   Optional<Future<LinkReply>> ask(String step, List<String> workers, double callMillis) {
     return choose(callMillis)
-        .map(helper -> new AdviceCall(step, workers, callMillis).start(helper));
+        .map(instance -> new AdviceCall(step, workers, callMillis).start(instance));
   }
 
-  /** Returns the instance to ask, or empty if all have too much ahead. */
+  /** Returns the instance to call through, or empty if the backlog of all instances is too long. */
   Optional<Instance> choose(double callMillis) {
-    int kept = instances.size() / INSTANCES_PER_RESERVED_INSTANCE;
-    int usable = callMillis > LONG_CALL_MILLIS ? instances.size() - kept : instances.size();
+    int reserved = instances.size() / INSTANCES_PER_RESERVED_INSTANCE;
+    int usable = callMillis > LONG_CALL_MILLIS ? instances.size() - reserved : instances.size();
     Instance best = null;
     for (int index = instances.size() - 1; index >= 0; index--) {
-      Instance helper = instances.get(index);
-      if (index < usable && (best == null || helper.isPreferredTo(best))) {
-        best = helper;
+      Instance instance = instances.get(index);
+      if (index < usable && (best == null || instance.isPreferredTo(best))) {
+        best = instance;
       }
     }
     return Optional.ofNullable(best)
         .filter(
-            helper ->
-                helper.backlogMillis < MAX_BACKLOG_MILLIS
-                    && helper.openCalls < MAX_CONCURRENT_CALLS);
+            instance ->
+                instance.backlogMillis < MAX_BACKLOG_MILLIS
+                    && instance.openCalls < MAX_CONCURRENT_CALLS);
   }
 
-  /** One question, asked at most twice. */
+  /** A call that is made at most twice. */
   private final class AdviceCall {
 
     private final String step;
     private final List<String> workers;
     private final double callMillis;
-    private final Promise<LinkReply> answer = Promise.promise();
+    private final Promise<LinkReply> result = Promise.promise();
     private TimerSubscription retryTimer = () -> {};
     private boolean retried;
     private int openAttempts;
@@ -129,17 +129,17 @@
       this.callMillis = callMillis;
     }
 
-    Future<LinkReply> start(Instance helper) {
-      send(helper);
+    Future<LinkReply> start(Instance instance) {
+      send(instance);
       if (callMillis <= LONG_CALL_MILLIS) {
-        long expected = Math.round(helper.backlogMillis) + SHORT_CALL_RETRY_DELAY_MILLIS;
-        retryTimer = timers.after(Duration.ofMillis(expected), () -> handleOverdue(helper));
+        long overdueMillis = Math.round(instance.backlogMillis) + SHORT_CALL_RETRY_DELAY_MILLIS;
+        retryTimer = timers.after(Duration.ofMillis(overdueMillis), () -> handleOverdue(instance));
       }
-      return answer.future().onComplete(done -> retryTimer.cancel());
+      return result.future().onComplete(done -> retryTimer.cancel());
     }
 
-    private void handleOverdue(Instance helper) {
-      helper.silent = true;
+    private void handleOverdue(Instance instance) {
+      instance.silent = true;
       retry();
     }
 
@@ -150,17 +150,17 @@
       }
     }
 
-    private void send(Instance helper) {
+    private void send(Instance instance) {
       openAttempts++;
-      helper
+      instance
           .ask(step, workers, callMillis)
           .onComplete(
               reply -> {
-                helper.silent = false;
+                instance.silent = false;
                 handleReply(reply);
               },
               error -> {
-                helper.silent = true;
+                instance.silent = true;
                 handleReply(new LinkReply.Failed());
               });
     }
@@ -168,19 +168,19 @@
     private void handleReply(LinkReply reply) {
       openAttempts--;
       if (!(reply instanceof LinkReply.Failed)) {
-        answer.tryComplete(reply);
+        result.tryComplete(reply);
         return;
       }
-      if (!answer.future().isComplete()) {
+      if (!result.future().isComplete()) {
         retry();
       }
       if (openAttempts == 0) {
-        answer.tryComplete(reply);
+        result.tryComplete(reply);
       }
     }
   }
 
-  /** One instance with the calls that it has in hand. */
+  /** An instance with its open calls. */
   static final class Instance {
 
     private final String address;
@@ -199,11 +199,13 @@
     }
 
     Future<LinkReply> ask(String step, List<String> workers, double callMillis) {
-      long timeout = Math.round(backlogMillis + callMillis) + TIMEOUT_SLACK_MILLIS;
+      long timeoutMillis = Math.round(backlogMillis + callMillis) + TIMEOUT_SLACK_MILLIS;
       backlogMillis += callMillis;
       openCalls++;
       return asker
-          .ask(new LinkRequest.Advise(step, workers, timeout), timeout + TIMEOUT_SLACK_MILLIS)
+          .ask(
+              new LinkRequest.Advise(step, workers, timeoutMillis),
+              timeoutMillis + TIMEOUT_SLACK_MILLIS)
           .onComplete(
               done -> {
                 backlogMillis -= callMillis;
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationSource.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationSource.java
@@ -2,20 +2,20 @@
 
 import org.hickorypier.core.cluster.ClusterConfiguration;
 
-/** What requests are judged by. May be asked from any thread. */
+/** Provides the configuration that requests are checked against. Thread-safe. */
 public interface ConfigurationSource {
 
   /**
-   * Returns the newest configuration known.
+   * Returns the newest known configuration.
    *
-   * @return the configuration, or null before the first
+   * @return the configuration, or null before the first one is read
    */
   ClusterConfiguration current();
 
   /**
-   * Tells whether it is known to have been the newest a short time ago.
+   * Returns whether the configuration is proven to have been the newest a short time ago.
    *
-   * @return true while a key that it holds cannot have been withdrawn long ago
+   * @return true while no key in it can have been withdrawn long ago
    */
   boolean isProven();
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationWatcher.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/ConfigurationWatcher.java
@@ -12,33 +12,35 @@
 import org.hickorypier.wire.UndecodableException;
 
 /**
- * Follows the operator's configuration, and knows how old the proof is that it is the newest.
+ * Watches the operator's configuration in the store, and tracks the age of the proof that the known
+ * version is the newest.
  *
- * <p>Invariant: versions only rise. {@link #current} and {@link #proven} are thread safe; the rest
- * belongs to the control thread.
+ * <p>Invariant: versions only increase. {@link #current} and {@link #isProven} are thread-safe;
+ * everything else is confined to the control thread.
  */
 public final class ConfigurationWatcher implements ConfigurationSource {
 
   private static final String PART = "configuration";
 
-  /** A read without a new record proves, after this time, that there was none. */
+  /** Longest wait of a read. A read that ends without a new record proves that there was none. */
   private static final long READ_WAIT_MILLIS = 1_000;
 
   private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
   /**
-   * Part of the time within which a withdrawn key must stop working. A request is judged after it
-   * was sent, so a proof as old as the whole time would do; the rest covers clocks.
+   * Fraction of the revocation time for which a proof is valid. A request is checked after it was
+   * sent, so a proof as old as the whole revocation time would do; the rest allows for differences
+   * between clocks.
    */
   private static final double REVOCATION_FRACTION = 0.8;
 
   /**
-   * With an older proof the balancer should send new connections to others: a read takes 1 s at
-   * rest, so one lost answer voids none.
+   * With an older proof, the load balancer should send new connections to other instances. A read
+   * takes 1 s while nothing changes, so a single lost answer does not make the proof this old.
    */
   private static final long MAX_FRESH_PROOF_AGE_MILLIS = 2_500;
 
-  /** After so long without a proof the store counts as lost, which is told once. */
+  /** After this time without a proof the store counts as lost, which is logged once. */
   private static final long STORE_LOST_AFTER_MILLIS = 2_500;
 
   private final TopicReader reader;
@@ -52,37 +54,38 @@
   private boolean storeLost;
 
   /**
-   * Creates the watch.
+   * Creates the watcher.
    *
    * @param store the store
-   * @param timers the timers
-   * @param pauses tells of suspensions
-   * @param log takes the events
-   * @param revokeMillis within this time a withdrawn key must stop working, in milliseconds
-   * @param listener hears of each new version, on the control thread
+   * @param timers the clock and the timers
+   * @param suspensionDetector detects suspensions of the process
+   * @param log receives the events
+   * @param revokeMillis the time within which a withdrawn key must stop working, in milliseconds
+   * @param listener receives each new version, on the control thread
    */
   public ConfigurationWatcher(
       StoreClient store,
       TimerService timers,
-      SuspensionDetector pauses,
+      SuspensionDetector suspensionDetector,
       EventLog log,
       long revokeMillis,
       Consumer<ClusterConfiguration> listener) {
     this.reader = new TopicReader(store, StoreClient.OPERATOR_TOPIC);
     this.timers = timers;
-    this.suspensionDetector = pauses;
+    this.suspensionDetector = suspensionDetector;
     this.log = log;
     this.maxProofAgeMillis = Math.round(REVOCATION_FRACTION * revokeMillis);
     this.listener = listener;
   }
 
-  /** Begins to watch. */
+  /** Starts reading. Another read follows each read, after a delay if it failed. */
   public void start() {
     long sentAt = timers.nowMillis();
-    // After a suspension or a lost answer a proof is wanted at once, not after a wait.
-    long wait = current != null && isFresh() ? READ_WAIT_MILLIS : 0;
+    // After a suspension or a lost answer a proof is needed immediately, so the read does not
+    // wait.
+    long waitMillis = current != null && isFresh() ? READ_WAIT_MILLIS : 0;
     reader
-        .next(wait)
+        .next(waitMillis)
         .onComplete(changes -> handleChanges(changes, sentAt), this::handleReadFailure);
   }
 
@@ -97,23 +100,24 @@
   }
 
   /**
-   * Tells whether the proof is so young that this instance should take new connections.
+   * Returns whether the proof is recent enough for this instance to take new connections.
    *
-   * @return false if the store seems to be away, for this instance or for all
+   * @return false if the store seems to be unavailable, to this instance or to all
    */
   public boolean isFresh() {
     return isProvenWithin(Math.min(MAX_FRESH_PROOF_AGE_MILLIS, maxProofAgeMillis));
   }
 
   private boolean isProvenWithin(long millis) {
-    long proof = provenAt;
-    return suspensionDetector.isUninterruptedSince(proof) && timers.nowMillis() - proof <= millis;
+    long proofAt = provenAt;
+    return suspensionDetector.isUninterruptedSince(proofAt)
+        && timers.nowMillis() - proofAt <= millis;
   }
 
   private void handleChanges(TopicReader.Changes changes, long sentAt) {
-    for (KeyedRecord entry : changes.records()) {
-      if (entry.key().equals(StoreClient.CONFIGURATION_KEY)) {
-        applyConfiguration(entry.value());
+    for (KeyedRecord record : changes.records()) {
+      if (record.key().equals(StoreClient.CONFIGURATION_KEY)) {
+        applyConfiguration(record.value());
       }
     }
     if (changes.caughtUp()) {
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OrderSender.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OrderSender.java
@@ -21,9 +21,10 @@
 import org.hickorypier.platform.execution.TaskNames;
 
 /**
- * Carries out what the cell orders, under one owner's token, and brings the answers back.
+ * Sends the cell's orders to the workers and the advisor under the owner's fencing token, and
+ * passes the replies to the cell.
  *
- * <p>Invariant: after the owner's end no answer reaches the cell. Belongs to the control thread.
+ * <p>Invariant: after ownership ends, no reply reaches the cell. Confined to the control thread.
  */
 final class OrderSender implements CellOutput {
 
@@ -36,29 +37,33 @@
   private Cell cell;
   private JournalWriter journal;
 
-  /** What the owner hears of its orders. */
+  /** Receives the events of the orders on behalf of the owner. */
   interface Events {
 
-    /** Tells whether the owner's time is over. */
+    /** Returns whether ownership has ended. */
     boolean isEnded();
 
-    /** An answer may let something start. */
+    /** A reply has arrived that may allow further starts. */
     void answered();
 
-    /** A worker has seen a higher token. */
+    /** A worker has seen a higher fencing token. */
     void fenced(String worker);
   }
 
-  OrderSender(OwnerDependencies instruments, int epoch, AdviceCallBalancer advice, Events events) {
-    this.dependencies = instruments;
+  OrderSender(
+      OwnerDependencies dependencies, int epoch, AdviceCallBalancer adviceCalls, Events events) {
+    this.dependencies = dependencies;
     this.epoch = epoch;
-    this.adviceCalls = advice;
+    this.adviceCalls = adviceCalls;
     this.events = events;
   }
 
-  /** Connects what comes into being after this; nothing is ordered before. */
-  void connect(Cell answeredCell, JournalWriter writer) {
-    this.cell = answeredCell;
+  /**
+   * Connects the cell and the journal writer, which are created after this sender. Nothing is
+   * ordered before.
+   */
+  void connect(Cell orderingCell, JournalWriter writer) {
+    this.cell = orderingCell;
     this.journal = writer;
   }
 
@@ -117,15 +122,15 @@
   @Override
   public boolean advise(StepRun step, List<WorkerView> workers) {
     AdviceTerms terms = step.submission().spec().queue().advice().orElseThrow();
-    double call = terms.callMillis(workers.size());
+    double callMillis = terms.callMillis(workers.size());
     String name =
         TaskNames.formatStep(step.submission().spec().id(), step.occurrence(), step.index());
     List<String> ids = workers.stream().map(WorkerView::id).toList();
-    long asked = now();
-    Optional<Future<LinkReply>> question = adviceCalls.ask(name, ids, call);
-    question.ifPresent(
-        answer -> answer.onSuccess(reply -> handleAdviceReply(step, workers, reply, asked)));
-    return question.isPresent();
+    long askedAt = now();
+    Optional<Future<LinkReply>> call = adviceCalls.ask(name, ids, callMillis);
+    call.ifPresent(
+        answer -> answer.onSuccess(reply -> handleAdviceReply(step, workers, reply, askedAt)));
+    return call.isPresent();
   }
 
   private void handleAdviceReply(
@@ -134,7 +139,7 @@
       return;
     }
     String id = step.submission().spec().id();
-    long took = now() - askedAt;
+    long tookMillis = now() - askedAt;
     if (reply instanceof LinkReply.Tickets tickets) {
       cell.adviceAnswered(step, workers, tickets.tickets(), tickets.validMillis(), now());
       dependencies
@@ -151,12 +156,12 @@
               "suitable",
               tickets.tickets().size(),
               "took_ms",
-              took);
+              tookMillis);
     } else {
       cell.adviceFailed(step, now());
       dependencies
           .log()
-          .event(PART, "advice-failed", "id", id, "step", step.index(), "took_ms", took);
+          .event(PART, "advice-failed", "id", id, "step", step.index(), "took_ms", tookMillis);
     }
     events.answered();
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
@@ -24,33 +24,36 @@
 import org.hickorypier.daemon.time.TimerSubscription;
 
 /**
- * This instance as the owner of the cell, from takeover to its end.
+ * State and operations of this instance while it owns the cell, from takeover until ownership ends.
  *
- * <p>Invariant: after {@link #end} nothing is ordered, written or acknowledged any more. Belongs to
- * the control thread.
+ * <p>Invariant: after {@link #end} nothing is ordered, written or acknowledged any more. Confined
+ * to the control thread.
  */
 final class Owner {
 
   private static final String PART = "owner";
 
-  /** Events that come within this time are placed in one pass. */
+  /** Events that arrive within this time are handled in one scheduling pass. */
   private static final Duration PASS_DELAY = Duration.ofMillis(4);
 
   private static final Duration TICK_PERIOD = Duration.ofMillis(100);
 
   /**
-   * Submissions that wait at most. Each takes some 2 KB here; beyond this the oldest wait longer
-   * than any caller's objective.
+   * Limit of the waiting submissions. Each takes some 2 KB in this process; beyond the limit the
+   * oldest would wait longer than any caller's objective.
    */
   private static final int MAX_WAITING_SUBMISSIONS = 20_000;
 
   /** A full queue shrinks by some thousand submissions in this time. */
   private static final long QUEUE_FULL_RETRY_AFTER_MILLIS = 2_000;
 
-  /** A takeover is over within this time if any instance reaches the store. */
+  /** A takeover completes within this time if any instance reaches the store. */
   private static final long TAKEOVER_MILLIS = 2_200;
 
-  /** Younger than the 3 s after which an accepted submission must be known everywhere. */
+  /**
+   * Maximum age of the proof of ownership behind a "not known" reply. It is below the 3 s after
+   * which an accepted submission must be known everywhere.
+   */
   private static final long NOT_KNOWN_PROOF_AGE_MILLIS = 2_000;
 
   private final OwnerDependencies dependencies;
@@ -73,35 +76,35 @@
   private long startsSuspendedUntil;
 
   Owner(
-      OwnerDependencies instruments,
+      OwnerDependencies dependencies,
       Takeover.Taken taken,
-      AdviceCallBalancer advice,
+      AdviceCallBalancer adviceCalls,
       Optional<Collection<CustomerTerms>> customers,
-      Consumer<String> lost) {
-    this.dependencies = instruments;
+      Consumer<String> onLost) {
+    this.dependencies = dependencies;
     this.epoch = taken.epoch();
-    this.onLost = lost;
-    long now = instruments.timers().nowMillis();
-    OrderSender orders = new OrderSender(instruments, taken.epoch(), advice, workerEvents);
-    this.cell = new Cell(instruments.terms(), orders, instruments.log(), taken.epoch(), now);
+    this.onLost = onLost;
+    long now = dependencies.timers().nowMillis();
+    OrderSender orders = new OrderSender(dependencies, taken.epoch(), adviceCalls, workerEvents);
+    this.cell = new Cell(dependencies.terms(), orders, dependencies.log(), taken.epoch(), now);
     this.journal =
         new JournalWriter(
-            instruments.store(),
-            instruments.timers(),
-            instruments.suspensionDetector(),
-            instruments.log(),
+            dependencies.store(),
+            dependencies.timers(),
+            dependencies.suspensionDetector(),
+            dependencies.log(),
             taken.epoch(),
             taken.sequence(),
             new JournalEvents());
-    this.workerListReader = new WorkerListReader(instruments, this::workersListed);
+    this.workerListReader = new WorkerListReader(dependencies, this::workersListed);
     orders.connect(cell, journal);
     customers.ifPresent(cell::configure);
-    Estate estate = new Estate(taken.values(), instruments.log());
-    this.predecessorEpoch = estate.owner().epoch();
-    long wall = instruments.wallClock().getAsLong();
-    int restored = estate.restore(cell, now, wall);
-    cell.restoreRoster(estate.roster());
-    instruments
+    Estate predecessorState = new Estate(taken.values(), dependencies.log());
+    this.predecessorEpoch = predecessorState.owner().epoch();
+    long wallMillis = dependencies.wallClock().getAsLong();
+    int restored = predecessorState.restore(cell, now, wallMillis);
+    cell.restoreRoster(predecessorState.roster());
+    dependencies
         .log()
         .event(
             PART,
@@ -111,10 +114,10 @@
             "submissions",
             restored,
             "roster",
-            estate.roster().size());
+            predecessorState.roster().size());
     workerListReader.start();
     updateRenewals();
-    this.tickTimer = instruments.timers().every(TICK_PERIOD, this::tick);
+    this.tickTimer = dependencies.timers().every(TICK_PERIOD, this::tick);
   }
 
   int epoch() {
@@ -126,27 +129,28 @@
     requestPass();
   }
 
-  /** Tells whether no successor can have taken over more than some time ago. */
+  /** Returns whether it is proven that no successor took over more than the given time ago. */
   boolean isProven(long withinMillis) {
     return !ended && journal.proven(withinMillis);
   }
 
-  /** Tells whether the store has taken no append for some time. */
+  /** Returns whether the store has accepted no append for longer than the given time. */
   boolean isStoreUnavailableFor(long millis) {
     return journal.unavailableMillis() > millis;
   }
 
   Future<LinkReply> submit(SubmissionSpec spec) {
-    SubmissionStatus known = cell.status(spec.id());
-    if (known != null && known.durable()) {
+    SubmissionStatus status = cell.status(spec.id());
+    if (status != null && status.durable()) {
       return Future.succeededFuture(new LinkReply.Accepted());
     }
-    if (known == null && cell.size() >= MAX_WAITING_SUBMISSIONS) {
+    if (status == null && cell.size() >= MAX_WAITING_SUBMISSIONS) {
       return refuse(spec, "the queue is full", QUEUE_FULL_RETRY_AFTER_MILLIS);
     }
-    if (known == null && journal.unavailableMillis() > TAKEOVER_MILLIS) {
-      // No other instance has taken over, so the store is away for all: the caller is better off
-      // knowing at once. Before that its request waits, since a successor takes it in a moment.
+    if (status == null && journal.unavailableMillis() > TAKEOVER_MILLIS) {
+      // If no other instance has taken over by now, the store is unavailable to all instances, and
+      // an immediate refusal serves the caller better than a wait. Before that, the request waits,
+      // since a successor can accept it shortly.
       return refuse(spec, "the store is unavailable", ComeBack.afterMillis(spec));
     }
     Submission submission = cell.accept(spec, now());
@@ -156,7 +160,7 @@
     return promise.future();
   }
 
-  private Future<LinkReply> refuse(SubmissionSpec spec, String reason, long comeBackMillis) {
+  private Future<LinkReply> refuse(SubmissionSpec spec, String reason, long retryAfterMillis) {
     dependencies
         .log()
         .event(
@@ -175,8 +179,8 @@
             "store_away_ms",
             journal.unavailableMillis(),
             "retry_after_ms",
-            comeBackMillis);
-    return Future.succeededFuture(new LinkReply.Refused(reason, comeBackMillis));
+            retryAfterMillis);
+    return Future.succeededFuture(new LinkReply.Refused(reason, retryAfterMillis));
   }
 
   LinkReply inquire(String id, String customer) {
@@ -204,12 +208,12 @@
   }
 
   /**
-   * Tells whether this owner knows all that was accepted more than a short time ago.
+   * Returns whether this owner knows every submission that was accepted more than a short time ago.
    *
-   * <p>Failure: an owner that was paused or cut off answers callers beside its successor. Symptom:
-   * a submission that the successor accepted is said not to exist. Safeguard: what is not known is
-   * told only with a proof that no successor was there a short time ago. It is enough because
-   * callers may be told so for 3 s after the acknowledgement.
+   * <p>An owner that was suspended or partitioned can answer callers beside its successor, and
+   * would report a submission that the successor accepted as not existing. A "not known" reply
+   * therefore needs a proof that there was no successor a short time ago. This suffices because
+   * callers may receive such a reply for 3 s after the acknowledgement.
    */
   private boolean knowsAllAccepted() {
     return journal.proven(NOT_KNOWN_PROOF_AGE_MILLIS);
@@ -231,7 +235,7 @@
     return visible ? status : null;
   }
 
-  /** Ends ownership: callers that wait are told to ask the next owner. */
+  /** Ends ownership. Callers that wait for a reply are referred to the next owner. */
   void end(String reason) {
     if (ended) {
       return;
@@ -254,19 +258,21 @@
     renewals.values().forEach(Renewals::stop);
     pendingAcceptances
         .values()
-        .forEach(promises -> promises.forEach(next -> next.tryComplete(new LinkReply.NotOwner())));
+        .forEach(
+            promises -> promises.forEach(promise -> promise.tryComplete(new LinkReply.NotOwner())));
     pendingAcceptances.clear();
-    List.copyOf(pendingCancellations).forEach(next -> next.tryComplete(new LinkReply.NotOwner()));
+    List.copyOf(pendingCancellations)
+        .forEach(promise -> promise.tryComplete(new LinkReply.NotOwner()));
   }
 
-  /** Returns what may still run on the workers, once this owner has ended. */
+  /** Returns what may still run on the workers once this owner has ended. */
   List<RosterEntry> finalRoster() {
     return cell.finalRoster(now());
   }
 
   /**
-   * Takes the final roster of a former owner. That of an earlier one than the predecessor does not
-   * tell what its successors ordered.
+   * Applies the final roster of a former owner. The roster of an owner before the predecessor is
+   * ignored, since it does not include what the later owners ordered.
    */
   void formerOwnerEnded(int formerEpoch, List<RosterEntry> roster) {
     boolean predecessor = formerEpoch == predecessorEpoch;
@@ -287,19 +293,21 @@
     }
   }
 
-  /** Writes and starts nothing for some milliseconds, while a successor claims the cell. */
+  /** Suspends journal writes and starts for the given time, while a successor claims the cell. */
   void suspendWriting(long millis) {
     journal.rest(millis);
     startsSuspendedUntil = now() + millis;
   }
 
-  /** Goes on writing, but starts nothing for some milliseconds: a successor may have the cell. */
-  void resumeWriting(long startsRestMillis) {
+  /**
+   * Resumes journal writes but suspends starts for the given time: a successor may own the cell.
+   */
+  void resumeWriting(long startDelayMillis) {
     journal.resume();
-    startsSuspendedUntil = now() + startsRestMillis;
+    startsSuspendedUntil = now() + startDelayMillis;
   }
 
-  /** Runs something once all that is under way is written. */
+  /** Runs an action once all pending journal writes are stored. */
   void whenWritten(Runnable action) {
     journal.afterSave(action);
   }
@@ -322,15 +330,15 @@
   private void updateRenewals() {
     renewals.values().removeIf(Renewals::finished);
     for (WorkerView worker : cell.workers()) {
-      Renewals present = renewals.get(worker.id());
-      if (present == null || !present.of(worker)) {
-        if (present != null) {
-          present.stop();
+      Renewals current = renewals.get(worker.id());
+      if (current == null || !current.of(worker)) {
+        if (current != null) {
+          current.stop();
         }
-        Renewals begun =
+        Renewals renewal =
             new Renewals(dependencies, cell, worker, epoch, this::maySendOrders, workerEvents);
-        renewals.put(worker.id(), begun);
-        begun.start();
+        renewals.put(worker.id(), renewal);
+        renewal.start();
       }
     }
   }
@@ -354,11 +362,13 @@
   }
 
   /**
-   * Failure: the owner starts the members of a gang while a successor takes over. Symptom: some
-   * have started when the workers hear of the successor and refuse the others, and these wait in
-   * vain. Safeguard: nothing starts while the claim is under way; orders sent just before it are
-   * answered within some 10 ms, and a successor takes longer to claim the cell and call the
-   * workers.
+   * Runs a scheduling pass unless starts are suspended.
+   *
+   * <p>If the owner starts the members of a gang while a successor takes over, some of them start,
+   * and then the workers learn of the successor and refuse the others, so that those started wait
+   * in vain. Starts are therefore suspended while a successor claims the cell. Orders that were
+   * sent just before are answered within some 10 ms, and a successor takes longer than that to
+   * claim the cell and call the workers.
    */
   private void pass() {
     passScheduled = false;
@@ -367,13 +377,13 @@
     }
   }
 
-  private void reportFenced(String by) {
+  private void reportFenced(String reason) {
     if (!ended) {
-      onLost.accept(by);
+      onLost.accept(reason);
     }
   }
 
-  /** Hears of the workers' answers to orders and renewals. */
+  /** Handles the workers' replies to orders and lease renewals. */
   private final class WorkerEvents implements OrderSender.Events, Renewals.Events {
 
     @Override
@@ -397,7 +407,7 @@
     }
   }
 
-  /** Hears of the journal. */
+  /** Handles completed journal writes and fencing by the store. */
   private final class JournalEvents implements JournalWriter.Callbacks {
 
     @Override
@@ -422,7 +432,7 @@
                 epoch);
         List<Promise<LinkReply>> promises = pendingAcceptances.remove(submission);
         if (promises != null) {
-          promises.forEach(next -> next.tryComplete(new LinkReply.Accepted()));
+          promises.forEach(promise -> promise.tryComplete(new LinkReply.Accepted()));
         }
       }
       requestPass();
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerDependencies.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerDependencies.java
@@ -9,18 +9,19 @@
 import org.hickorypier.platform.store.StoreClient;
 
 /**
- * What the owner's parts work with.
+ * The services and settings that the components of the owner share.
  *
  * <p>Immutable.
  *
  * @param store the platform's store
- * @param workers the workers
- * @param timers time, on the control thread
- * @param wallClock the time of day
- * @param suspensionDetector tells of suspensions
- * @param log takes the events
- * @param terms the figures of the cell
- * @param workerHeartbeatMillis how often a worker writes its entry in the list of workers
+ * @param workers the client for the workers
+ * @param timers the monotonic clock and the timers of the control thread
+ * @param wallClock the wall clock, in milliseconds
+ * @param suspensionDetector detects suspensions of the process
+ * @param log receives the events
+ * @param terms the parameters of the cell
+ * @param workerHeartbeatMillis the interval at which a worker writes its entry in the list of
+ *     workers
  */
 public record OwnerDependencies(
     StoreClient store,
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerDirectory.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerDirectory.java
@@ -9,15 +9,15 @@
 import org.hickorypier.wire.UndecodableException;
 
 /**
- * Knows the present owner of the cell, from the record that each owner leaves in the store.
+ * Tracks the present owner of the cell, from the record that each owner writes to the store.
  *
- * <p>Invariant: the epoch only rises. Belongs to the control thread.
+ * <p>Invariant: the epoch only increases. Confined to the control thread.
  */
 public final class OwnerDirectory {
 
   private static final String PART = "directory";
 
-  /** One question a period while nothing changes; a change ends the wait at once. */
+  /** Longest wait of a read while nothing changes; a change ends the wait immediately. */
   private static final long READ_WAIT_MILLIS = 3_000;
 
   private static final Duration RETRY_DELAY = Duration.ofMillis(200);
@@ -32,9 +32,9 @@
    * Creates the directory.
    *
    * @param store the store
-   * @param timers the timers
-   * @param log takes the events
-   * @param listener hears of each new owner
+   * @param timers the clock and the timers
+   * @param log receives the events
+   * @param listener receives each new owner
    */
   public OwnerDirectory(
       StoreClient store, TimerService timers, EventLog log, Consumer<OwnerRecord> listener) {
@@ -44,7 +44,7 @@
     this.listener = listener;
   }
 
-  /** Begins to watch. */
+  /** Starts reading. Another read follows each read, after a delay if it failed. */
   public void start() {
     reader
         .next(READ_WAIT_MILLIS)
@@ -61,7 +61,7 @@
   }
 
   /**
-   * Takes an owner record, from the store or from another instance.
+   * Applies an owner record from the store or from another instance, unless its epoch is not newer.
    *
    * @param newer the record
    */
@@ -82,9 +82,9 @@
   }
 
   private void handleChanges(TopicReader.Changes changes) {
-    for (KeyedRecord entry : changes.records()) {
-      if (entry.key().equals(JournalKeys.DIRECTORY_KEY)) {
-        applyRecord(entry.value());
+    for (KeyedRecord record : changes.records()) {
+      if (record.key().equals(JournalKeys.DIRECTORY_KEY)) {
+        applyRecord(record.value());
       }
     }
     start();
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerGateway.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerGateway.java
@@ -19,22 +19,23 @@
 import org.hickorypier.platform.http.ServiceAddress;
 
 /**
- * Brings requests to the present owner, wherever it is, and to its successor if it is lost.
+ * Forwards requests to the present owner, local or remote, and to its successor if the owner is
+ * lost.
  *
- * <p>All requests are idempotent by the submission's id, so one without a reply is asked again.
- * Invariant: a request ends as refused only if no owner may have taken it. Belongs to the control
- * thread.
+ * <p>All requests are idempotent by the submission's id, so a request without a reply is sent
+ * again. Invariant: a request ends as refused only if no owner may have accepted it. Confined to
+ * the control thread.
  */
 public final class OwnerGateway {
 
   private static final String PART = "gateway";
 
-  /** An owner answers within some 20 ms; one that does not for this long is taken for lost. */
+  /** An owner answers within some 20 ms; one that stays silent for this long is considered lost. */
   private static final long REPLY_TIMEOUT_MILLIS = 900;
 
   private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
-  /** The first attempt after a link broke: a killed process refuses it at once. */
+  /** Delay of the first attempt after a link broke: a killed process refuses it immediately. */
   private static final Duration FIRST_RECONNECT_DELAY = Duration.ofMillis(30);
 
   /** A link opens within some 10 ms. */
@@ -43,16 +44,19 @@
   /** An owner on a slow machine answers within this time. */
   private static final long PROOF_REPLY_TIMEOUT_MILLIS = 500;
 
-  /** Two refused connections in a row: the owner's process is gone, not just busy. */
+  /** Two consecutive refused connections mean that the owner's process is gone, not just busy. */
   private static final int REFUSALS_BEFORE_TAKEOVER = 2;
 
-  /** Questions that an instance may answer with no before it is replaced. */
+  /** The owner is considered lost at this number of consecutive denials of ownership. */
   private static final int DENIALS_BEFORE_TAKEOVER = 2;
 
-  /** Waiting for a successor longer than this is worse for a caller than coming back. */
+  /**
+   * Longest time without an owner in which a new request waits for a successor; beyond it, retrying
+   * later is better for the caller.
+   */
   private static final long MAX_OWNERLESS_WAIT_MILLIS = 1_800;
 
-  /** For questions; they cost little, and another instance may have an answer. */
+  /** Retry delay that is suggested for queries: they are cheap, and another instance may answer. */
   private static final long QUERY_RETRY_AFTER_MILLIS = 1_000;
 
   private final NetClient client;
@@ -72,20 +76,20 @@
   private final long startedAt;
   private long ownerlessSince;
 
-  /** When the owner last answered, or when something was first asked of it after a rest. */
+  /** When the owner last answered, or when the first request after an idle period was made. */
   private long repliedAt;
 
   /**
    * Creates the gateway.
    *
-   * @param client opens links
-   * @param timers the timers
-   * @param log takes the events
-   * @param directory knows the owner
-   * @param ownership answers if this instance is the owner
-   * @param handler answers what the owner asks over the link
-   * @param self this instance
-   * @param pace how quick its machine is
+   * @param client opens the links to the owner
+   * @param timers the clock and the timers
+   * @param log receives the events
+   * @param directory knows the present owner
+   * @param ownership answers requests if this instance is the owner
+   * @param handler answers the owner's requests over the link
+   * @param self this instance as a candidate for ownership
+   * @param speedMonitor tells whether this machine has slowed down
    */
   public OwnerGateway(
       NetClient client,
@@ -95,7 +99,7 @@
       Ownership ownership,
       LinkHandler handler,
       Candidate self,
-      ProcessorSpeedMonitor pace) {
+      ProcessorSpeedMonitor speedMonitor) {
     this.client = client;
     this.timers = timers;
     this.log = log;
@@ -103,7 +107,7 @@
     this.ownership = ownership;
     this.handler = handler;
     this.self = self;
-    this.speedMonitor = pace;
+    this.speedMonitor = speedMonitor;
     this.startedAt = timers.nowMillis();
     this.ownerlessSince = startedAt;
     this.repliedAt = ownerlessSince;
@@ -111,48 +115,49 @@
   }
 
   /**
-   * Failure: this instance was the owner, which has no link to itself. Symptom: with the cell it
-   * lost all sense of time, took itself to be without an owner since before its ownership, and
-   * refused requests that a successor would have served a moment later. Safeguard: the time without
-   * an owner counts from the loss; that is enough since nothing else makes an owner unreachable but
-   * a link, which counts from its own end.
+   * Restarts the time without an owner when this instance loses ownership.
+   *
+   * <p>An owner has no link to itself. Without the restart, an instance that loses the cell would
+   * count the time without an owner from before its ownership, and would refuse requests that a
+   * successor serves a moment later. The only other event that makes an owner unreachable is the
+   * end of a link, which restarts the time as well.
    */
   private void ownershipLost() {
     ownerlessSince = timers.nowMillis();
   }
 
   /**
-   * Asks the owner.
+   * Sends a request to the owner.
    *
    * @param request the request
    * @param timeoutMillis how long the caller waits, in milliseconds
-   * @return the reply; {@link LinkReply.NotOwner} if its outcome is unknown in the end
+   * @return the reply; {@link LinkReply.NotOwner} if the outcome stays unknown; never fails
    */
   public Future<LinkReply> ask(LinkRequest request, long timeoutMillis) {
-    PendingRequest next = new PendingRequest(request, timers.nowMillis() + timeoutMillis);
+    PendingRequest pending = new PendingRequest(request, timers.nowMillis() + timeoutMillis);
     if (pendingRequests.isEmpty()) {
       repliedAt = timers.nowMillis();
     }
-    pendingRequests.add(next);
-    next.deadlineTimer =
-        timers.after(Duration.ofMillis(timeoutMillis), () -> giveUp(next, "deadline"));
+    pendingRequests.add(pending);
+    pending.deadlineTimer =
+        timers.after(Duration.ofMillis(timeoutMillis), () -> giveUp(pending, "deadline"));
     if (!isOwnerReachable() && timers.nowMillis() - ownerlessSince > MAX_OWNERLESS_WAIT_MILLIS) {
-      // It is known that nobody can take it: the caller learns so at once.
-      giveUp(next, "no owner");
+      // No owner has been reachable for too long, so the caller is answered immediately.
+      giveUp(pending, "no owner");
     } else {
-      send(next);
+      send(pending);
     }
-    return next.promise.future();
+    return pending.promise.future();
   }
 
-  /** Begins to watch over the owner. */
+  /** Starts failure detection for the owner. */
   public void start() {
     new OwnerFailureDetector(
             timers, log, directory, ownership, new PendingRequestStatus(), this::takeoverDelay)
         .start();
   }
 
-  /** What the watch over the owner looks at. */
+  /** View of the pending requests for the failure detector. */
   private final class PendingRequestStatus implements OwnerFailureDetector.Requests {
 
     @Override
@@ -190,35 +195,35 @@
     return pendingRequests.isEmpty() ? 0 : pendingRequests.iterator().next().sentAt;
   }
 
-  /** Takes notice of a new owner. */
+  /** Handles a change of the owner: connects to it and sends the pending requests. */
   public void ownerChanged() {
-    OwnerRecord present = directory.owner();
+    OwnerRecord owner = directory.owner();
     denials = 0;
-    if (present.address().equals(self.address())) {
+    if (owner.address().equals(self.address())) {
       closeLink();
       if (!ownership.owns()) {
-        // This process was the owner before its restart; nobody has taken over since.
-        ownership.stepIn("this instance was the owner in an earlier life");
+        // This process was the owner before its restart, and no instance has taken over since.
+        ownership.stepIn("this instance was the owner before its restart");
       }
       sendAll();
-    } else if (!present.equals(linkedTo)) {
+    } else if (!owner.equals(linkedTo)) {
       closeLink();
       connect();
     }
   }
 
   /**
-   * Asks the present owner to prove itself.
+   * Asks the present owner to prove its ownership.
    *
-   * @return true if it does so in time
+   * @return true if it does so in time, or if it may do so shortly; never fails
    */
   public Future<Boolean> checkOwnerAlive() {
     if (ownership.owns()) {
       return Future.succeededFuture(true);
     }
     if (link == null) {
-      // A link that is only being opened, as after a start, is waited for; the next sign asks
-      // again.
+      // A link that is still being opened, as after a start, gets time to open; the next check
+      // asks again.
       return Future.succeededFuture(
           directory.owner().epoch() > 0
               && !directory.owner().address().equals(self.address())
@@ -230,9 +235,11 @@
   }
 
   /**
-   * A process that answers but does not own the cell is often the owner after its restart, just
-   * about to take over again; a second takeover beside it would cost the callers another pause. So
-   * it has until the next question.
+   * Evaluates a reply to a request for proof of ownership.
+   *
+   * <p>A process that answers but does not own the cell is often the restarted owner that is about
+   * to take over again. A second takeover beside it would cost the callers another pause, so such a
+   * process is considered alive until the next request.
    */
   private boolean evaluateProofReply(LinkReply reply) {
     if (reply instanceof LinkReply.Noted) {
@@ -244,27 +251,28 @@
   }
 
   /**
-   * Tells whether requests reach an owner.
+   * Returns whether requests reach an owner.
    *
-   * @return false while none is known or connected
+   * @return false while no owner is known or connected
    */
   public boolean isOwnerReachable() {
     return ownership.owns() || link != null;
   }
 
   /**
-   * Returns for how long requests have reached no owner.
+   * Returns how long requests have reached no owner.
    *
-   * @return milliseconds, 0 if they do
+   * @return milliseconds; 0 if they reach one
    */
   public long ownerlessMillis() {
     return isOwnerReachable() ? 0 : timers.nowMillis() - ownerlessSince;
   }
 
   /**
-   * Returns for how long no owner has answered anything.
+   * Returns how long no owner has answered any request.
    *
-   * @return milliseconds; 0 while an owner answers or nobody asks one
+   * @return milliseconds; 0 while this instance is the owner, or while the owner is connected and
+   *     no request is pending
    */
   public long silentMillis() {
     if (ownership.owns() || pendingRequests.isEmpty() && link != null) {
@@ -329,14 +337,14 @@
     return StepInDelay.of(self.address(), weak, speedMonitor.isSlowed());
   }
 
-  private void requestTakeover(OwnerRecord dead) {
-    if (link == null && dead.equals(directory.owner())) {
+  private void requestTakeover(OwnerRecord lostOwner) {
+    if (link == null && lostOwner.equals(directory.owner())) {
       ownership.stepIn("the owner refuses connections");
     }
   }
 
-  private void handleLinkClosed(Link which) {
-    if (which != link) {
+  private void handleLinkClosed(Link closed) {
+    if (closed != link) {
       return;
     }
     log.event(
@@ -349,69 +357,71 @@
 
   private void closeLink() {
     if (link != null) {
-      Link old = link;
+      Link closing = link;
       link = null;
       linkedTo = OwnerRecord.NONE;
-      old.close();
+      closing.close();
     }
     ownerlessSince = timers.nowMillis();
   }
 
   private void sendAll() {
-    for (PendingRequest next : new ArrayList<>(pendingRequests)) {
-      send(next);
+    for (PendingRequest pending : new ArrayList<>(pendingRequests)) {
+      send(pending);
     }
   }
 
-  private void send(PendingRequest next) {
-    if (next.promise.future().isComplete()) {
+  private void send(PendingRequest pending) {
+    if (pending.promise.future().isComplete()) {
       return;
     }
     if (ownership.owns()) {
-      next.sendCount++;
-      ownership.answer(next.request).onSuccess(reply -> handleReply(next, reply));
+      pending.sendCount++;
+      ownership.answer(pending.request).onSuccess(reply -> handleReply(pending, reply));
     } else if (link != null) {
-      next.sendCount++;
-      next.sentAt = timers.nowMillis();
-      long left = Math.max(1, next.deadline - timers.nowMillis());
-      link.ask(next.request, Math.min(left + REPLY_TIMEOUT_MILLIS, REPLY_TIMEOUT_MILLIS))
-          .onComplete(reply -> handleReply(next, reply), error -> scheduleResend(next));
+      pending.sendCount++;
+      pending.sentAt = timers.nowMillis();
+      long remainingMillis = Math.max(1, pending.deadline - timers.nowMillis());
+      link.ask(
+              pending.request,
+              Math.min(remainingMillis + REPLY_TIMEOUT_MILLIS, REPLY_TIMEOUT_MILLIS))
+          .onComplete(reply -> handleReply(pending, reply), error -> scheduleResend(pending));
     }
   }
 
-  private void scheduleResend(PendingRequest next) {
-    timers.after(RETRY_DELAY, () -> send(next));
+  private void scheduleResend(PendingRequest pending) {
+    timers.after(RETRY_DELAY, () -> send(pending));
   }
 
-  private void handleReply(PendingRequest next, LinkReply reply) {
+  private void handleReply(PendingRequest pending, LinkReply reply) {
     repliedAt = timers.nowMillis();
     if (reply instanceof LinkReply.NotOwner) {
-      scheduleResend(next);
+      scheduleResend(pending);
       return;
     }
-    boolean uncertain = reply instanceof LinkReply.Refused && next.sendCount > 1;
-    finish(next, uncertain ? new LinkReply.NotOwner() : reply);
+    boolean mayBeAccepted = reply instanceof LinkReply.Refused && pending.sendCount > 1;
+    finish(pending, mayBeAccepted ? new LinkReply.NotOwner() : reply);
   }
 
-  private void giveUp(PendingRequest next, String reason) {
-    if (next.promise.future().isComplete()) {
+  private void giveUp(PendingRequest pending, String reason) {
+    if (pending.promise.future().isComplete()) {
       return;
     }
     log.event(
         PART,
         "given-up",
         "request",
-        next.request.getClass().getSimpleName(),
+        pending.request.getClass().getSimpleName(),
         "reason",
         reason,
         "sent",
-        next.sendCount,
+        pending.sendCount,
         "ownerless_ms",
         ownerlessMillis());
     finish(
-        next,
-        next.sendCount == 0
-            ? new LinkReply.Refused("no owner can be reached", retryAfterMillis(next.request))
+        pending,
+        pending.sendCount == 0
+            ? new LinkReply.Refused("no owner can be reached", retryAfterMillis(pending.request))
             : new LinkReply.NotOwner());
   }
 
@@ -421,10 +431,10 @@
         : QUERY_RETRY_AFTER_MILLIS;
   }
 
-  private void finish(PendingRequest next, LinkReply reply) {
-    pendingRequests.remove(next);
-    next.deadlineTimer.cancel();
-    next.promise.tryComplete(reply);
+  private void finish(PendingRequest pending, LinkReply reply) {
+    pendingRequests.remove(pending);
+    pending.deadlineTimer.cancel();
+    pending.promise.tryComplete(reply);
   }
 
   /** A request that waits for its reply. */
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/ProcessorSpeedMonitor.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/ProcessorSpeedMonitor.java
@@ -4,40 +4,45 @@
 import java.util.function.LongSupplier;
 
 /**
- * How long a fixed piece of work takes on this machine, now and usually.
+ * Measures how long a fixed workload takes on this machine, now and usually.
  *
- * <p>Failure: a machine turns several times slower, by its neighbours or its allowance, and goes on
- * answering. Symptom: as the owner of the cell it falls behind, all other instances suspect it, and
- * callers wait through one takeover after another. Safeguard: instances compare how long the same
- * work takes them; it is enough because the work is the same on all and needs nothing but the
- * processor. Belongs to the control thread.
+ * <p>A machine can become several times slower, because of other load on its host or a CPU limit,
+ * and still answer. If it owns the cell, it falls behind, all other instances suspect it, and
+ * callers wait through one takeover after another. Instances therefore compare how long the same
+ * workload takes them. This suffices because the workload is the same on all and needs only the
+ * processor. Confined to the control thread.
  */
 public final class ProcessorSpeedMonitor {
 
-  /** Some 20 us of work on a usual machine; the clock tells microseconds. */
+  /** Some 20 us of work on a usual machine; the clock resolves microseconds. */
   private static final int ADDITIONS = 20_000;
 
-  /** Half a minute of samples: longer than most spells, so that these do not become the usual. */
+  /**
+   * Half a minute of samples: longer than most slowdowns, so that these do not become the median.
+   */
   private static final int MAX_SAMPLES = 128;
 
-  /** An interruption makes one sample longer, seldom four in a row. */
+  /**
+   * Number of latest samples that must all be slow. An interruption makes one sample longer, rarely
+   * four in a row.
+   */
   private static final int RECENT_SAMPLES = 4;
 
-  /** The work is done so many times for one measure. */
   private static final int ATTEMPTS_PER_MEASUREMENT = 3;
 
   /** The first seconds of a process are slower than all later ones. */
   private static final int MIN_SAMPLES = 16;
 
   /**
-   * A process may take up to three times as long once its first seconds are over, without any harm
-   * to its machine.
+   * Factor over the median from which the machine counts as slowed. The workload may take up to
+   * three times as long once the first seconds of a process are over, although its machine is not
+   * impaired.
    */
   private static final double SLOWED_FACTOR = 3.5;
 
   private static final long NANOS_PER_MICRO = 1_000;
 
-  /** Keeps the work from being left out by the compiler. */
+  /** Prevents the compiler from eliminating the workload. */
   private static volatile long result;
 
   private final LongSupplier workload;
@@ -45,62 +50,63 @@
   private int sampleCount;
 
   /**
-   * Creates the pace.
+   * Creates the monitor.
    *
-   * @param workNanos does the piece of work and returns how long it took, in nanoseconds
+   * @param workload runs the workload and returns its duration in nanoseconds
    */
-  public ProcessorSpeedMonitor(LongSupplier workNanos) {
-    this.workload = workNanos;
+  public ProcessorSpeedMonitor(LongSupplier workload) {
+    this.workload = workload;
   }
 
   /**
-   * Does the piece of work.
+   * Runs the workload.
    *
-   * @return how long it took, in nanoseconds
+   * @return its duration in nanoseconds
    */
   public static long runWorkload() {
-    long begun = System.nanoTime();
-    long sum = begun;
+    long startNanos = System.nanoTime();
+    long sum = startNanos;
     for (int count = 0; count < ADDITIONS; count++) {
       sum = sum * 31 + count;
     }
     result = sum;
-    return System.nanoTime() - begun;
+    return System.nanoTime() - startNanos;
   }
 
-  /** Takes a sample; called in regular periods. */
+  /** Runs the workload once and records its duration. Called at regular intervals. */
   public void sample() {
     samplesNanos[sampleCount % MAX_SAMPLES] = workload.getAsLong();
     sampleCount++;
   }
 
   /**
-   * Measures anew.
+   * Measures the present duration of the workload.
    *
-   * @return the least of a few attempts, in microseconds
+   * @return the shortest of a few attempts, in microseconds; at least 1
    */
   public int measureMicros() {
-    long least = Long.MAX_VALUE;
+    long fastestNanos = Long.MAX_VALUE;
     for (int attempt = 0; attempt < ATTEMPTS_PER_MEASUREMENT; attempt++) {
-      least = Math.min(least, workload.getAsLong());
+      fastestNanos = Math.min(fastestNanos, workload.getAsLong());
     }
-    return (int) Math.min(Integer.MAX_VALUE, Math.max(1, least / NANOS_PER_MICRO));
+    return (int) Math.min(Integer.MAX_VALUE, Math.max(1, fastestNanos / NANOS_PER_MICRO));
   }
 
   /**
-   * Tells whether this machine is much slower than it usually is.
+   * Returns whether this machine is much slower than usual.
    *
-   * @return true while the work takes several times as long
+   * @return true while the workload takes several times as long; false before there are enough
+   *     samples
    */
   public boolean isSlowed() {
     if (sampleCount < MIN_SAMPLES) {
       return false;
     }
-    long recent = Long.MAX_VALUE;
+    long recentNanos = Long.MAX_VALUE;
     for (int back = 1; back <= RECENT_SAMPLES; back++) {
-      recent = Math.min(recent, samplesNanos[(sampleCount - back) % MAX_SAMPLES]);
+      recentNanos = Math.min(recentNanos, samplesNanos[(sampleCount - back) % MAX_SAMPLES]);
     }
-    return recent > SLOWED_FACTOR * medianNanos();
+    return recentNanos > SLOWED_FACTOR * medianNanos();
   }
 
   private long medianNanos() {
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerListReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerListReader.java
@@ -18,15 +18,16 @@
 /**
  * Reads the workers' entries from the store while this instance owns the cell.
  *
- * <p>Belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 final class WorkerListReader {
 
   private static final String PART = "workers";
 
   /**
-   * Each worker writes every 1.5 s, so a read that waits would return some 20 times a second. Twice
-   * a second is soon enough for a drain, which must be heeded within 2 s.
+   * A read that waits for changes would return some 20 times a second, since each worker writes
+   * every 1.5 s. A read about twice a second is soon enough for a drain, which must take effect
+   * within 2 s.
    */
   private static final Duration READ_PERIOD = Duration.ofMillis(400);
 
@@ -41,28 +42,31 @@
   private boolean stopped;
   private long readSentAt;
 
-  /** What is read next was written after this time. */
+  /**
+   * When the last read that reached the end of the topic was sent; all records read since then were
+   * written after this time.
+   */
   private long lastCompleteReadSentAt;
 
-  /** Hears of the list. */
+  /** Receives the list of workers after each read. */
   @FunctionalInterface
   interface Listener {
 
     /**
-     * Takes the list.
+     * Handles a new state of the list.
      *
      * @param entries all listed workers, by id
-     * @param departed workers that have left since the list was read before
+     * @param departed the workers that have left since the previous read
      */
     void workersListed(Map<String, WorkerEntry> entries, Set<String> departed);
   }
 
-  WorkerListReader(OwnerDependencies instruments, Listener listener) {
-    this.reader = new TopicReader(instruments.store(), StoreClient.WORKERS_TOPIC);
-    this.timers = instruments.timers();
-    this.log = instruments.log();
-    this.suspensionDetector = instruments.suspensionDetector();
-    this.departureDetector = new DepartureDetector(instruments.workerHeartbeatMillis());
+  WorkerListReader(OwnerDependencies dependencies, Listener listener) {
+    this.reader = new TopicReader(dependencies.store(), StoreClient.WORKERS_TOPIC);
+    this.timers = dependencies.timers();
+    this.log = dependencies.log();
+    this.suspensionDetector = dependencies.suspensionDetector();
+    this.departureDetector = new DepartureDetector(dependencies.workerHeartbeatMillis());
     this.listener = listener;
   }
 
@@ -82,8 +86,8 @@
       entries.clear();
     }
     Set<String> departed = new HashSet<>();
-    for (KeyedRecord entry : changes.records()) {
-      applyRecord(entry.key(), entry.value(), departed);
+    for (KeyedRecord record : changes.records()) {
+      applyRecord(record.key(), record.value(), departed);
     }
     if (changes.whole()) {
       departureDetector.clear();
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/AdviceCallBalancerTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/AdviceCallBalancerTest.java
@@ -14,137 +14,144 @@
 import org.hickorypier.daemon.time.ManualTimerService;
 import org.junit.jupiter.api.Test;
 
-/** Gangs ask for 0.6 s, short checks for 9 ms; the advisor serves each instance in turn. */
+/**
+ * Calls for gangs take 0.6 s, those for short checks 9 ms; the advisor serves each instance in
+ * order.
+ */
 class AdviceCallBalancerTest {
 
-  private static final double LONG = 630;
-  private static final double SHORT = 9;
+  private static final double LONG_CALL_MILLIS = 630;
+  private static final double SHORT_CALL_MILLIS = 9;
 
   private final ManualTimerService timers = new ManualTimerService();
-  private final AdviceCallBalancer desk = new AdviceCallBalancer(timers);
-  private final List<Promise<LinkReply>> open = new ArrayList<>();
-  private final List<AdviceCallBalancer.Instance> helpers = new ArrayList<>();
+  private final AdviceCallBalancer balancer = new AdviceCallBalancer(timers);
+  private final List<Promise<LinkReply>> openCalls = new ArrayList<>();
+  private final List<AdviceCallBalancer.Instance> instances = new ArrayList<>();
 
-  private void instances(int count) {
+  private void addInstances(int count) {
     for (int index = 0; index < count; index++) {
-      helpers.add(
-          desk.add(
+      instances.add(
+          balancer.add(
               "10.0.0." + index,
               (request, timeout) -> {
                 Promise<LinkReply> promise = Promise.promise();
-                open.add(promise);
+                openCalls.add(promise);
                 return promise.future();
               }));
     }
   }
 
   private AdviceCallBalancer.Instance ask(double millis) {
-    AdviceCallBalancer.Instance helper = desk.choose(millis).orElseThrow();
-    helper.ask("step", List.of("w"), millis);
-    return helper;
+    AdviceCallBalancer.Instance instance = balancer.choose(millis).orElseThrow();
+    instance.ask("step", List.of("w"), millis);
+    return instance;
   }
 
   @Test
-  void longCallsLeaveInstancesFreeForShortOnes() {
-    instances(7);
+  void longCallsLeaveReservedInstancesToShortCalls() {
+    addInstances(7);
     Set<AdviceCallBalancer.Instance> busy = new HashSet<>();
     for (int call = 0; call < 10; call++) {
-      busy.add(ask(LONG));
+      busy.add(ask(LONG_CALL_MILLIS));
     }
     assertThat(busy).hasSize(5);
-    assertThat(busy).doesNotContain(ask(SHORT));
+    assertThat(busy).doesNotContain(ask(SHORT_CALL_MILLIS));
   }
 
   /**
-   * The owner is lost while long calls of its gangs are under way. The successor hears of the
-   * instances in another order, and must keep the same ones free: the advisor still works off what
-   * was asked before, and a short check behind it would come too late.
+   * Guards against late short checks after a takeover. The owner is lost during long calls for
+   * gangs, and the successor links to the instances in another order. It must reserve the same
+   * instances, because the advisor still works off the earlier calls, and a short check queued
+   * behind them is answered too late.
    */
   @Test
-  void sameInstancesAreKeptFreeWhateverTheOrderOfTheirLinks() {
-    instances(6);
+  void reservedInstancesDoNotDependOnLinkOrder() {
+    addInstances(6);
     Set<Integer> busy = new HashSet<>();
     for (int call = 0; call < 8; call++) {
-      busy.add(helpers.indexOf(ask(LONG)));
+      busy.add(instances.indexOf(ask(LONG_CALL_MILLIS)));
     }
     AdviceCallBalancer successor = new AdviceCallBalancer(timers);
-    List<AdviceCallBalancer.Instance> linked = new ArrayList<>();
+    List<AdviceCallBalancer.Instance> successorInstances = new ArrayList<>();
     for (int index = 5; index >= 0; index--) {
-      linked.add(
+      successorInstances.add(
           0,
           successor.add(
               "10.0.0." + index, (request, timeout) -> Promise.<LinkReply>promise().future()));
     }
-    Set<Integer> busyAgain = new HashSet<>();
+    Set<Integer> successorBusy = new HashSet<>();
     for (int call = 0; call < 8; call++) {
-      AdviceCallBalancer.Instance helper = successor.choose(LONG).orElseThrow();
-      helper.ask("step", List.of("w"), LONG);
-      busyAgain.add(linked.indexOf(helper));
+      AdviceCallBalancer.Instance instance = successor.choose(LONG_CALL_MILLIS).orElseThrow();
+      instance.ask("step", List.of("w"), LONG_CALL_MILLIS);
+      successorBusy.add(successorInstances.indexOf(instance));
     }
-    assertThat(busyAgain).isEqualTo(busy).hasSize(4);
+    assertThat(successorBusy).isEqualTo(busy).hasSize(4);
   }
 
   @Test
-  void nothingIsAskedBehindMoreThanTicketsLast() {
-    instances(1);
-    ask(LONG);
-    ask(LONG);
-    ask(LONG);
-    assertThat(desk.choose(LONG)).isEmpty();
-    open.get(0).complete(new LinkReply.Failed());
-    assertThat(desk.choose(LONG)).isPresent();
+  void noCallIsMadeBehindBacklogThatOutlastsTickets() {
+    addInstances(1);
+    ask(LONG_CALL_MILLIS);
+    ask(LONG_CALL_MILLIS);
+    ask(LONG_CALL_MILLIS);
+    assertThat(balancer.choose(LONG_CALL_MILLIS)).isEmpty();
+    openCalls.get(0).complete(new LinkReply.Failed());
+    assertThat(balancer.choose(LONG_CALL_MILLIS)).isPresent();
   }
 
   /**
-   * All instances restart, one is linked, and a hundred checks want tickets. Only a few calls are
-   * under way at once, so the most urgent step of the next pass is asked next.
+   * Guards against an order of calls that is fixed too early. All instances restart, one is linked,
+   * and a hundred checks need tickets. Only a few calls may be open at once, so that the most
+   * urgent step of the next pass is served next.
    */
   @Test
-  void fewShortCallsAreUnderWayAtOnce() {
-    instances(1);
+  void concurrentShortCallsAreLimited() {
+    addInstances(1);
     for (int call = 0; call < 8; call++) {
-      ask(SHORT);
+      ask(SHORT_CALL_MILLIS);
     }
-    assertThat(desk.choose(SHORT)).isEmpty();
-    open.get(0).complete(new LinkReply.Failed());
-    assertThat(desk.choose(SHORT)).isPresent();
+    assertThat(balancer.choose(SHORT_CALL_MILLIS)).isEmpty();
+    openCalls.get(0).complete(new LinkReply.Failed());
+    assertThat(balancer.choose(SHORT_CALL_MILLIS)).isPresent();
   }
 
   /**
-   * A caller's short check came 3 s late. The instance through which its ticket was asked for had
-   * lost power; nothing told so until the call timed out. Now another one is asked after a moment,
-   * and the silent one gets no further calls while others answer.
+   * Guards against a short check that ends 3 s late because the instance that carries its call has
+   * lost power, which shows only in the timeout of the call. Another instance must be asked after a
+   * short delay, and the silent one gets no further calls while others answer.
    */
   @Test
-  void shortCallThatStaysUnansweredIsAskedThroughAnotherInstance() {
-    instances(3);
-    final Future<LinkReply> reply = desk.ask("step", List.of("w"), SHORT).orElseThrow();
-    assertThat(open).hasSize(1);
+  void unansweredShortCallIsRetriedThroughAnotherInstance() {
+    addInstances(3);
+    final Future<LinkReply> reply =
+        balancer.ask("step", List.of("w"), SHORT_CALL_MILLIS).orElseThrow();
+    assertThat(openCalls).hasSize(1);
     timers.advance(Duration.ofMillis(400));
-    assertThat(open).hasSize(2);
-    open.get(1).complete(new LinkReply.Tickets(Map.of("w", "ticket"), 2_500));
+    assertThat(openCalls).hasSize(2);
+    openCalls.get(1).complete(new LinkReply.Tickets(Map.of("w", "ticket"), 2_500));
     assertThat(reply.result()).isInstanceOf(LinkReply.Tickets.class);
     Set<AdviceCallBalancer.Instance> chosen = new HashSet<>();
     for (int call = 0; call < 6; call++) {
-      chosen.add(ask(SHORT));
+      chosen.add(ask(SHORT_CALL_MILLIS));
     }
     assertThat(chosen).hasSize(2);
   }
 
   @Test
-  void callThroughBrokenLinkIsAskedElsewhereAtOnce() {
-    instances(2);
-    final Future<LinkReply> reply = desk.ask("step", List.of("w"), SHORT).orElseThrow();
-    open.get(0).fail("the link broke");
-    assertThat(open).hasSize(2);
-    open.get(1).fail("the link broke");
+  void callThroughBrokenLinkIsRetriedElsewhereImmediately() {
+    addInstances(2);
+    final Future<LinkReply> reply =
+        balancer.ask("step", List.of("w"), SHORT_CALL_MILLIS).orElseThrow();
+    openCalls.get(0).fail("the link broke");
+    assertThat(openCalls).hasSize(2);
+    openCalls.get(1).fail("the link broke");
     assertThat(reply.result()).isInstanceOf(LinkReply.Failed.class);
   }
 
   @Test
-  void goneInstanceIsNotAsked() {
-    instances(2);
-    desk.remove(helpers.get(1));
-    assertThat(ask(SHORT)).isSameAs(helpers.get(0));
+  void removedInstanceIsNotAsked() {
+    addInstances(2);
+    balancer.remove(instances.get(1));
+    assertThat(ask(SHORT_CALL_MILLIS)).isSameAs(instances.get(0));
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/ProcessorSpeedMonitorTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/ProcessorSpeedMonitorTest.java
@@ -6,67 +6,71 @@
 
 class ProcessorSpeedMonitorTest {
 
-  private long nanos = 20_000;
-  private final ProcessorSpeedMonitor pace = new ProcessorSpeedMonitor(() -> nanos);
+  private long workloadNanos = 20_000;
+  private final ProcessorSpeedMonitor monitor = new ProcessorSpeedMonitor(() -> workloadNanos);
 
-  private void samples(int count, long each) {
-    nanos = each;
+  private void addSamples(int count, long eachNanos) {
+    workloadNanos = eachNanos;
     for (int index = 0; index < count; index++) {
-      pace.sample();
+      monitor.sample();
     }
   }
 
   /**
-   * A machine turns five times slower for 12 s. It says so after four samples, for as long as that
-   * lasts, and no longer: a spell of 48 samples does not become what is usual.
+   * Guards against a slowdown that is missed or that comes to count as usual. The machine is five
+   * times slower for 12 s, which is 48 samples; the monitor reports it from the fourth sample until
+   * it ends.
    */
   @Test
-  void slowSpellIsToldFromItsFourthSampleToItsEnd() {
-    samples(100, 20_000);
-    samples(3, 100_000);
-    assertThat(pace.isSlowed()).isFalse();
-    samples(1, 100_000);
-    assertThat(pace.isSlowed()).isTrue();
-    samples(44, 100_000);
-    assertThat(pace.isSlowed()).isTrue();
-    samples(1, 20_000);
-    assertThat(pace.isSlowed()).isFalse();
+  void slowdownIsReportedFromFourthSampleUntilItEnds() {
+    addSamples(100, 20_000);
+    addSamples(3, 100_000);
+    assertThat(monitor.isSlowed()).isFalse();
+    addSamples(1, 100_000);
+    assertThat(monitor.isSlowed()).isTrue();
+    addSamples(44, 100_000);
+    assertThat(monitor.isSlowed()).isTrue();
+    addSamples(1, 20_000);
+    assertThat(monitor.isSlowed()).isFalse();
   }
 
   /**
-   * An owner's work takes three times as long after its first seconds as in them, for good. It used
-   * to take itself for slowed, and the cell went from one instance to the next in calm times.
+   * Guards against needless handovers. The workload of an owner takes three times as long after the
+   * first seconds as in them, permanently. If that counted as a slowdown, the cell would move from
+   * one instance to the next while nothing is wrong.
    */
   @Test
-  void changeThatEveryProcessGoesThroughIsNoSlowness() {
-    samples(60, 19_000);
-    samples(6, 38_000);
+  void permanentChangeAfterStartupIsNoSlowdown() {
+    addSamples(60, 19_000);
+    addSamples(6, 38_000);
     for (int index = 0; index < 60; index++) {
-      samples(1, 57_000);
-      assertThat(pace.isSlowed()).isFalse();
+      addSamples(1, 57_000);
+      assertThat(monitor.isSlowed()).isFalse();
     }
   }
 
   @Test
-  void interruptionIsNoSlowness() {
-    samples(100, 20_000);
-    samples(1, 3_000_000);
-    assertThat(pace.isSlowed()).isFalse();
+  void interruptionIsNoSlowdown() {
+    addSamples(100, 20_000);
+    addSamples(1, 3_000_000);
+    assertThat(monitor.isSlowed()).isFalse();
   }
 
-  /** A process is slow while its code is new; that says nothing of its machine. */
+  /**
+   * Guards against a slowdown that is reported at startup: new code is slow, whatever the machine.
+   */
   @Test
-  void nothingIsToldOfTheFirstSamples() {
-    samples(3, 20_000);
-    samples(12, 400_000);
-    assertThat(pace.isSlowed()).isFalse();
+  void firstSamplesReportNoSlowdown() {
+    addSamples(3, 20_000);
+    addSamples(12, 400_000);
+    assertThat(monitor.isSlowed()).isFalse();
   }
 
   @Test
-  void measureIsInMicrosecondsAndNeverNothing() {
-    nanos = 57_400;
-    assertThat(pace.measureMicros()).isEqualTo(57);
-    nanos = 3;
-    assertThat(pace.measureMicros()).isEqualTo(1);
+  void measurementIsInMicrosecondsAndAtLeastOne() {
+    workloadNanos = 57_400;
+    assertThat(monitor.measureMicros()).isEqualTo(57);
+    workloadNanos = 3;
+    assertThat(monitor.measureMicros()).isEqualTo(1);
   }
 }
