--- a/daemon/src/main/java/org/hickorypier/daemon/logging/DaemonLogManager.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/logging/DaemonLogManager.java
@@ -3,17 +3,18 @@
 import java.util.logging.LogManager;
 
 /**
- * A log manager whose handlers outlive the begin of the shutdown.
+ * A log manager that keeps its handlers when the shutdown begins.
  *
- * <p>Thread safe. The platform's own manager takes all handlers away in a shutdown hook, which runs
- * beside the daemon's own. What a graceful shutdown does, and what it had to give up, would be
- * missing from the log. Handlers here write through, so nothing is lost by not closing them.
+ * <p>The default log manager removes all handlers in a shutdown hook that runs concurrently with
+ * the daemon's own hook, so the log would miss the steps of a graceful shutdown and what it had to
+ * abandon. The handlers of the daemon write through, so nothing is lost if they are not closed.
+ * Thread-safe.
  */
 public final class DaemonLogManager extends LogManager {
 
   private volatile boolean keepsHandlers;
 
-  /** Creates the manager. The platform does so by the name of the class. */
+  /** Creates the manager. The JDK calls this constructor by the name of the class. */
   public DaemonLogManager() {}
 
   void keepHandlersOnReset() {
--- a/daemon/src/main/java/org/hickorypier/daemon/logging/LineFormatter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/logging/LineFormatter.java
@@ -7,16 +7,20 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes one line for each event: time in UTC, level, and the sentence with its part's prefix.
+ * Formats each event as one line: time in UTC, level, and the message with the prefix of its
+ * component.
  *
- * <p>Thread safe. An event never takes more than one line.
+ * <p>Thread-safe. An event never takes more than one line.
  */
 final class LineFormatter extends Formatter {
 
   private static final DateTimeFormatter TIMESTAMP_FORMAT =
       DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
 
-  /** Enough to find the place; the whole trace of a fault that repeats would bury the rest. */
+  /**
+   * Enough frames to locate an error; the whole stack trace of a recurring error would obscure the
+   * other events.
+   */
   private static final int MAX_FRAMES = 6;
 
   private static final int MAX_CAUSES = 4;
@@ -58,11 +62,11 @@
     }
   }
 
-  // Request ids and error texts come from outside. A line break in one would let a caller write
-  // lines of its own into the log, and an escape sequence would steer the reader's terminal.
+  // Request ids and error texts come from outside. A line break in one would let a caller forge
+  // log lines, and an escape sequence would control the terminal of the reader.
   private static void appendPrintable(StringBuilder line, String text) {
     text.codePoints()
-        .map(character -> Character.isISOControl(character) ? ' ' : character)
+        .map(codePoint -> Character.isISOControl(codePoint) ? ' ' : codePoint)
         .forEach(line::appendCodePoint);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/logging/LineHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/logging/LineHandler.java
@@ -4,7 +4,7 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 
-/** Prints each event at once. Thread safe: one line is one call of a synchronized stream. */
+/** Prints each event immediately. Thread-safe: each line is one call of a synchronized stream. */
 final class LineHandler extends Handler {
 
   private final PrintStream stream;
--- a/daemon/src/main/java/org/hickorypier/daemon/logging/LogSetup.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/logging/LogSetup.java
@@ -8,10 +8,10 @@
 import java.util.logging.Logger;
 
 /**
- * Sets up the log of the process: {@link System.Logger} over {@code java.util.logging}, one line
- * for each event.
+ * Configures the log of the process: {@link System.Logger} over {@code java.util.logging}, with one
+ * line for each event.
  *
- * <p>Thread safe.
+ * <p>Thread-safe.
  */
 public final class LogSetup {
 
@@ -26,16 +26,19 @@
           "debug", Level.FINE,
           "trace", Level.FINER);
 
-  // The manager holds loggers weakly. Without this reference the collector takes the logger and the
-  // level set on it, and after some time the log falls back to the default level.
+  // The log manager references loggers weakly. Without this reference the garbage collector would
+  // remove the logger with its level, and the log would fall back to the default level after some
+  // time.
   private static Logger projectLogger;
 
   private LogSetup() {}
 
   /**
-   * Chooses the log manager. The platform makes it with the first logger of the process and never
-   * changes it, and libraries make loggers as soon as one of their classes is used; so this is the
-   * first call of a program. Too late, it does no harm, but the log ends where the shutdown begins.
+   * Selects the log manager of the process, unless a system property already does.
+   *
+   * <p>The JDK creates the log manager with the first logger of the process and never replaces it,
+   * and libraries create loggers as soon as one of their classes is used, so a program calls this
+   * method first. A later call has no effect, and the log then ends when the shutdown begins.
    */
   public static void selectLogManager() {
     if (System.getProperty(MANAGER_PROPERTY) == null) {
@@ -44,10 +47,11 @@
   }
 
   /**
-   * Sends the log to a stream.
+   * Directs the log to a stream.
    *
-   * @param level the least level of the project's own events: error, warning, info, debug or trace
-   * @param stream where the lines go
+   * @param level the lowest level of the project's own events: error, warning, info, debug or
+   *     trace; any other value means info
+   * @param stream receives the lines
    */
   public static synchronized void start(String level, PrintStream stream) {
     Logger root = Logger.getLogger("");
@@ -57,7 +61,7 @@
     LineHandler handler = new LineHandler(stream);
     handler.setLevel(Level.ALL);
     root.addHandler(handler);
-    // Libraries tell of every connection that a caller resets; only their warnings are of use.
+    // Libraries log every connection that a caller resets; only their warnings are of use.
     root.setLevel(Level.WARNING);
     projectLogger = Logger.getLogger(PROJECT_PACKAGE);
     projectLogger.setLevel(LEVELS.getOrDefault(level, Level.INFO));
--- a/daemon/src/main/java/org/hickorypier/daemon/time/ControlThread.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/time/ControlThread.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one thread that holds all control state, with the timers that run on it.
+ * The single thread to which all control state is confined, with the timers that run on it.
  *
- * <p>Invariant: tasks run one after another, in the order they were handed over. Thread safe. A
- * task that throws is logged and does not end the thread or its timer.
+ * <p>Invariant: tasks run one after another, in the order of their submission. Thread-safe. An
+ * exception of a task is logged and ends neither the thread nor the task's timer.
  */
 public final class ControlThread implements Executor, TimerService, AutoCloseable {
 
@@ -37,7 +37,7 @@
   @Override
   public void execute(Runnable task) {
     try {
-      executor.execute(guarded(task));
+      executor.execute(withErrorLogging(task));
     } catch (RejectedExecutionException error) {
       LOGGER.log(Level.DEBUG, "control: closed, task dropped");
     }
@@ -50,15 +50,16 @@
 
   @Override
   public TimerSubscription every(Duration period, Runnable task) {
-    long millis = period.toMillis();
+    long periodMillis = period.toMillis();
     var future =
-        executor.scheduleWithFixedDelay(guarded(task), millis, millis, TimeUnit.MILLISECONDS);
+        executor.scheduleWithFixedDelay(
+            withErrorLogging(task), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     return () -> future.cancel(false);
   }
 
   @Override
   public TimerSubscription after(Duration delay, Runnable task) {
-    var future = executor.schedule(guarded(task), delay.toMillis(), TimeUnit.MILLISECONDS);
+    var future = executor.schedule(withErrorLogging(task), delay.toMillis(), TimeUnit.MILLISECONDS);
     return () -> future.cancel(false);
   }
 
@@ -67,7 +68,7 @@
     executor.shutdownNow();
   }
 
-  private static Runnable guarded(Runnable task) {
+  private static Runnable withErrorLogging(Runnable task) {
     return () -> {
       try {
         task.run();
--- a/daemon/src/main/java/org/hickorypier/daemon/time/SuspensionDetector.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/time/SuspensionDetector.java
@@ -3,57 +3,58 @@
 import java.util.function.LongSupplier;
 
 /**
- * Finds out that the process was suspended.
+ * Detects that the process was suspended.
  *
- * <p>Failure: an instance is suspended for seconds. Its steady clock stands still meanwhile, so a
- * proof of ownership, or of a key, that is long out of date looks fresh. Symptom: orders beside
- * those of a successor, and requests taken with a withdrawn key. Safeguard: the time of day goes on
- * during a suspension, so the two clocks drift apart; proofs from before are then void. A step of
- * the time of day looks the same and costs one question to the store. Thread safe.
+ * <p>While an instance is suspended, its monotonic clock stands still, so a proof of ownership or
+ * of a key that is seconds out of date looks recent. The instance would then send orders beside
+ * those of a successor and accept requests with a withdrawn key. The wall clock advances during a
+ * suspension, so the two clocks drift apart, and proofs from before the drift are void. A step of
+ * the wall clock looks the same and costs one request to the store. Thread-safe.
  */
 public final class SuspensionDetector {
 
-  /** Clocks are slewed by less than a millisecond between two looks. */
+  /** Clocks are slewed by less than a millisecond between two checks. */
   private static final long MAX_DRIFT_MILLIS = 250;
 
-  private final LongSupplier steadyMillis;
+  private final LongSupplier monotonicMillis;
   private final LongSupplier wallMillis;
   private volatile long driftMillis;
   private volatile long resumedAt = Long.MIN_VALUE;
 
   /**
-   * Creates the guard.
+   * Creates the detector.
    *
-   * @param steadyMillis the steady clock
-   * @param wallMillis the time of day
+   * @param monotonicMillis the monotonic clock, in milliseconds
+   * @param wallMillis the wall clock, in milliseconds
    */
-  public SuspensionDetector(LongSupplier steadyMillis, LongSupplier wallMillis) {
-    this.steadyMillis = steadyMillis;
+  public SuspensionDetector(LongSupplier monotonicMillis, LongSupplier wallMillis) {
+    this.monotonicMillis = monotonicMillis;
     this.wallMillis = wallMillis;
-    this.driftMillis = wallMillis.getAsLong() - steadyMillis.getAsLong();
+    this.driftMillis = wallMillis.getAsLong() - monotonicMillis.getAsLong();
   }
 
   /**
-   * Tells whether something learnt at some time may still be believed, as far as pauses go.
+   * Returns whether the process has run without a known suspension since the given time.
    *
-   * @param learntAt when it was learnt, on the steady clock
-   * @return false if the process may have been suspended since
+   * @param learntAt the time at which something was learnt, on the monotonic clock
+   * @return false if the process may have been suspended since, so that it may be out of date
    */
   public boolean isUninterruptedSince(long learntAt) {
     return learntAt > uninterruptedSince();
   }
 
   /**
-   * Returns since when the steady clock has run without a pause, as far as is known.
+   * Returns the time since which the process has run without a known suspension.
    *
-   * @return a time on the steady clock
+   * @return milliseconds on the monotonic clock; the least value of the type if no suspension is
+   *     known
    */
   public long uninterruptedSince() {
-    long steady = steadyMillis.getAsLong();
-    long present = wallMillis.getAsLong() - steady;
-    if (Math.abs(present - driftMillis) > MAX_DRIFT_MILLIS) {
-      driftMillis = present;
-      resumedAt = steady;
+    long nowMillis = monotonicMillis.getAsLong();
+    long currentDriftMillis = wallMillis.getAsLong() - nowMillis;
+    if (Math.abs(currentDriftMillis - driftMillis) > MAX_DRIFT_MILLIS) {
+      driftMillis = currentDriftMillis;
+      resumedAt = nowMillis;
     }
     return resumedAt;
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/time/TimerSubscription.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/time/TimerSubscription.java
@@ -1,9 +1,12 @@
 package org.hickorypier.daemon.time;
 
-/** A running timer. Safe to use from any thread. */
+/** A running timer. Thread-safe. */
 @FunctionalInterface
 public interface TimerSubscription {
 
-  /** Ends the timer; the task does not run after it, on the control thread. Idempotent. */
+  /**
+   * Cancels the timer. After a call on the control thread, the task does not run any more.
+   * Idempotent.
+   */
   void cancel();
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/time/VertxTimerService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/time/VertxTimerService.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Timers that run on one Vert.x context, which is then the control thread.
+ * Timer service on one Vert.x context, which serves as the control thread.
  *
- * <p>Thread safe; callbacks run on the context.
+ * <p>Thread-safe; callbacks run on the context.
  */
 public final class VertxTimerService implements TimerService {
 
@@ -17,10 +17,10 @@
   private final long startNanos = System.nanoTime();
 
   /**
-   * Creates the timers.
+   * Creates the timer service.
    *
-   * @param vertx runs them
-   * @param context where the callbacks run
+   * @param vertx runs the timers
+   * @param context the context on which the callbacks run
    */
   public VertxTimerService(Vertx vertx, Context context) {
     this.vertx = vertx;
@@ -29,21 +29,21 @@
 
   @Override
   public long nowMillis() {
-    // From 1 on, so that 0 can stand for "never".
+    // The clock starts at 1, so that 0 can mean "never".
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) + 1;
   }
 
   @Override
   public TimerSubscription every(Duration period, Runnable task) {
-    long timer =
-        vertx.setPeriodic(period.toMillis(), id -> context.runOnContext(none -> task.run()));
-    return () -> vertx.cancelTimer(timer);
+    long timerId =
+        vertx.setPeriodic(period.toMillis(), id -> context.runOnContext(ignored -> task.run()));
+    return () -> vertx.cancelTimer(timerId);
   }
 
   @Override
   public TimerSubscription after(Duration delay, Runnable task) {
-    long millis = Math.max(1, delay.toMillis());
-    long timer = vertx.setTimer(millis, id -> context.runOnContext(none -> task.run()));
-    return () -> vertx.cancelTimer(timer);
+    long delayMillis = Math.max(1, delay.toMillis());
+    long timerId = vertx.setTimer(delayMillis, id -> context.runOnContext(ignored -> task.run()));
+    return () -> vertx.cancelTimer(timerId);
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/logging/LogSetupTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/logging/LogSetupTest.java
@@ -18,7 +18,7 @@
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
   @AfterEach
-  void sendTheLogBack() {
+  void restoreLogOutput() {
     LogSetup.start("info", System.err);
   }
 
@@ -30,24 +30,24 @@
     "debug,   ERROR WARNING INFO DEBUG",
     "trace,   ERROR WARNING INFO DEBUG TRACE",
   })
-  void levelChoosesTheProjectsEvents(String level, String shown) {
+  void levelFiltersProjectEvents(String level, String shown) {
     LogSetup.start(level, new PrintStream(bytes, true, StandardCharsets.UTF_8));
     System.Logger logger = System.getLogger("org.hickorypier.daemon.logging.example");
     for (Level each :
         new Level[] {Level.ERROR, Level.WARNING, Level.INFO, Level.DEBUG, Level.TRACE}) {
       logger.log(each, "example: event {0}", "r-1");
     }
-    System.getLogger("io.vertx.example").log(Level.INFO, "a library talks");
+    System.getLogger("io.vertx.example").log(Level.INFO, "library event");
 
     assertThat(bytes.toString(StandardCharsets.UTF_8).lines().map(line -> line.split(" +")[1]))
         .containsExactly(shown.split(" "));
     assertThat(bytes.toString(StandardCharsets.UTF_8)).contains("example: event r-1\n");
   }
 
-  // A caller sends a request id with a line break and a forged event behind it. Whoever reads the
-  // log sees one event on one line, so the forged one cannot pass for an event of its own.
+  // Guards against forged events: a caller sends a request id with a line break and an event
+  // behind it, which must not become a line of its own.
   @Test
-  void textsFromOutsideStayOnTheirLine() {
+  void externalTextCannotStartNewLine() {
     LogRecord event =
         new LogRecord(java.util.logging.Level.INFO, "work: labels/r\n2026 ERROR forged\u001b[2J");
     event.setInstant(Instant.parse("2026-12-02T20:00:01.005Z"));
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void errorsWithTheirCausesTakeOneLine() {
+  void errorWithCausesTakesOneLine() {
     LogRecord event = new LogRecord(java.util.logging.Level.SEVERE, "control: task failed");
     event.setThrown(new IllegalStateException("outer", new IllegalArgumentException("in\nner")));
 
--- a/daemon/src/test/java/org/hickorypier/daemon/time/ManualTimerService.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/time/ManualTimerService.java
@@ -5,19 +5,19 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.Executor;
 
-/** A timer service whose time moves only when a test says so. Not thread safe. */
+/** Timer service whose clock advances only through {@link #advance}. Not thread-safe. */
 public final class ManualTimerService implements TimerService, Executor {
 
   private final PriorityQueue<Entry> entries =
       new PriorityQueue<>(
-          Comparator.comparingLong((Entry entry) -> entry.due)
-              .thenComparingLong(entry -> entry.order));
-  private long now;
-  private long nextOrder;
+          Comparator.comparingLong((Entry entry) -> entry.dueMillis)
+              .thenComparingLong(entry -> entry.sequence));
+  private long nowMillis;
+  private long nextSequence;
 
   @Override
   public long nowMillis() {
-    return now;
+    return nowMillis;
   }
 
   @Override
@@ -30,41 +30,41 @@
     return add(delay.toMillis(), 0, task);
   }
 
-  /** Runs the task at once, in place of the control thread. */
+  /** Runs the task immediately on the calling thread, which stands in for the control thread. */
   @Override
   public void execute(Runnable task) {
     task.run();
   }
 
-  /** Moves time forward and runs what falls due, in order. */
+  /** Advances the clock and runs the tasks that fall due, in order. */
   public void advance(Duration by) {
-    long target = now + by.toMillis();
-    while (!entries.isEmpty() && entries.peek().due <= target) {
+    long targetMillis = nowMillis + by.toMillis();
+    while (!entries.isEmpty() && entries.peek().dueMillis <= targetMillis) {
       Entry entry = entries.poll();
-      now = Math.max(now, entry.due);
-      if (entry.period > 0) {
-        entry.due += entry.period;
+      nowMillis = Math.max(nowMillis, entry.dueMillis);
+      if (entry.periodMillis > 0) {
+        entry.dueMillis += entry.periodMillis;
         entries.add(entry);
       }
       entry.task.run();
     }
-    now = target;
+    nowMillis = targetMillis;
   }
 
-  private TimerSubscription add(long delay, long period, Runnable task) {
+  private TimerSubscription add(long delayMillis, long periodMillis, Runnable task) {
     Entry entry = new Entry();
-    entry.due = now + delay;
-    entry.period = period;
-    entry.order = nextOrder++;
+    entry.dueMillis = nowMillis + delayMillis;
+    entry.periodMillis = periodMillis;
+    entry.sequence = nextSequence++;
     entry.task = task;
     entries.add(entry);
     return () -> entries.remove(entry);
   }
 
   private static final class Entry {
-    private long due;
-    private long period;
-    private long order;
+    private long dueMillis;
+    private long periodMillis;
+    private long sequence;
     private Runnable task;
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/time/SuspensionDetectorTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/time/SuspensionDetectorTest.java
@@ -6,33 +6,34 @@
 
 class SuspensionDetectorTest {
 
-  private long steady = 1_000;
-  private long wall = 50_000;
-  private final SuspensionDetector guard = new SuspensionDetector(() -> steady, () -> wall);
+  private long monotonicMillis = 1_000;
+  private long wallMillis = 50_000;
+  private final SuspensionDetector detector =
+      new SuspensionDetector(() -> monotonicMillis, () -> wallMillis);
 
   /**
-   * The process is suspended for 9 s: its steady clock stands still. What it learnt just before
-   * looks fresh, but a key may have been withdrawn since.
+   * Guards against a proof that looks recent after a suspension. The process is suspended for 9 s
+   * while its monotonic clock stands still, and a key may have been withdrawn meanwhile.
    */
   @Test
-  void proofFromBeforeSuspensionIsVoid() {
-    steady += 10;
-    wall += 10;
-    assertThat(guard.isUninterruptedSince(1_005)).isTrue();
-    wall += 9_000;
-    assertThat(guard.isUninterruptedSince(1_005)).isFalse();
-    steady += 20;
-    wall += 20;
-    assertThat(guard.isUninterruptedSince(1_005)).isFalse();
-    assertThat(guard.isUninterruptedSince(1_020)).isTrue();
+  void proofFromBeforeSuspensionIsInvalid() {
+    monotonicMillis += 10;
+    wallMillis += 10;
+    assertThat(detector.isUninterruptedSince(1_005)).isTrue();
+    wallMillis += 9_000;
+    assertThat(detector.isUninterruptedSince(1_005)).isFalse();
+    monotonicMillis += 20;
+    wallMillis += 20;
+    assertThat(detector.isUninterruptedSince(1_005)).isFalse();
+    assertThat(detector.isUninterruptedSince(1_020)).isTrue();
   }
 
   @Test
-  void stepOfTheTimeOfDayVoidsProofsOnce() {
-    wall -= 2_400;
-    assertThat(guard.isUninterruptedSince(1_000)).isFalse();
-    steady += 5;
-    wall += 5;
-    assertThat(guard.isUninterruptedSince(1_003)).isTrue();
+  void wallClockStepInvalidatesProofsOnce() {
+    wallMillis -= 2_400;
+    assertThat(detector.isUninterruptedSince(1_000)).isFalse();
+    monotonicMillis += 5;
+    wallMillis += 5;
+    assertThat(detector.isUninterruptedSince(1_003)).isTrue();
   }
 }
