--- a/core/src/main/java/org/hickorypier/core/cell/Cell.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Cell.java
@@ -25,9 +25,9 @@
   private static final int RUNS_PER_EPOCH = 1_000;
 
   private final CellState state;
-  private final RunBook runs;
-  private final WorkerReports reports;
-  private final WorkerBook workers;
+  private final RunController runs;
+  private final WorkerReportHandler reports;
+  private final WorkerRegistry workers;
   private final Turns turns;
   private final Archive archive;
   private final Dispatch dispatch;
@@ -47,12 +47,16 @@
    */
   public Cell(CellTerms terms, CellOutput output, EventLog log, int epoch, long now) {
     this.state = new CellState(terms, output, log, epoch, now);
-    this.runs = new RunBook(state);
+    this.runs = new RunController(state);
     RunAdoption adoption = new RunAdoption(state, runs);
     this.reports =
-        new WorkerReports(
-            state, runs, new TaskEnds(state, runs), new Stragglers(state, runs), adoption);
-    this.workers = new WorkerBook(state, runs, adoption);
+        new WorkerReportHandler(
+            state,
+            runs,
+            new RunEndHandler(state, runs),
+            new StragglerDetector(state, runs),
+            adoption);
+    this.workers = new WorkerRegistry(state, runs, adoption);
     this.turns = new Turns(state);
     this.archive = new Archive(state);
     this.upcoming = new UpcomingSteps(state);
@@ -214,7 +218,7 @@
           submission.spec().id(),
           "customer",
           submission.spec().customer());
-      runs.stopAll(submission, now);
+      runs.stopSubmission(submission, now);
       state.changed(submission);
     }
   }
@@ -265,7 +269,7 @@
    * @param now the time
    */
   public void formerOwnerEnded(Collection<RosterEntry> entries, long now) {
-    workers.formerOwnerEnded(entries, now);
+    workers.applyFinalRoster(entries, now);
   }
 
   /**
@@ -275,7 +279,7 @@
    * @param now the time
    */
   public void listed(Map<String, WorkerEntry> entries, long now) {
-    workers.listed(entries, now);
+    workers.handleListed(entries, now);
   }
 
   /**
@@ -285,7 +289,7 @@
    * @param now the time
    */
   public void departed(Collection<String> ids, long now) {
-    workers.departed(ids, now);
+    workers.handleDepartures(ids, now);
   }
 
   /**
@@ -315,9 +319,9 @@
    * @param sentAt when the renewal was sent
    * @param now the time
    */
-  public void held(WorkerView worker, HoldReport report, long sentAt, long now) {
+  public void held(WorkerView worker, RenewalReport report, long sentAt, long now) {
     if (knows(worker)) {
-      reports.take(worker, report, sentAt, now);
+      reports.handleReport(worker, report, sentAt, now);
     }
   }
 
@@ -328,7 +332,7 @@
    * @param now the time
    */
   public void holdUnanswered(WorkerView worker, long now) {
-    workers.unanswered(worker, now);
+    workers.handleMissingAnswer(worker, now);
   }
 
   /**
@@ -339,7 +343,7 @@
    * @param now the time
    */
   public void startAnswered(Run run, StartOutcome outcome, long now) {
-    runs.startAnswered(run, outcome, now);
+    runs.handleStartAnswer(run, outcome, now);
   }
 
   /**
@@ -350,7 +354,7 @@
    * @param now the time
    */
   public void stopAnswered(WorkerView worker, RunKey run, long now) {
-    runs.stopAnswered(worker, run, now);
+    runs.handleStopAnswer(worker, run, now);
   }
 
   /**
@@ -414,8 +418,8 @@
   public void tick(long now, long wallMillis) {
     workers.tick(now);
     state.reserve.sample();
-    runs.repeatStops(now);
-    runs.breakUnconfirmedGangs(now);
+    runs.resendStops(now);
+    runs.stopUnconfirmedGangs(now);
     archive.tick(wallMillis);
     state.newlyDone |= turns.anyScheduled();
     upcoming.look(now);
--- a/core/src/main/java/org/hickorypier/core/cell/CellState.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellState.java
@@ -31,8 +31,8 @@
   private long lastNumber;
   final long takenOverAt;
   final CustomerUsage usage = new CustomerUsage();
-  final LearnedWork learned = new LearnedWork();
-  final LearnedSpeed speeds = new LearnedSpeed();
+  final RunDurationEstimator learned = new RunDurationEstimator();
+  final WorkerKindSpeedEstimator speeds = new WorkerKindSpeedEstimator();
   final UrgentReserve reserve = new UrgentReserve();
   final Map<String, Submission> submissions = new HashMap<>();
 
@@ -66,7 +66,7 @@
 
   /** Tells whether a worker may run what nobody has named. */
   boolean unresolved(WorkerView worker, long now) {
-    return worker.runsUnknown && !worker.heard && now < worker.earlierLeasesEnd;
+    return worker.runsUnknown && !worker.hasAnswered && now < worker.earlierLeasesEnd;
   }
 
   /** Returns for how long a worker that stays silent may go on running something. */
@@ -96,7 +96,7 @@
     long last = -1;
     for (WorkerView worker : workers.values()) {
       if (unresolved(worker, now)) {
-        last = Math.max(last, worker.open() ? Long.MAX_VALUE : worker.closedAfter);
+        last = Math.max(last, worker.isOpen() ? Long.MAX_VALUE : worker.closedAfter);
       }
     }
     return last;
@@ -120,7 +120,7 @@
   List<WorkerView> taking(String service, long now) {
     List<WorkerView> taking = new ArrayList<>();
     for (WorkerView worker : workers.values()) {
-      if (worker.entry().service().equals(service) && worker.takesWork(now)) {
+      if (worker.entry().service().equals(service) && worker.acceptsOrders(now)) {
         taking.add(worker);
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/DepartureDetector.java
+++ b/core/src/main/java/org/hickorypier/core/cell/DepartureDetector.java
@@ -13,7 +13,7 @@
  */
 public final class DepartureDetector {
 
-  private static final int HEARTBEATS = 2;
+  private static final int MAX_AGE_HEARTBEATS = 2;
 
   private final long heartbeatMillis;
   private final Map<String, Long> drainingNotBefore = new HashMap<>();
@@ -33,7 +33,7 @@
    * @param entry the entry
    * @param notBefore a time before which it was not written
    */
-  public void written(WorkerEntry entry, long notBefore) {
+  public void recordWrite(WorkerEntry entry, long notBefore) {
     if (entry.draining()) {
       drainingNotBefore.put(entry.id(), notBefore);
     } else {
@@ -54,10 +54,10 @@
    * @param now the time
    * @return true if the worker has left
    */
-  public boolean removed(String id, long unbrokenSince, long now) {
+  public boolean recordRemoval(String id, long unbrokenSince, long now) {
     Long notBefore = drainingNotBefore.remove(id);
     return notBefore != null
         && notBefore > unbrokenSince
-        && now - notBefore < HEARTBEATS * heartbeatMillis;
+        && now - notBefore < MAX_AGE_HEARTBEATS * heartbeatMillis;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/Dispatch.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Dispatch.java
@@ -27,10 +27,10 @@
   private static final long ASK_AGAIN_MILLIS = 500;
 
   private final CellState cell;
-  private final RunBook runs;
+  private final RunController runs;
   private final UpcomingSteps upcoming;
 
-  Dispatch(CellState cell, RunBook runs, UpcomingSteps upcoming) {
+  Dispatch(CellState cell, RunController runs, UpcomingSteps upcoming) {
     this.cell = cell;
     this.runs = runs;
     this.upcoming = upcoming;
@@ -85,7 +85,7 @@
     if (tasks.isEmpty()) {
       return;
     }
-    final Claim claim = step.claim;
+    final StepReservation claim = step.claim;
     releaseClaim(step);
     AdviceBook book = step.advice;
     Map<Task, WorkerView> chosen =
@@ -152,7 +152,7 @@
       Task task = entry.getKey();
       int number = step.gang() ? gangRun : Math.max(step.submission.firstRun(), task.lastRun + 1);
       String ticket = step.advice == null ? null : step.advice.ticket(entry.getValue(), now);
-      runs.order(task, entry.getValue(), number, ticket, now);
+      runs.orderStart(task, entry.getValue(), number, ticket, now);
     }
   }
 
@@ -210,17 +210,17 @@
       rooms.merge(worker, step.spec.each(), Resources::plus);
     }
     long call = Math.round(step.advice.terms.callMillis(rooms.size()));
-    claim(step, new Claim(rooms, now + 2 * call + ASK_AGAIN_MILLIS));
+    claim(step, new StepReservation(rooms, now + 2 * call + ASK_AGAIN_MILLIS));
   }
 
-  private void claim(StepRun step, Claim claim) {
+  private void claim(StepRun step, StepReservation claim) {
     step.claim = claim;
-    claim.rooms().forEach((worker, size) -> worker.claim(size, 1));
+    claim.rooms().forEach((worker, size) -> worker.reserve(size, 1));
   }
 
   private void releaseClaim(StepRun step) {
     if (step.claim != null) {
-      step.claim.rooms().forEach((worker, size) -> worker.claim(size, -1));
+      step.claim.rooms().forEach((worker, size) -> worker.reserve(size, -1));
       step.claim = null;
     }
   }
--- a/core/src/main/java/org/hickorypier/core/cell/Explanation.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Explanation.java
@@ -54,7 +54,7 @@
       if (run != null) {
         line.append("; ").append(task.index).append(" run ").append(run.key.number());
         line.append(" on ").append(run.worker.id());
-        line.append(run.confirmed() ? " confirmed" : " ordered");
+        line.append(run.isConfirmed() ? " confirmed" : " ordered");
         line.append(run.stopping ? " stopping" : "").append(" for ").append(now - run.orderedAt);
         line.append(" ms, ").append(run.percent).append('%');
       }
--- a/core/src/main/java/org/hickorypier/core/cell/HoldReport.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RenewalReport.java
@@ -12,5 +12,5 @@
  * @param running what is at work
  * @param ended what has ended and was not acknowledged yet, oldest first
  */
-public record HoldReport(
+public record RenewalReport(
     long bornMillis, long clockMillis, List<RunningTask> running, List<EndedRun> ended) {}
--- a/core/src/main/java/org/hickorypier/core/cell/RosterEntry.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RosterEntry.java
@@ -45,7 +45,7 @@
    * @param millis the time, in milliseconds
    * @return an entry with that much less of the lease, if it is not renewed
    */
-  public RosterEntry after(long millis) {
+  public RosterEntry afterElapsed(long millis) {
     return renewed()
         ? this
         : new RosterEntry(worker, closedAfter, Math.max(0, leaseMillis - millis), runs);
--- a/core/src/main/java/org/hickorypier/core/cell/RosterWriter.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RosterWriter.java
@@ -16,12 +16,12 @@
 final class RosterWriter {
 
   /** While a lease runs out, the roster is written this often with what is left of it. */
-  private static final long COUNT_DOWN_MILLIS = 1_000;
+  private static final long EXPIRY_UPDATE_MILLIS = 1_000;
 
   /**
    * With so many runs, of some 30 bytes each, a roster is well under the store's largest record.
    */
-  private static final int MOST_NAMED_RUNS = 4_000;
+  private static final int MAX_LISTED_RUNS = 4_000;
 
   private final CellState cell;
   private boolean stale;
@@ -33,13 +33,13 @@
   }
 
   /** Notes that the roster is out of date. */
-  void stale() {
+  void markStale() {
     stale = true;
   }
 
   /** Writes the roster if it is out of date, unless it is being written. */
-  void write(long now) {
-    boolean countsDown = now - writtenAt >= COUNT_DOWN_MILLIS && anyLeaseRunsOut(now);
+  void writeIfStale(long now) {
+    boolean countsDown = now - writtenAt >= EXPIRY_UPDATE_MILLIS && hasExpiringLease(now);
     if (!stale && !countsDown || writing) {
       return;
     }
@@ -49,13 +49,14 @@
     List<WorkerView> written = new ArrayList<>(cell.workers.values());
     written.removeIf(worker -> worker.retired);
     List<RosterEntry> entries = entriesOf(written, now);
-    List<WorkerView> open = written.stream().filter(WorkerView::open).toList();
-    List<WorkerView> renewed = written.stream().filter(each -> !each.runsOutOnRoster).toList();
+    List<WorkerView> open = written.stream().filter(WorkerView::isOpen).toList();
+    List<WorkerView> renewed =
+        written.stream().filter(each -> !each.leaseExpiringOnRoster).toList();
     cell.output.saveRoster(
         entries,
         () -> {
           writing = false;
-          open.forEach(worker -> worker.onRoster = worker.open());
+          open.forEach(worker -> worker.onRoster = worker.isOpen());
           renewed.forEach(worker -> worker.renewable = true);
           cell.dirty = true;
         });
@@ -68,7 +69,7 @@
     for (WorkerView worker : written) {
       RosterEntry entry = entryOf(worker, namedRuns, now);
       namedRuns += entry.runs().map(List::size).orElse(0);
-      worker.runsOutOnRoster = !entry.renewed();
+      worker.leaseExpiringOnRoster = !entry.renewed();
       worker.renewable &= entry.renewed();
       entries.add(entry);
     }
@@ -83,17 +84,17 @@
         entries.add(
             new RosterEntry(
                 worker.entry(),
-                worker.open() ? cell.lastNumber() : worker.closedAfter,
+                worker.isOpen() ? cell.lastNumber() : worker.closedAfter,
                 cell.mayRunMillis(worker, now),
-                namedRuns(worker, now)));
+                possibleRuns(worker, now)));
       }
     }
     return entries;
   }
 
-  private boolean anyLeaseRunsOut(long now) {
+  private boolean hasExpiringLease(long now) {
     for (WorkerView worker : cell.workers.values()) {
-      if (worker.runsOutOnRoster && !worker.retired && worker.leaseEnd() > now) {
+      if (worker.leaseExpiringOnRoster && !worker.retired && worker.leaseEnd() > now) {
         return true;
       }
     }
@@ -101,16 +102,16 @@
   }
 
   private RosterEntry entryOf(WorkerView worker, int namedBefore, long now) {
-    if (worker.open()) {
+    if (worker.isOpen()) {
       return new RosterEntry(worker.entry(), RosterEntry.OPEN);
     }
-    long lease = worker.leaseRunsOut(now) ? cell.mayRunMillis(worker, now) : RosterEntry.RENEWED;
+    long lease = worker.isLeaseExpiring(now) ? cell.mayRunMillis(worker, now) : RosterEntry.RENEWED;
     Optional<List<RunKey>> named =
-        namedRuns(worker, now).filter(each -> namedBefore + each.size() <= MOST_NAMED_RUNS);
+        possibleRuns(worker, now).filter(each -> namedBefore + each.size() <= MAX_LISTED_RUNS);
     return new RosterEntry(worker.entry(), worker.closedAfter, lease, named);
   }
 
-  private Optional<List<RunKey>> namedRuns(WorkerView worker, long now) {
+  private Optional<List<RunKey>> possibleRuns(WorkerView worker, long now) {
     if (cell.unresolved(worker, now)) {
       return Optional.empty();
     }
--- a/core/src/main/java/org/hickorypier/core/cell/Run.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Run.java
@@ -26,7 +26,7 @@
   long orderDeadline;
 
   /** How many copies of the order were sent. */
-  int copies;
+  int orderCopies;
 
   String ticket;
   boolean stopping;
@@ -84,7 +84,7 @@
     return task == null ? "" : task.checkpoint;
   }
 
-  boolean confirmed() {
+  boolean isConfirmed() {
     return confirmedAt > 0;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/RunAdoption.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunAdoption.java
@@ -9,15 +9,15 @@
 final class RunAdoption {
 
   private final CellState cell;
-  private final RunBook runs;
+  private final RunController runs;
 
-  RunAdoption(CellState cell, RunBook runs) {
+  RunAdoption(CellState cell, RunController runs) {
     this.cell = cell;
     this.runs = runs;
   }
 
   /** Takes over a run that its worker has reported, or stops it where it is not wanted. */
-  Run reported(WorkerView worker, RunKey key, long now) {
+  Run adoptReported(WorkerView worker, RunKey key, long now) {
     return adopt("run-adopted", worker, key, now);
   }
 
@@ -25,7 +25,7 @@
    * Takes over a run that an earlier owner has named, on a worker that has not been heard. It is
    * not there any more if the worker's first report lacks it.
    */
-  void named(WorkerView worker, RunKey key, long now) {
+  void adoptListed(WorkerView worker, RunKey key, long now) {
     if (!worker.runs.containsKey(key)) {
       adopt("run-expected", worker, key, now);
     }
@@ -54,7 +54,7 @@
 
   /** Of two runs of a gang that are found the later one goes on, as a whole. */
   private boolean supersedes(Task task, RunKey key, long now) {
-    if (task.current != null && !replacesUnheard(task.current, key, now)) {
+    if (task.current != null && !replacesUnconfirmed(task.current, key, now)) {
       return false;
     }
     if (!task.step.gang()) {
@@ -76,8 +76,8 @@
   }
 
   /** The earlier owner ordered a later run, so it had settled the one that it named before. */
-  private boolean replacesUnheard(Run present, RunKey key, long now) {
-    if (present.worker.heard || present.key.number() >= key.number()) {
+  private boolean replacesUnconfirmed(Run present, RunKey key, long now) {
+    if (present.worker.hasAnswered || present.key.number() >= key.number()) {
       return false;
     }
     runs.stop(present, now);
--- a/core/src/main/java/org/hickorypier/core/cell/TaskEnds.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
@@ -10,7 +10,7 @@
  * <p>Invariant: the same end, heard again by a successor, changes nothing a second time. Belongs to
  * the control thread.
  */
-final class TaskEnds {
+final class RunEndHandler {
 
   /** Two failures in a row, without a success between, are more than tasks fail by themselves. */
   private static final int FAILURES_TO_QUARANTINE = 2;
@@ -18,17 +18,17 @@
   /** First length of a quarantine; a worker that fails everything empties the attempts of all. */
   private static final long QUARANTINE_MILLIS = 4_000;
 
-  private static final int MOST_DOUBLINGS = 3;
+  private static final int MAX_DOUBLINGS = 3;
 
   private final CellState cell;
-  private final RunBook runs;
+  private final RunController runs;
 
-  TaskEnds(CellState cell, RunBook runs) {
+  RunEndHandler(CellState cell, RunController runs) {
     this.cell = cell;
     this.runs = runs;
   }
 
-  void take(WorkerView worker, EndedRun ended, long now) {
+  void handleEnd(WorkerView worker, EndedRun ended, long now) {
     Run run = worker.runs.get(ended.run());
     if (run != null) {
       runs.release(run);
@@ -53,59 +53,59 @@
       task.keepCheckpoint(ended.checkpoint());
     }
     if (ended.how() == RunEnd.DONE) {
-      succeeded(worker, run, task, now);
+      handleSuccess(worker, run, task, now);
     } else if (ended.how() == RunEnd.FAILED) {
-      failed(task, ended, worker, now);
+      handleFailure(task, ended, worker, now);
     }
     if (run != null) {
-      runs.free(run, now);
+      runs.reopenTask(run, now);
     }
   }
 
-  private void succeeded(WorkerView worker, Run run, Task task, long now) {
+  private void handleSuccess(WorkerView worker, Run run, Task task, long now) {
     worker.failureStreak = 0;
     Submission submission = task.step.submission;
-    if (run != null && run.confirmed() && run.copies > 0) {
+    if (run != null && run.isConfirmed() && run.orderCopies > 0) {
       long took = now - run.confirmedAt;
-      cell.learned.ended(submission.spec().queue().name(), took);
+      cell.learned.recordRun(submission.spec().queue().name(), took);
       task.step.longestRunMillis = Math.max(task.step.longestRunMillis, took);
       worker.slowStreak = 0;
-      if (comparable(run)) {
-        cell.speeds.ended(worker.entry().kind(), task.step, took);
+      if (isComparable(run)) {
+        cell.speeds.recordRun(worker.entry().kind(), task.step, took);
       }
     }
     // A persistent task is never done: however it ends, it starts again.
     if (submission.live() && !task.step.spec.flags().persistent()) {
-      done(task, now);
+      completeTask(task, now);
     }
   }
 
   /** Gangs, what fills, what lasts and what was resumed take a time of their own. */
-  private static boolean comparable(Run run) {
+  private static boolean isComparable(Run run) {
     StepFlags flags = run.task.step.spec.flags();
     return !flags.gang() && !flags.fills() && !flags.persistent() && !run.resumed;
   }
 
-  private void done(Task task, long now) {
+  private void completeTask(Task task, long now) {
     StepRun step = task.step;
     if (step.done() || task.done) {
       return;
     }
     if (!step.gang()) {
-      taskDone(task, now);
+      markDone(task, now);
     } else {
       // The members of a gang end together, and one end stands for all.
       for (Task member : step.tasks) {
-        taskDone(member, now);
+        markDone(member, now);
       }
     }
     cell.changed(step.submission);
     if (step.done()) {
-      stepDone(step, now);
+      completeStep(step, now);
     }
   }
 
-  private void taskDone(Task task, long now) {
+  private void markDone(Task task, long now) {
     if (task.done) {
       return;
     }
@@ -118,7 +118,7 @@
     }
   }
 
-  private void stepDone(StepRun step, long now) {
+  private void completeStep(StepRun step, long now) {
     Submission submission = step.submission;
     submission.openSteps--;
     cell.open.remove(step);
@@ -136,11 +136,11 @@
         submission.objectiveMillis(cell.learned));
   }
 
-  private void failed(Task task, EndedRun ended, WorkerView worker, long now) {
+  private void handleFailure(Task task, EndedRun ended, WorkerView worker, long now) {
     Task record = task.step.failureRecord(task);
     // A task that has failed elsewhere says more of itself than of this worker.
     if (record.failedRuns.isEmpty()) {
-      distrust(worker, now);
+      recordWorkerFailure(worker, now);
     }
     Submission submission = task.step.submission;
     if (!submission.live() || task.done || record.failedRuns.contains(ended.run().number())) {
@@ -159,14 +159,14 @@
           CellState.text(ended.run().task()),
           "attempts",
           record.failedRuns.size());
-      runs.stopAll(submission, now);
+      runs.stopSubmission(submission, now);
     }
   }
 
-  private void distrust(WorkerView worker, long now) {
+  private void recordWorkerFailure(WorkerView worker, long now) {
     worker.failureStreak++;
     if (worker.failureStreak >= FAILURES_TO_QUARANTINE) {
-      int doublings = Math.min(MOST_DOUBLINGS, worker.failureStreak - FAILURES_TO_QUARANTINE);
+      int doublings = Math.min(MAX_DOUBLINGS, worker.failureStreak - FAILURES_TO_QUARANTINE);
       long length = QUARANTINE_MILLIS << doublings;
       worker.quarantinedUntil = now + length;
       cell.workerEvent(
--- a/core/src/main/java/org/hickorypier/core/cell/RunPace.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunPace.java
@@ -9,12 +9,12 @@
 final class RunPace {
 
   /** What is left of a run that does not get on at all, in milliseconds. */
-  static final long NEVER = Long.MAX_VALUE / 4;
+  static final long NEVER_MILLIS = Long.MAX_VALUE / 4;
 
-  private static final int WHOLE = 100;
+  private static final int WHOLE_PERCENT = 100;
 
   /** Restoring a checkpoint takes up to 0.6 s on the users' installations. */
-  private static final long MOST_RESTORE_MILLIS = 1_500;
+  private static final long MAX_RESTORE_MILLIS = 1_500;
 
   private boolean restoring;
   private Sample first;
@@ -42,11 +42,11 @@
    * @param percent from 0 to 100
    * @param windowMillis how much time the pace is taken over at least
    */
-  void seen(long clockMillis, int percent, long windowMillis) {
+  void addSample(long clockMillis, int percent, long windowMillis) {
     Sample sample = new Sample(clockMillis, percent);
     if (restoring) {
       first = first == null ? sample : first;
-      restoring = percent <= first.percent && clockMillis - first.clockMillis < MOST_RESTORE_MILLIS;
+      restoring = percent <= first.percent && clockMillis - first.clockMillis < MAX_RESTORE_MILLIS;
       oldest = restoring ? null : sample;
     } else if (oldest == null) {
       oldest = sample;
@@ -65,22 +65,22 @@
    * @param windowMillis the time
    * @return false while its pace is not known yet
    */
-  boolean known(long windowMillis) {
+  boolean isKnown(long windowMillis) {
     return oldest != null && newest.clockMillis - oldest.clockMillis >= windowMillis;
   }
 
   /**
    * Returns how long the run takes yet at its present pace.
    *
-   * @return milliseconds; {@link #NEVER} if it stands still
+   * @return milliseconds; {@link #NEVER_MILLIS} if it stands still
    */
   long remainingMillis() {
     int gained = newest.percent - oldest.percent;
     if (gained <= 0) {
-      return NEVER;
+      return NEVER_MILLIS;
     }
     long watched = newest.clockMillis - oldest.clockMillis;
-    return watched * (WHOLE - newest.percent) / gained;
+    return watched * (WHOLE_PERCENT - newest.percent) / gained;
   }
 
   /**
@@ -88,7 +88,7 @@
    *
    * @return from 0 to 1
    */
-  double partLeft() {
-    return (WHOLE - newest.percent) / (double) WHOLE;
+  double remainingFraction() {
+    return (WHOLE_PERCENT - newest.percent) / (double) WHOLE_PERCENT;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/Claim.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StepReservation.java
@@ -12,4 +12,4 @@
  * @param rooms what is set aside, by worker
  * @param until when it ends by itself, on the owner's steady clock
  */
-record Claim(Map<WorkerView, Resources> rooms, long until) {}
+record StepReservation(Map<WorkerView, Resources> rooms, long until) {}
--- a/core/src/main/java/org/hickorypier/core/cell/StepRun.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StepRun.java
@@ -29,7 +29,7 @@
   double comparedMillis;
 
   /** Room set aside while tickets are on their way, or null. */
-  Claim claim;
+  StepReservation claim;
 
   StepRun(Submission submission, int occurrence, int index, StepSpec spec, int firstPlace) {
     this.submission = submission;
--- a/core/src/main/java/org/hickorypier/core/cell/Stragglers.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StragglerDetector.java
@@ -11,59 +11,59 @@
  * check of 0.8 s was seen to take 5.6 s. Workers tell how far each run is, so the time that it
  * takes yet can be compared with that of a new run elsewhere. Belongs to the control thread.
  */
-final class Stragglers {
+final class StragglerDetector {
 
   /** The pace of a run is taken over so much of its usual length, and over this time at least. */
-  private static final double WINDOW_PART = 0.12;
+  private static final double WINDOW_FRACTION = 0.12;
 
-  private static final long LEAST_WINDOW_MILLIS = 200;
+  private static final long MIN_WINDOW_MILLIS = 200;
 
   /**
    * So much longer than a run elsewhere must the present one take yet. Sound workers differ by a
    * third, the tasks of a step by a sixth, and estimates by a fifth, 1.8 together.
    */
-  private static final double CLEARLY_SLOWER = 2;
+  private static final double MIN_SLOWDOWN_FACTOR = 2;
 
   /** A stop, the news of it, a ticket and the order of the next run take about so long. */
   private static final long MOVE_MILLIS = 300;
 
   /** A task that was moved so often is slow by itself. */
-  private static final int MOST_MOVES = 2;
+  private static final int MAX_MOVES = 2;
 
   /** A worker that was found slow gets nothing for this time; doubled each time it is found so. */
-  private static final long SHUNNED_MILLIS = 1_500;
+  private static final long SLOW_BACKOFF_MILLIS = 1_500;
 
-  private static final int MOST_DOUBLINGS = 2;
+  private static final int MAX_DOUBLINGS = 2;
 
   /** If more than one worker in so many seems slow, the expectation is wrong, not the workers. */
-  private static final int ONE_IN = 3;
+  private static final int WORKERS_PER_SLOW_WORKER = 3;
 
   private final CellState cell;
-  private final RunBook runs;
+  private final RunController runs;
 
-  Stragglers(CellState cell, RunBook runs) {
+  StragglerDetector(CellState cell, RunController runs) {
     this.cell = cell;
     this.runs = runs;
   }
 
   /** Notes how far a run is. */
-  void seen(Run run, int percent, long clockMillis, long now) {
-    if (!watched(run)) {
+  void recordProgress(Run run, int percent, long clockMillis, long now) {
+    if (!isWatched(run)) {
       return;
     }
     if (run.pace == null) {
       run.pace = new RunPace(run.resumed);
-      if (run.copies > 0 && !run.resumed) {
-        run.pace.seen(clockMillis - (now - run.confirmedAt), 0, windowMillis(run));
+      if (run.orderCopies > 0 && !run.resumed) {
+        run.pace.addSample(clockMillis - (now - run.confirmedAt), 0, windowMillis(run));
       }
     }
-    run.pace.seen(clockMillis, percent, windowMillis(run));
+    run.pace.addSample(clockMillis, percent, windowMillis(run));
   }
 
   /** Looks at all runs of a worker that has just told how far they are. */
-  void look(WorkerView worker, long now) {
+  void moveStragglers(WorkerView worker, long now) {
     for (Run run : CellState.copy(worker.runs.values())) {
-      if (watched(run) && straggles(run) && mayMove(run, now)) {
+      if (isWatched(run) && isStraggling(run) && mayMove(run, now)) {
         move(run, now);
       }
     }
@@ -73,9 +73,9 @@
    * A gang gets on as a whole, what lasts is never done, and what fills gets on as others leave it
    * room: none of them has a pace that tells of its worker.
    */
-  private static boolean watched(Run run) {
+  private static boolean isWatched(Run run) {
     return run.task != null
-        && run.confirmed()
+        && run.isConfirmed()
         && !run.stopping
         && run.task.current == run
         && !run.task.step.gang()
@@ -86,30 +86,31 @@
   private long expectedMillis(Run run) {
     StepRun step = run.task.step;
     String queue = step.submission.spec().queue().name();
-    return Math.max(step.longestRunMillis, cell.learned.atLeast(queue, step.spec.estimateMillis()));
+    return Math.max(
+        step.longestRunMillis, cell.learned.expectedMillis(queue, step.spec.estimateMillis()));
   }
 
   private long windowMillis(Run run) {
-    return Math.max(LEAST_WINDOW_MILLIS, Math.round(WINDOW_PART * expectedMillis(run)));
+    return Math.max(MIN_WINDOW_MILLIS, Math.round(WINDOW_FRACTION * expectedMillis(run)));
   }
 
   /**
    * Compares what a run takes yet with a new run elsewhere. Before anything has ended there is
    * nothing to compare with but callers' estimates, which are off by up to nine tenths.
    */
-  private boolean straggles(Run run) {
+  private boolean isStraggling(Run run) {
     String queue = run.task.step.submission.spec().queue().name();
-    if (run.pace == null || !cell.learned.known(queue) || !run.pace.known(windowMillis(run))) {
+    if (run.pace == null || !cell.learned.isKnown(queue) || !run.pace.isKnown(windowMillis(run))) {
       return false;
     }
-    double again = run.task.step.spec.flags().checkpoints() ? run.pace.partLeft() : 1;
+    double again = run.task.step.spec.flags().checkpoints() ? run.pace.remainingFraction() : 1;
     double elsewhere = again * expectedMillis(run) + MOVE_MILLIS;
-    return run.pace.remainingMillis() > CLEARLY_SLOWER * elsewhere;
+    return run.pace.remainingMillis() > MIN_SLOWDOWN_FACTOR * elsewhere;
   }
 
   /** What is not urgent stays where it is unless there is room elsewhere: slow beats not at all. */
   private boolean mayMove(Run run, long now) {
-    if (run.task.moves >= MOST_MOVES) {
+    if (run.task.moves >= MAX_MOVES) {
       return false;
     }
     StepRun step = run.task.step;
@@ -141,29 +142,29 @@
         run.pace.remainingMillis(),
         "expected_ms",
         expectedMillis(run));
-    shun(run.worker, now);
+    backOff(run.worker, now);
     runs.stop(run, now);
   }
 
-  private void shun(WorkerView worker, long now) {
-    if (now < worker.shunnedUntil || tooManyShunned(worker.entry().service(), now)) {
+  private void backOff(WorkerView worker, long now) {
+    if (now < worker.slowBackoffUntil || isBackoffLimitReached(worker.entry().service(), now)) {
       return;
     }
-    long length = SHUNNED_MILLIS << Math.min(MOST_DOUBLINGS, worker.slowStreak);
+    long length = SLOW_BACKOFF_MILLIS << Math.min(MAX_DOUBLINGS, worker.slowStreak);
     worker.slowStreak++;
-    worker.shunnedUntil = now + length;
+    worker.slowBackoffUntil = now + length;
     cell.workerEvent("worker-slow", worker, "streak", worker.slowStreak, "for_ms", length);
   }
 
-  private boolean tooManyShunned(String service, long now) {
+  private boolean isBackoffLimitReached(String service, long now) {
     int shunned = 0;
     int all = 0;
     for (WorkerView worker : cell.workers.values()) {
       if (worker.listed && worker.entry().service().equals(service)) {
         all++;
-        shunned += now < worker.shunnedUntil ? 1 : 0;
+        shunned += now < worker.slowBackoffUntil ? 1 : 0;
       }
     }
-    return (shunned + 1) * ONE_IN > all;
+    return (shunned + 1) * WORKERS_PER_SLOW_WORKER > all;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/Submission.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Submission.java
@@ -117,8 +117,8 @@
   }
 
   /** Returns how long it may take to be in time, in milliseconds. */
-  long objectiveMillis(LearnedWork learned) {
-    long chain = learned.atLeast(spec.queue().name(), spec.longestChainMillis());
+  long objectiveMillis(RunDurationEstimator learned) {
+    long chain = learned.expectedMillis(spec.queue().name(), spec.longestChainMillis());
     return Math.round(spec.queue().stretch() * chain) + spec.queue().objectiveMillis();
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
@@ -102,7 +102,7 @@
 
   private boolean nearlyDone(StepRun step, long now) {
     String queue = step.submission.spec().queue().name();
-    long usual = cell.learned.atLeast(queue, step.spec.estimateMillis());
+    long usual = cell.learned.expectedMillis(queue, step.spec.estimateMillis());
     for (Task task : step.tasks) {
       if (!task.done && !endsBy(now + AHEAD_MILLIS, task.current, usual)) {
         return false;
@@ -112,6 +112,9 @@
   }
 
   private static boolean endsBy(long time, Run run, long usualMillis) {
-    return run != null && run.confirmed() && !run.stopping && run.confirmedAt + usualMillis <= time;
+    return run != null
+        && run.isConfirmed()
+        && !run.stopping
+        && run.confirmedAt + usualMillis <= time;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
@@ -20,7 +20,7 @@
 
   private UrgencyOrder() {}
 
-  static List<StepRun> sorted(Collection<StepRun> open, LearnedWork learned, long now) {
+  static List<StepRun> sorted(Collection<StepRun> open, RunDurationEstimator learned, long now) {
     List<Ranked> ranked = new ArrayList<>(open.size());
     for (StepRun step : open) {
       ranked.add(rank(step, learned, now));
@@ -37,11 +37,11 @@
     return sorted;
   }
 
-  private static Ranked rank(StepRun step, LearnedWork learned, long now) {
+  private static Ranked rank(StepRun step, RunDurationEstimator learned, long now) {
     Submission submission = step.submission;
     QueueTerms queue = submission.spec().queue();
     long objective = submission.objectiveMillis(learned);
-    long end = now + learned.atLeast(queue.name(), step.spec.estimateMillis());
+    long end = now + learned.expectedMillis(queue.name(), step.spec.estimateMillis());
     // What lasts is of use whenever it runs, and is wanted again from the moment when it was lost.
     long from = step.lasting() ? step.waitsSince() : submission.acceptedAt;
     boolean hopeless = !step.lasting() && end > from + LATE_FACTOR * objective;
--- a/core/src/main/java/org/hickorypier/core/cell/LearnedSpeed.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerKindSpeedEstimator.java
@@ -10,15 +10,15 @@
  * before. That needs no estimate, and one kind shows after a second of usual load, also to a new
  * owner. Belongs to the control thread.
  */
-final class LearnedSpeed {
+final class WorkerKindSpeedEstimator {
 
   /**
    * Each end counts so much: the tasks of a step differ by a sixth, so some 20 ends make a mean.
    */
-  private static final double WEIGHT = 0.05;
+  private static final double SAMPLE_WEIGHT = 0.05;
 
   /** A run that took far longer says something of its worker, not of the kind. */
-  private static final double MOST_RATIO = 2;
+  private static final double MAX_RATIO = 2;
 
   private final Map<String, Double> factors = new HashMap<>();
 
@@ -29,11 +29,11 @@
    * @param step the step of the task
    * @param millis how long the run took
    */
-  void ended(String kind, StepRun step, long millis) {
+  void recordRun(String kind, StepRun step, long millis) {
     if (step.comparedRuns > 0 && step.comparedMillis > 0) {
       double usual = step.comparedMillis / step.comparedRuns;
-      double ratio = Math.max(1 / MOST_RATIO, Math.min(MOST_RATIO, millis / usual));
-      factors.merge(kind, ratio, (factor, newest) -> factor + WEIGHT * (newest - factor));
+      double ratio = Math.max(1 / MAX_RATIO, Math.min(MAX_RATIO, millis / usual));
+      factors.merge(kind, ratio, (factor, newest) -> factor + SAMPLE_WEIGHT * (newest - factor));
     }
     step.comparedRuns++;
     step.comparedMillis += millis / factor(kind);
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerBook.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerRegistry.java
@@ -14,24 +14,24 @@
  * <p>Invariant: a worker that may hold runs is on the durable roster, so that a successor asks it
  * even if it is not listed any more. Belongs to the control thread.
  */
-final class WorkerBook {
+final class WorkerRegistry {
 
   private static final String PART = "cell";
 
   private final CellState cell;
-  private final RunBook runs;
+  private final RunController runs;
   private final RunAdoption adoption;
 
   /** The last submission that an earlier owner may have taken. */
-  private final long lastOfEarlierOwners;
+  private final long lastSubmissionOfEarlierOwners;
 
   private final RosterWriter roster;
 
-  WorkerBook(CellState cell, RunBook runs, RunAdoption adoption) {
+  WorkerRegistry(CellState cell, RunController runs, RunAdoption adoption) {
     this.cell = cell;
     this.runs = runs;
     this.adoption = adoption;
-    this.lastOfEarlierOwners = cell.lastNumber();
+    this.lastSubmissionOfEarlierOwners = cell.lastNumber();
     this.roster = new RosterWriter(cell);
   }
 
@@ -42,22 +42,22 @@
       worker.onRoster = true;
       worker.closedAfter = restored.closedAfter();
       worker.renewable = restored.renewed();
-      worker.runsOutOnRoster = !restored.renewed();
-      worker.earlierLeasesEnd = cell.takenOverAt + longestLease(restored);
+      worker.leaseExpiringOnRoster = !restored.renewed();
+      worker.earlierLeasesEnd = cell.takenOverAt + longestLeaseMillis(restored);
       worker.runsUnknown = restored.runs().isEmpty();
       cell.workers.put(entry.id(), worker);
       for (RunKey run : restored.runs().orElse(List.of())) {
-        adoption.named(worker, run, cell.takenOverAt);
+        adoption.adoptListed(worker, run, cell.takenOverAt);
       }
     }
   }
 
-  private long longestLease(RosterEntry restored) {
+  private long longestLeaseMillis(RosterEntry restored) {
     return restored.renewed() ? cell.terms.silentWorkerMillis() : restored.leaseMillis();
   }
 
-  void listed(Map<String, WorkerEntry> entries, long now) {
-    entries.values().forEach(entry -> listed(entry, now));
+  void handleListed(Map<String, WorkerEntry> entries, long now) {
+    entries.values().forEach(entry -> handleListed(entry, now));
     for (WorkerView worker : cell.workers.values()) {
       if (worker.listed && !entries.containsKey(worker.id())) {
         worker.listed = false;
@@ -67,18 +67,18 @@
     cell.dirty = true;
   }
 
-  private void listed(WorkerEntry entry, long now) {
+  private void handleListed(WorkerEntry entry, long now) {
     WorkerView worker = cell.workers.get(entry.id());
     if (worker == null) {
       worker = new WorkerView(entry);
       cell.workers.put(entry.id(), worker);
       cell.log.event(PART, "worker-listed", "worker", entry.id(), "address", entry.address());
-      roster.stale();
+      roster.markStale();
     } else if (entry.bornMillis() > worker.bornMillis) {
       // Only its own report tells what the new life runs; until then it gets nothing.
-      unanswered(worker, now);
+      handleMissingAnswer(worker, now);
       if (!worker.entry().address().equals(entry.address())) {
-        roster.stale();
+        roster.markStale();
       }
     }
     if (entry.draining() && !worker.entry().draining()) {
@@ -89,19 +89,19 @@
     worker.update(entry);
   }
 
-  void departed(Collection<String> ids, long now) {
+  void handleDepartures(Collection<String> ids, long now) {
     for (String id : ids) {
       WorkerView worker = cell.workers.get(id);
       if (worker != null) {
         worker.departed = true;
       }
     }
-    settleLost(now);
+    removeLostWorkers(now);
   }
 
-  void unanswered(WorkerView worker, long now) {
+  void handleMissingAnswer(WorkerView worker, long now) {
     if (!worker.silent) {
-      long heardAgo = worker.heard ? now - worker.heardAt : -1;
+      long heardAgo = worker.hasAnswered ? now - worker.lastAnswerAt : -1;
       cell.log.event(
           PART,
           "worker-silent",
@@ -114,22 +114,22 @@
           "may_run_ms",
           cell.mayRunMillis(worker, now));
     }
-    worker.unanswered(now);
+    worker.recordMissingAnswer(now);
   }
 
   void tick(long now) {
     closeAndOpen(now);
-    roster.write(now);
-    settleLost(now);
+    roster.writeIfStale(now);
+    removeLostWorkers(now);
   }
 
-  private void settleLost(long now) {
+  private void removeLostWorkers(long now) {
     Set<String> gone = new HashSet<>();
     for (WorkerView worker : cell.workers.values()) {
       if (worker.silent && worker.departed) {
-        runs.workerLeft(worker, now);
+        runs.handleDeparture(worker, now);
       } else if (worker.silent && now > worker.leaseEnd()) {
-        runs.leaseExpired(worker, now);
+        runs.handleLeaseExpiry(worker, now);
       }
       boolean empty =
           worker.runs.isEmpty() && worker.unsavedEnds.isEmpty() && !cell.unresolved(worker, now);
@@ -140,7 +140,7 @@
     if (!gone.isEmpty()) {
       cell.log.event(PART, "workers-gone", "workers", gone);
       cell.workers.keySet().removeAll(gone);
-      roster.stale();
+      roster.markStale();
     }
   }
 
@@ -154,22 +154,24 @@
    */
   private void closeAndOpen(long now) {
     for (WorkerView worker : cell.workers.values()) {
-      if (worker.open() && worker.closing(now)) {
-        worker.closedAfter = worker.heard ? cell.lastNumber() : lastOfEarlierOwners;
+      if (worker.isOpen() && worker.shouldClose(now)) {
+        worker.closedAfter = worker.hasAnswered ? cell.lastNumber() : lastSubmissionOfEarlierOwners;
         worker.onRoster = false;
-        roster.stale();
-      } else if (!worker.open() && worker.heard && !worker.closing(now)) {
+        roster.markStale();
+      } else if (!worker.isOpen() && worker.hasAnswered && !worker.shouldClose(now)) {
         worker.closedAfter = RosterEntry.OPEN;
         worker.onRoster = false;
-        roster.stale();
+        roster.markStale();
       }
-      boolean retired = !worker.open() && worker.empty() && !cell.unresolved(worker, now);
+      boolean retired = !worker.isOpen() && worker.isEmpty() && !cell.unresolved(worker, now);
       if (retired != worker.retired) {
         worker.retired = retired;
-        roster.stale();
+        roster.markStale();
       }
-      if (!worker.open() && !retired && worker.leaseRunsOut(now) != worker.runsOutOnRoster) {
-        roster.stale();
+      if (!worker.isOpen()
+          && !retired
+          && worker.isLeaseExpiring(now) != worker.leaseExpiringOnRoster) {
+        roster.markStale();
       }
     }
   }
@@ -183,11 +185,11 @@
    * Takes the final roster of the owner before. It holds for workers that have not been heard: what
    * they run was ordered by that owner or an earlier one.
    */
-  void formerOwnerEnded(Collection<RosterEntry> entries, long now) {
+  void applyFinalRoster(Collection<RosterEntry> entries, long now) {
     Map<String, RosterEntry> byWorker = new HashMap<>();
     entries.forEach(entry -> byWorker.put(entry.worker().id(), entry));
     for (WorkerView worker : cell.workers.values()) {
-      if (!worker.heard) {
+      if (!worker.hasAnswered) {
         RosterEntry entry = byWorker.get(worker.id());
         if (entry == null) {
           // An empty worker may hold a lease all the same.
@@ -198,7 +200,7 @@
         }
       }
     }
-    roster.stale();
+    roster.markStale();
     cell.dirty = true;
   }
 
@@ -206,9 +208,9 @@
     worker.runsUnknown = false;
     for (Run run : CellState.copy(worker.runs.values())) {
       if (!named.contains(run.key)) {
-        runs.gone(run, now);
+        runs.removeRun(run, now);
       }
     }
-    named.forEach(run -> adoption.named(worker, run, now));
+    named.forEach(run -> adoption.adoptListed(worker, run, now));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerReports.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerReportHandler.java
@@ -12,19 +12,23 @@
  * and was given after the order or the stop had its answer, or after the order's deadline. Belongs
  * to the control thread.
  */
-final class WorkerReports {
+final class WorkerReportHandler {
 
   /** Workers list so many ends at a time; a run beyond the page has not vanished. */
-  private static final int ENDS_PAGE = 500;
+  private static final int ENDS_PAGE_SIZE = 500;
 
   private final CellState cell;
-  private final RunBook runs;
-  private final TaskEnds ends;
-  private final Stragglers stragglers;
+  private final RunController runs;
+  private final RunEndHandler ends;
+  private final StragglerDetector stragglers;
   private final RunAdoption adoption;
 
-  WorkerReports(
-      CellState cell, RunBook runs, TaskEnds ends, Stragglers stragglers, RunAdoption adoption) {
+  WorkerReportHandler(
+      CellState cell,
+      RunController runs,
+      RunEndHandler ends,
+      StragglerDetector stragglers,
+      RunAdoption adoption) {
     this.cell = cell;
     this.runs = runs;
     this.adoption = adoption;
@@ -32,11 +36,11 @@
     this.stragglers = stragglers;
   }
 
-  void take(WorkerView worker, HoldReport report, long sentAt, long now) {
+  void handleReport(WorkerView worker, RenewalReport report, long sentAt, long now) {
     if (worker.bornMillis != report.bornMillis()) {
-      newLife(worker, report.bornMillis(), now);
+      handleNewIncarnation(worker, report.bornMillis(), now);
     }
-    if (!worker.heard) {
+    if (!worker.hasAnswered) {
       cell.workerEvent(
           "worker-heard",
           worker,
@@ -45,36 +49,36 @@
           "ended",
           report.ended().size());
     }
-    worker.answered(report.clockMillis(), cell.terms.longestLeaseMillis(), now);
-    takeEnds(worker, report, now);
+    worker.recordAnswer(report.clockMillis(), cell.terms.longestLeaseMillis(), now);
+    handleEnds(worker, report, now);
     Set<RunKey> listed = new HashSet<>();
     for (RunningTask running : report.running()) {
       listed.add(running.run());
-      takeRunning(worker, running, report.clockMillis(), now);
+      handleRunning(worker, running, report.clockMillis(), now);
     }
-    stragglers.look(worker, now);
-    if (report.ended().size() < ENDS_PAGE) {
+    stragglers.moveStragglers(worker, now);
+    if (report.ended().size() < ENDS_PAGE_SIZE) {
       for (Run run : CellState.copy(worker.runs.values())) {
         if (!listed.contains(run.key)) {
-          missing(run, report, sentAt, now);
+          handleMissing(run, report, sentAt, now);
         }
       }
     }
     cell.dirty = true;
   }
 
-  private void takeEnds(WorkerView worker, HoldReport report, long now) {
-    long last = worker.endsTaken;
+  private void handleEnds(WorkerView worker, RenewalReport report, long now) {
+    long last = worker.lastProcessedEnd;
     List<RunKey> taken = new ArrayList<>();
     for (EndedRun ended : report.ended()) {
-      if (ended.number() > worker.endsTaken) {
-        ends.take(worker, ended, now);
+      if (ended.number() > worker.lastProcessedEnd) {
+        ends.handleEnd(worker, ended, now);
         last = ended.number();
         taken.add(ended.run());
       }
     }
-    if (last > worker.endsTaken) {
-      worker.endsTaken = last;
+    if (last > worker.lastProcessedEnd) {
+      worker.lastProcessedEnd = last;
       worker.unsavedEnds.addAll(taken);
       long durable = last;
       long life = worker.bornMillis;
@@ -82,28 +86,28 @@
           () -> {
             if (worker.bornMillis == life) {
               taken.forEach(worker.unsavedEnds::remove);
-              worker.endsDurable = Math.max(worker.endsDurable, durable);
+              worker.lastDurableEnd = Math.max(worker.lastDurableEnd, durable);
             }
           });
     }
   }
 
-  private void takeRunning(WorkerView worker, RunningTask running, long clock, long now) {
+  private void handleRunning(WorkerView worker, RunningTask running, long clock, long now) {
     Run run = worker.runs.get(running.run());
     if (run == null) {
-      run = adoption.reported(worker, running.run(), now);
+      run = adoption.adoptReported(worker, running.run(), now);
     }
-    if (!run.confirmed()) {
-      runs.confirmed(run, now);
+    if (!run.isConfirmed()) {
+      runs.confirm(run, now);
     }
     run.percent = running.percent();
-    stragglers.seen(run, running.percent(), clock, now);
+    stragglers.recordProgress(run, running.percent(), clock, now);
     if (run.task != null && !running.checkpoint().isEmpty()) {
       run.task.keepCheckpoint(running.checkpoint());
     }
   }
 
-  private void missing(Run run, HoldReport report, long sentAt, long now) {
+  private void handleMissing(Run run, RenewalReport report, long sentAt, long now) {
     boolean stopTookEffect = run.stopAnsweredAt > 0 && run.stopAnsweredAt < sentAt;
     boolean wasThere = run.confirmedAt > 0 && run.confirmedAt < sentAt;
     boolean tooLate =
@@ -115,7 +119,7 @@
     }
     String reason = stopTookEffect ? "stopped" : wasThere ? "vanished" : "order-expired";
     cell.runEvent("run-not-there", run.key, run.worker, "reason", reason);
-    runs.gone(run, now);
+    runs.removeRun(run, now);
   }
 
   /**
@@ -124,15 +128,15 @@
    * on the birth alone. An order without an answer may still arrive, and the new clock's deadline
    * would not refuse it, even if a copy of it ran and ended long ago; the run is stopped first.
    */
-  private void newLife(WorkerView worker, long bornMillis, long now) {
+  private void handleNewIncarnation(WorkerView worker, long bornMillis, long now) {
     cell.workerEvent("worker-reborn", worker, "runs", worker.runs.size());
-    worker.begin(bornMillis);
-    for (RunKey key : worker.unanswered.keySet()) {
-      worker.refusals.add(key);
+    worker.beginIncarnation(bornMillis);
+    for (RunKey key : worker.unansweredOrders.keySet()) {
+      worker.runsToRefuse.add(key);
       cell.output.stop(worker, key);
     }
     for (Run run : CellState.copy(worker.runs.values())) {
-      if (!run.confirmed()) {
+      if (!run.isConfirmed()) {
         run.orderDeadline = Long.MAX_VALUE;
         run.stopAnsweredAt = 0;
         runs.abandon(run, now);
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerView.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerView.java
@@ -27,10 +27,10 @@
    * A worker answers at least once a second. One not heard for three times that, for instance since
    * this owner could not prove its ownership, may have died and come back meanwhile.
    */
-  private static final long FRESH_MILLIS = 3_000;
+  private static final long MAX_ANSWER_AGE_MILLIS = 3_000;
 
   /** A worker answers at least twice in this time, and takes longer to start again. */
-  private static final long REPEAT_MILLIS = 1_000;
+  private static final long MAX_RESEND_ANSWER_AGE_MILLIS = 1_000;
 
   /** A lost answer is repeated well within this time; a worker silent for longer may be lost. */
   private static final long LONG_SILENCE_MILLIS = 500;
@@ -42,7 +42,7 @@
   long bornMillis;
 
   /** It has answered a renewal under this owner's token. */
-  boolean heard;
+  boolean hasAnswered;
 
   /** It is on the durable roster, so that a successor knows to ask it. */
   boolean onRoster;
@@ -66,38 +66,38 @@
   boolean silent;
 
   long silentSince;
-  long heardAt;
+  long lastAnswerAt;
 
   /** No roster that a successor may read tells that the lease runs out. */
   boolean renewable = true;
 
   /** The roster that was handed over last tells that its lease runs out. */
-  boolean runsOutOnRoster;
+  boolean leaseExpiringOnRoster;
 
   /** Orders without an answer, with the time they were sent: each may yet be carried out. */
-  final Map<RunKey, Long> unanswered = new LinkedHashMap<>();
+  final Map<RunKey, Long> unansweredOrders = new LinkedHashMap<>();
 
   /** Runs that a new life of the worker must refuse, until it has taken the stops. */
-  final Set<RunKey> refusals = new LinkedHashSet<>();
+  final Set<RunKey> runsToRefuse = new LinkedHashSet<>();
 
   long clockReading = NO_READING;
   long clockReadAt;
   long highestDeadline;
 
   /** Ends up to this number have been taken in. */
-  long endsTaken;
+  long lastProcessedEnd;
 
   /** Runs whose end was taken in and is not durable: a successor must hear it from the worker. */
   final Set<RunKey> unsavedEnds = new LinkedHashSet<>();
 
   /** Ends up to this number are durable, and may be forgotten by the worker. */
-  long endsDurable;
+  long lastDurableEnd;
 
   private long usedProcessors;
   private long usedMemory;
   private long usedAccelerators;
-  private long claimedProcessors;
-  private long claimedMemory;
+  private long reservedProcessors;
+  private long reservedMemory;
 
   /** It has taken itself off the list, and leaves as soon as it does not answer any more. */
   boolean departed;
@@ -106,11 +106,11 @@
   long quarantinedUntil;
   long fullUntil;
 
-  /** How long tasks take on its kind, against other kinds; see {@link LearnedSpeed}. */
+  /** How long tasks take on its kind, against other kinds; see {@link WorkerKindSpeedEstimator}. */
   double kindFactor = 1;
 
   /** It was found slow: it gets nothing until then. */
-  long shunnedUntil;
+  long slowBackoffUntil;
 
   /** How often in a row it was found slow. */
   int slowStreak;
@@ -147,8 +147,8 @@
    * @param now the time
    * @return the number
    */
-  public long acknowledged(long now) {
-    return silent || !fresh(now) ? 0 : endsDurable;
+  public long acknowledgedEnd(long now) {
+    return silent || !answeredRecently(now) ? 0 : lastDurableEnd;
   }
 
   /**
@@ -163,19 +163,19 @@
   /**
    * Notes an answer under this owner's token, after which it takes no renewal of an earlier one.
    */
-  void answered(long clockMillis, long longestLeaseMillis, long now) {
-    if (!heard) {
+  void recordAnswer(long clockMillis, long longestLeaseMillis, long now) {
+    if (!hasAnswered) {
       earlierLeasesEnd = Math.min(earlierLeasesEnd, now + longestLeaseMillis);
     }
-    heard = true;
+    hasAnswered = true;
     silent = false;
-    heardAt = now;
+    lastAnswerAt = now;
     clockReading = clockMillis;
     clockReadAt = now;
   }
 
   /** Notes that a renewal had no answer. */
-  void unanswered(long now) {
+  void recordMissingAnswer(long now) {
     if (!silent) {
       silentSince = now;
     }
@@ -183,16 +183,16 @@
   }
 
   /** Begins a new life, which knows nothing of before and counts anew. */
-  void begin(long born) {
+  void beginIncarnation(long born) {
     bornMillis = born;
-    endsTaken = 0;
-    endsDurable = 0;
+    lastProcessedEnd = 0;
+    lastDurableEnd = 0;
     unsavedEnds.clear();
     highestDeadline = 0;
     earlierLeasesEnd = 0;
     failureStreak = 0;
     quarantinedUntil = 0;
-    shunnedUntil = 0;
+    slowBackoffUntil = 0;
     slowStreak = 0;
   }
 
@@ -217,7 +217,7 @@
    * @return the deadline on the worker's clock, or -1 for a renewal that only asks
    */
   public long nextDeadline(long now, long leaseMillis) {
-    if (clockReading == NO_READING || !fresh(now) || silent || !renewable) {
+    if (clockReading == NO_READING || !answeredRecently(now) || silent || !renewable) {
       return -1;
     }
     long deadline = clockAt(now) + leaseMillis;
@@ -237,58 +237,58 @@
 
   void add(Run run) {
     runs.put(run.key, run);
-    use(run.size, 1);
+    addUsage(run.size, 1);
   }
 
   void remove(Run run) {
     if (runs.remove(run.key) != null) {
-      use(run.size, -1);
+      addUsage(run.size, -1);
     }
   }
 
-  private void use(Resources size, int sign) {
+  private void addUsage(Resources size, int sign) {
     usedProcessors += sign * size.milliProcessors();
     usedMemory += sign * size.memoryMebibytes();
     usedAccelerators += (long) sign * size.accelerators();
   }
 
-  void claim(Resources size, int sign) {
-    claimedProcessors += sign * size.milliProcessors();
-    claimedMemory += sign * size.memoryMebibytes();
+  void reserve(Resources size, int sign) {
+    reservedProcessors += sign * size.milliProcessors();
+    reservedMemory += sign * size.memoryMebibytes();
   }
 
   long freeProcessors() {
-    return entry.capacity().milliProcessors() - usedProcessors - claimedProcessors;
+    return entry.capacity().milliProcessors() - usedProcessors - reservedProcessors;
   }
 
   long freeMemory() {
-    return entry.capacity().memoryMebibytes() - usedMemory - claimedMemory;
+    return entry.capacity().memoryMebibytes() - usedMemory - reservedMemory;
   }
 
   long freeAccelerators() {
     return entry.capacity().accelerators() - usedAccelerators;
   }
 
-  private boolean fresh(long now) {
-    return now - heardAt <= FRESH_MILLIS;
+  private boolean answeredRecently(long now) {
+    return now - lastAnswerAt <= MAX_ANSWER_AGE_MILLIS;
   }
 
-  boolean open() {
+  boolean isOpen() {
     return closedAfter == RosterEntry.OPEN;
   }
 
   /** Tells whether it is to get no orders for a while, which a successor should know. */
-  boolean closing(long now) {
-    return entry.draining() || silentForLong(now);
+  boolean shouldClose(long now) {
+    return entry.draining() || isSilentForLong(now);
   }
 
   /** Tells whether it gets no renewal: it was never heard, or not for long. */
-  boolean leaseRunsOut(long now) {
-    return !heard || silentForLong(now);
+  boolean isLeaseExpiring(long now) {
+    return !hasAnswered || isSilentForLong(now);
   }
 
   /** Tells whether it may be lost, so that its lease is left to run out. */
-  boolean silentForLong(long now) {
+  boolean isSilentForLong(long now) {
     return silent && now - silentSince >= LONG_SILENCE_MILLIS;
   }
 
@@ -298,33 +298,36 @@
    * @return true while the lease may not be renewed though the worker answers
    */
   public boolean waitsForRoster() {
-    return heard && !silent && !renewable;
+    return hasAnswered && !silent && !renewable;
   }
 
   /** Tells whether nothing is there and nothing is on its way. */
-  boolean empty() {
-    return runs.isEmpty() && unsavedEnds.isEmpty() && unanswered.isEmpty() && refusals.isEmpty();
+  boolean isEmpty() {
+    return runs.isEmpty()
+        && unsavedEnds.isEmpty()
+        && unansweredOrders.isEmpty()
+        && runsToRefuse.isEmpty();
   }
 
   /**
    * Tells whether an order without an answer may be sent to it again. A worker that was not heard
    * for a while may have a new life, whose clock the order's deadline does not bound.
    */
-  boolean takesRepeats(long now) {
-    return !silent && renewable && now - heardAt <= REPEAT_MILLIS;
+  boolean acceptsResentOrders(long now) {
+    return !silent && renewable && now - lastAnswerAt <= MAX_RESEND_ANSWER_AGE_MILLIS;
   }
 
-  boolean takesWork(long now) {
+  boolean acceptsOrders(long now) {
     return listed
-        && fresh(now)
-        && heard
+        && answeredRecently(now)
+        && hasAnswered
         && onRoster
-        && open()
+        && isOpen()
         && !silent
         && !entry.draining()
         && now >= quarantinedUntil
         && now >= fullUntil
-        && now >= shunnedUntil
+        && now >= slowBackoffUntil
         && clockReading != NO_READING;
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
@@ -156,7 +156,7 @@
         running.stream().map(run -> new RunningTask(run, "checkpoint", 10)).toList();
     long sentAt = now;
     advance(5);
-    cell.held(worker, new HoldReport(born, clock, tasks, List.of(ends)), sentAt, now);
+    cell.held(worker, new RenewalReport(born, clock, tasks, List.of(ends)), sentAt, now);
   }
 
   /** Lets a worker tell how far a run is. */
@@ -164,7 +164,10 @@
     long sentAt = now;
     advance(5);
     cell.held(
-        worker, new HoldReport(worker.bornMillis, clock, List.of(running), List.of()), sentAt, now);
+        worker,
+        new RenewalReport(worker.bornMillis, clock, List.of(running), List.of()),
+        sentAt,
+        now);
   }
 
   void advance(long millis) {
--- a/core/src/test/java/org/hickorypier/core/cell/CellLoadTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellLoadTest.java
@@ -134,7 +134,7 @@
           .forEach(run -> running.add(new RunningTask(run.key(), "", percent(run))));
       fixture.cell.held(
           worker,
-          new HoldReport(1, fixture.now, running, ends.get(worker.id())),
+          new RenewalReport(1, fixture.now, running, ends.get(worker.id())),
           fixture.now,
           fixture.now);
     }
--- a/core/src/test/java/org/hickorypier/core/cell/CellTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellTest.java
@@ -49,11 +49,11 @@
     fixture.confirmAll();
     fixture.hear(worker, end(1, fixture.starts.get(0).run(), RunEnd.DONE));
     assertThat(submission.shown()).isEqualTo(SubmissionState.RUNNING);
-    assertThat(worker.acknowledged(fixture.now)).isZero();
+    assertThat(worker.acknowledgedEnd(fixture.now)).isZero();
 
     fixture.write();
     assertThat(submission.shown()).isEqualTo(SubmissionState.COMPLETED);
-    assertThat(worker.acknowledged(fixture.now)).isEqualTo(1);
+    assertThat(worker.acknowledgedEnd(fixture.now)).isEqualTo(1);
   }
 
   /**
@@ -126,14 +126,14 @@
     fixture.confirmAll();
     fixture.hear(worker, end(1, fixture.starts.get(0).run(), RunEnd.DONE));
     fixture.write();
-    assertThat(worker.acknowledged(fixture.now)).isEqualTo(1);
+    assertThat(worker.acknowledgedEnd(fixture.now)).isEqualTo(1);
 
     cell.holdUnanswered(worker, fixture.now);
-    assertThat(worker.acknowledged(fixture.now)).isZero();
+    assertThat(worker.acknowledgedEnd(fixture.now)).isZero();
     fixture.hear(worker);
-    assertThat(worker.acknowledged(fixture.now)).isEqualTo(1);
+    assertThat(worker.acknowledgedEnd(fixture.now)).isEqualTo(1);
     fixture.advance(3_500);
-    assertThat(worker.acknowledged(fixture.now)).isZero();
+    assertThat(worker.acknowledgedEnd(fixture.now)).isZero();
   }
 
   /**
@@ -156,7 +156,7 @@
     long sentAt = fixture.now;
     fixture.advance(500);
     cell.stopAnswered(worker, run.key(), fixture.now);
-    cell.held(worker, new HoldReport(1, 900, List.of(), List.of()), sentAt, fixture.now);
+    cell.held(worker, new RenewalReport(1, 900, List.of(), List.of()), sentAt, fixture.now);
     fixture.pass();
 
     assertThat(fixture.starts).hasSize(4);
@@ -326,14 +326,14 @@
     assertThat(fixture.roster).extracting(each -> each.worker().id()).containsExactly("staying");
 
     fixture.list("leaving", 1, false);
-    assertThat(leaving.takesWork(fixture.now)).isFalse();
+    assertThat(leaving.acceptsOrders(fixture.now)).isFalse();
     cell.tick(fixture.now, fixture.now);
-    assertThat(leaving.takesWork(fixture.now)).isFalse();
+    assertThat(leaving.acceptsOrders(fixture.now)).isFalse();
     fixture.write();
     assertThat(fixture.roster)
         .extracting(each -> each.worker().id())
         .containsExactly("leaving", "staying");
-    assertThat(leaving.takesWork(fixture.now)).isTrue();
+    assertThat(leaving.acceptsOrders(fixture.now)).isTrue();
   }
 
   /**
@@ -408,10 +408,10 @@
     fixture.list("w", 1, false);
     cell.tick(fixture.now, fixture.now);
     fixture.write();
-    assertThat(worker.takesWork(fixture.now)).isFalse();
+    assertThat(worker.acceptsOrders(fixture.now)).isFalse();
     cell.tick(fixture.now, fixture.now);
     fixture.write();
-    assertThat(worker.takesWork(fixture.now)).isTrue();
+    assertThat(worker.acceptsOrders(fixture.now)).isTrue();
   }
 
   /** A worker that no earlier owner had on its roster got nothing from it. */
--- a/core/src/test/java/org/hickorypier/core/cell/DepartureDetectorTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/DepartureDetectorTest.java
@@ -19,35 +19,35 @@
 
   @Test
   void drainingWorkerThatIsRemovedBetweenItsHeartbeatsHasLeft() {
-    detector.written(entry(true), 1_000);
-    detector.written(entry(true), 2_500);
-    assertThat(detector.removed("w", NO_PAUSE, 4_300)).isTrue();
+    detector.recordWrite(entry(true), 1_000);
+    detector.recordWrite(entry(true), 2_500);
+    assertThat(detector.recordRemoval("w", NO_PAUSE, 4_300)).isTrue();
   }
 
   @Test
   void workerThatIsRemovedAfterSilenceMayRunOn() {
-    detector.written(entry(true), 1_000);
-    assertThat(detector.removed("w", NO_PAUSE, 1_000 + 3 * HEARTBEAT)).isFalse();
+    detector.recordWrite(entry(true), 1_000);
+    assertThat(detector.recordRemoval("w", NO_PAUSE, 1_000 + 3 * HEARTBEAT)).isFalse();
   }
 
   @Test
   void workerThatDidNotDrainMayRunOn() {
-    detector.written(entry(true), 1_000);
-    detector.written(entry(false), 2_000);
-    assertThat(detector.removed("w", NO_PAUSE, 2_500)).isFalse();
+    detector.recordWrite(entry(true), 1_000);
+    detector.recordWrite(entry(false), 2_000);
+    assertThat(detector.recordRemoval("w", NO_PAUSE, 2_500)).isFalse();
   }
 
   /** While the process was suspended the worker may have been silent for any time. */
   @Test
   void removalAcrossPauseTellsNothing() {
-    detector.written(entry(true), 1_000);
-    assertThat(detector.removed("w", 1_200, 1_500)).isFalse();
+    detector.recordWrite(entry(true), 1_000);
+    assertThat(detector.recordRemoval("w", 1_200, 1_500)).isFalse();
   }
 
   @Test
   void entryOfUnknownAgeTellsNothing() {
-    detector.written(entry(true), 1_000);
+    detector.recordWrite(entry(true), 1_000);
     detector.clear();
-    assertThat(detector.removed("w", NO_PAUSE, 1_500)).isFalse();
+    assertThat(detector.recordRemoval("w", NO_PAUSE, 1_500)).isFalse();
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/RunPaceTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/RunPaceTest.java
@@ -11,15 +11,15 @@
   @Test
   void remainingTimeFollowsTheLatestPace() {
     RunPace pace = new RunPace(false);
-    pace.seen(0, 0, WINDOW);
-    pace.seen(100, 10, WINDOW);
-    assertThat(pace.known(WINDOW)).isFalse();
-    pace.seen(200, 20, WINDOW);
-    assertThat(pace.known(WINDOW)).isTrue();
+    pace.addSample(0, 0, WINDOW);
+    pace.addSample(100, 10, WINDOW);
+    assertThat(pace.isKnown(WINDOW)).isFalse();
+    pace.addSample(200, 20, WINDOW);
+    assertThat(pace.isKnown(WINDOW)).isTrue();
     assertThat(pace.remainingMillis()).isEqualTo(800);
 
     for (int at = 400; at <= 1_000; at += 200) {
-      pace.seen(at, 20 + (at - 200) / 100, WINDOW);
+      pace.addSample(at, 20 + (at - 200) / 100, WINDOW);
     }
     assertThat(pace.remainingMillis()).isEqualTo(7_200);
   }
@@ -27,9 +27,9 @@
   @Test
   void runThatStandsStillNeverEnds() {
     RunPace pace = new RunPace(false);
-    pace.seen(0, 50, WINDOW);
-    pace.seen(300, 50, WINDOW);
-    assertThat(pace.remainingMillis()).isEqualTo(RunPace.NEVER);
+    pace.addSample(0, 50, WINDOW);
+    pace.addSample(300, 50, WINDOW);
+    assertThat(pace.remainingMillis()).isEqualTo(RunPace.NEVER_MILLIS);
   }
 
   /**
@@ -39,12 +39,12 @@
   void paceCountsOnlyAfterRestoring() {
     RunPace pace = new RunPace(true);
     for (int at = 0; at <= 600; at += 200) {
-      pace.seen(at, 40, WINDOW);
-      assertThat(pace.known(WINDOW)).isFalse();
+      pace.addSample(at, 40, WINDOW);
+      assertThat(pace.isKnown(WINDOW)).isFalse();
     }
-    pace.seen(700, 41, WINDOW);
-    pace.seen(900, 61, WINDOW);
-    assertThat(pace.known(WINDOW)).isTrue();
+    pace.addSample(700, 41, WINDOW);
+    pace.addSample(900, 61, WINDOW);
+    assertThat(pace.isKnown(WINDOW)).isTrue();
     assertThat(pace.remainingMillis()).isEqualTo(390);
   }
 
@@ -52,9 +52,9 @@
   void restoreWithoutEndCountsAsStandstill() {
     RunPace pace = new RunPace(true);
     for (int at = 0; at <= 2_000; at += 250) {
-      pace.seen(at, 40, WINDOW);
+      pace.addSample(at, 40, WINDOW);
     }
-    assertThat(pace.known(WINDOW)).isTrue();
-    assertThat(pace.remainingMillis()).isEqualTo(RunPace.NEVER);
+    assertThat(pace.isKnown(WINDOW)).isTrue();
+    assertThat(pace.remainingMillis()).isEqualTo(RunPace.NEVER_MILLIS);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/StragglersTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/StragglerDetectorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Workers that turn slow or stand still while they answer everything. */
-class StragglersTest {
+class StragglerDetectorTest {
 
   private static final long WORK_MILLIS = 800;
 
@@ -79,7 +79,7 @@
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
     assertThat(fixture.starts.get(1).run().worker()).isNotSameAs(slow.worker());
-    assertThat(slow.worker().takesWork(fixture.now)).isFalse();
+    assertThat(slow.worker().acceptsOrders(fixture.now)).isFalse();
   }
 
   /** A worker answers, counts as well, and never gets on with what it was told to start. */
@@ -131,6 +131,8 @@
         fixture.progress(run.worker(), new RunningTask(run.key(), "", look));
       }
     }
-    assertThat(fixture.cell.workers()).filteredOn(each -> each.takesWork(fixture.now)).hasSize(3);
+    assertThat(fixture.cell.workers())
+        .filteredOn(each -> each.acceptsOrders(fixture.now))
+        .hasSize(3);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
@@ -29,11 +29,11 @@
     QueueTerms queue = new QueueTerms("checks", "service", 0, 1, 1.5, 250, Optional.empty());
     Submission check = new Submission(spec("check", queue, step(1, 1_000, 70, false)), 1, 0, 1);
     StepRun batch = waiting("batch", 2, 0, false);
-    LearnedWork learned = new LearnedWork();
+    RunDurationEstimator learned = new RunDurationEstimator();
     long now = 1_100;
     assertThat(UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), learned, now).get(0))
         .isSameAs(batch);
-    learned.ended("checks", 640);
+    learned.recordRun("checks", 640);
     assertThat(UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), learned, now).get(0))
         .isSameAs(check.occurrences[0][0]);
   }
@@ -47,12 +47,12 @@
     StepRun lost = service.occurrences[0][0];
     lost.tasks[0].waitsSince = now - 100;
     StepRun late = waiting("late", 1, now - 2_000, false);
-    assertThat(UrgencyOrder.sorted(List.of(late, lost), new LearnedWork(), now))
+    assertThat(UrgencyOrder.sorted(List.of(late, lost), new RunDurationEstimator(), now))
         .containsExactly(lost, late);
     // A successor does not know when it was lost.
     lost.tasks[0].waitsSince = 0;
     StepRun inTime = waiting("in time", 1, now - 100, false);
-    assertThat(UrgencyOrder.sorted(List.of(inTime, lost), new LearnedWork(), now))
+    assertThat(UrgencyOrder.sorted(List.of(inTime, lost), new RunDurationEstimator(), now))
         .containsExactly(lost, inTime);
   }
 
@@ -67,7 +67,7 @@
 
     assertThat(
             UrgencyOrder.sorted(
-                List.of(hopeless, late, flood, usual, urgent), new LearnedWork(), now))
+                List.of(hopeless, late, flood, usual, urgent), new RunDurationEstimator(), now))
         .containsExactly(urgent, late, usual, flood, hopeless);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
@@ -10,7 +10,7 @@
 import org.hickorypier.core.cell.Cell;
 import org.hickorypier.core.cell.CellOutput;
 import org.hickorypier.core.cell.CellTerms;
-import org.hickorypier.core.cell.HoldReport;
+import org.hickorypier.core.cell.RenewalReport;
 import org.hickorypier.core.cell.RosterEntry;
 import org.hickorypier.core.cell.Run;
 import org.hickorypier.core.cell.RunKey;
@@ -123,7 +123,7 @@
     }
     long sentAt = time.now();
     long deadline = worker.nextDeadline(sentAt, TERMS.leaseMillis());
-    long seen = worker.acknowledged(sentAt);
+    long seen = worker.acknowledgedEnd(sentAt);
     boolean[] answered = {false};
     long wait = deadline < 0 ? 0 : 1_000;
     time.after(
@@ -152,7 +152,7 @@
       WorkerView worker,
       boolean[] answered,
       long sentAt) {
-    HoldReport first = target.hold(epoch, deadline, seen);
+    RenewalReport first = target.hold(epoch, deadline, seen);
     if (first != null && time.now() < until && !target.hasNews(seen)) {
       time.after(
           10,
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelWorker.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelWorker.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.hickorypier.core.cell.EndedRun;
-import org.hickorypier.core.cell.HoldReport;
+import org.hickorypier.core.cell.RenewalReport;
 import org.hickorypier.core.cell.RunEnd;
 import org.hickorypier.core.cell.RunKey;
 import org.hickorypier.core.cell.RunningTask;
@@ -187,7 +187,7 @@
   }
 
   /** Returns the report, or null if the token is too low. */
-  HoldReport hold(long byToken, long deadline, long seen) {
+  RenewalReport hold(long byToken, long deadline, long seen) {
     expire();
     if (byToken < token) {
       return null;
@@ -205,7 +205,7 @@
     for (ModelRun run : runs.values()) {
       running.add(new RunningTask(run.key, "", run.percent(time.now())));
     }
-    return new HoldReport(born, clock(), running, List.copyOf(ended));
+    return new RenewalReport(born, clock(), running, List.copyOf(ended));
   }
 
   boolean hasNews(long seen) {
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/FormerOwnership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/FormerOwnership.java
@@ -23,6 +23,6 @@
   LinkRequest.FormerOwner message(long now) {
     long elapsed = now - endedAt;
     return new LinkRequest.FormerOwner(
-        epoch, roster.stream().map(entry -> entry.after(elapsed)).toList());
+        epoch, roster.stream().map(entry -> entry.afterElapsed(elapsed)).toList());
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Renewals.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Renewals.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
 import org.hickorypier.core.cell.Cell;
-import org.hickorypier.core.cell.HoldReport;
+import org.hickorypier.core.cell.RenewalReport;
 import org.hickorypier.core.cell.WorkerView;
 import org.hickorypier.platform.execution.Renewal;
 import org.hickorypier.platform.execution.WorkerCallException;
@@ -114,7 +114,7 @@
                 worker.entry().address(),
                 deadline,
                 token,
-                worker.acknowledged(sentAt),
+                worker.acknowledgedEnd(sentAt),
                 wait))
         .onComplete(report -> answered(report, sentAt, wait), this::failed);
   }
@@ -128,7 +128,7 @@
     return deadline < 0 ? 0 : WAIT_MILLIS;
   }
 
-  private void answered(HoldReport report, long sentAt, long wait) {
+  private void answered(RenewalReport report, long sentAt, long wait) {
     if (stopped) {
       return;
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerList.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerList.java
@@ -107,7 +107,7 @@
     departed.remove(id);
     if (value == null) {
       entries.remove(id);
-      if (departures.removed(id, pauses.unbrokenSince(), timers.nowMillis())) {
+      if (departures.recordRemoval(id, pauses.unbrokenSince(), timers.nowMillis())) {
         departed.add(id);
       }
       return;
@@ -115,7 +115,7 @@
     try {
       WorkerEntry entry = WorkerEntryDecoder.decode(id, value);
       entries.put(id, entry);
-      departures.written(entry, completeAt);
+      departures.recordWrite(entry, completeAt);
       spoilt.remove(id);
     } catch (UndecodableException error) {
       entries.remove(id);
