--- a/core/src/main/java/org/hickorypier/core/cell/DepartureDetector.java
+++ b/core/src/main/java/org/hickorypier/core/cell/DepartureDetector.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * Tells workers that have left from workers that have fallen silent, by their entries in the list.
+ * Distinguishes workers that have left from workers that are silent, by their entries in the worker
+ * list.
  *
- * <p>An entry is removed when its worker has left, or after three heartbeats without one. So a
- * worker that drained, and whose entry changed less than two heartbeats before it was removed, has
- * left: nothing runs there any more. A worker that is cut off may run on until its lease expires.
- * Belongs to the control thread.
+ * <p>An entry is removed when its worker leaves, or after three heartbeats without a write. A
+ * worker that was draining, and whose entry changed less than two heartbeats before its removal,
+ * has therefore left: nothing runs there any more. A worker that is cut off may continue to run
+ * tasks until its lease expires. Confined to the control thread.
  */
 public final class DepartureDetector {
 
@@ -19,19 +20,19 @@
   private final Map<String, Long> drainingNotBefore = new HashMap<>();
 
   /**
-   * Creates a detector.
+   * Creates a detector without entries.
    *
-   * @param heartbeatMillis how often a worker writes its entry, in milliseconds
+   * @param heartbeatMillis the interval at which a worker writes its entry, in milliseconds
    */
   public DepartureDetector(long heartbeatMillis) {
     this.heartbeatMillis = heartbeatMillis;
   }
 
   /**
-   * Notes that a worker has written its entry.
+   * Records that a worker has written its entry.
    *
    * @param entry the entry
-   * @param notBefore a time before which it was not written
+   * @param notBefore the earliest time at which it may have been written, in milliseconds
    */
   public void recordWrite(WorkerEntry entry, long notBefore) {
     if (entry.draining()) {
@@ -41,23 +42,24 @@
     }
   }
 
-  /** Forgets all entries, since it is not known when they were written. */
+  /** Discards all entries, for use when the times of their writes are not known. */
   public void clear() {
     drainingNotBefore.clear();
   }
 
   /**
-   * Notes that an entry was removed.
+   * Records that an entry was removed.
    *
    * @param id the worker's id
-   * @param unbrokenSince the clock has not stood still since this time
-   * @param now the time
+   * @param runningSince the end of the last pause of this process, in milliseconds; the clock has
+   *     run without interruption since then
+   * @param now the time, in milliseconds
    * @return true if the worker has left
    */
-  public boolean recordRemoval(String id, long unbrokenSince, long now) {
+  public boolean recordRemoval(String id, long runningSince, long now) {
     Long notBefore = drainingNotBefore.remove(id);
     return notBefore != null
-        && notBefore > unbrokenSince
+        && notBefore > runningSince
         && now - notBefore < MAX_AGE_HEARTBEATS * heartbeatMillis;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/RenewalReport.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RenewalReport.java
@@ -7,10 +7,10 @@
  *
  * <p>Immutable.
  *
- * @param bornMillis start of the worker's present life, milliseconds since 1970
- * @param clockMillis the worker's steady clock, in milliseconds
- * @param running what is at work
- * @param ended what has ended and was not acknowledged yet, oldest first
+ * @param bornMillis start of the worker's current incarnation, in milliseconds since 1970
+ * @param clockMillis the worker's monotonic clock, in milliseconds
+ * @param running the active runs
+ * @param ended the runs that have ended and were not acknowledged yet, oldest first
  */
 public record RenewalReport(
     long bornMillis, long clockMillis, List<RunningTask> running, List<EndedRun> ended) {}
--- a/core/src/main/java/org/hickorypier/core/cell/RosterCodec.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RosterCodec.java
@@ -11,7 +11,7 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** The MessagePack form of the roster in the store. Stateless. */
+/** MessagePack codec of the roster in the store. Stateless, thus thread-safe. */
 public final class RosterCodec {
 
   private static final int UNKNOWN_RUNS = -1;
@@ -21,8 +21,8 @@
   /**
    * Encodes a roster.
    *
-   * @param entries the workers
-   * @return its bytes
+   * @param entries the entries of the workers
+   * @return the encoded bytes
    */
   public static byte[] encode(List<RosterEntry> entries) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
@@ -39,7 +39,7 @@
         }
         packer.packLong(entry.bornMillis());
       }
-      // After all entries, where readers that do not know of it stop.
+      // These fields follow all entries, since older readers stop there.
       for (RosterEntry each : entries) {
         packer.packLong(each.closedAfter());
       }
@@ -49,16 +49,16 @@
       }
       return packer.toByteArray();
     } catch (IOException error) {
-      throw new IllegalStateException("packing into memory failed", error);
+      throw new IllegalStateException("cannot encode the roster", error);
     }
   }
 
   /**
    * Decodes a roster.
    *
-   * @param bytes its bytes
-   * @return the workers, as not draining
-   * @throws UndecodableException if the bytes are no roster
+   * @param bytes the encoded bytes
+   * @return the entries; no worker in them is marked as draining
+   * @throws UndecodableException if the bytes are not a valid roster
    */
   public static List<RosterEntry> decode(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
@@ -84,7 +84,7 @@
       }
       return entries;
     } catch (IOException | MessagePackException error) {
-      throw new UndecodableException(bytes.length + " bytes are no roster", error);
+      throw new UndecodableException(bytes.length + " bytes are not a valid roster", error);
     }
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/RosterEntry.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RosterEntry.java
@@ -4,46 +4,49 @@
 import java.util.Optional;
 
 /**
- * A worker that may hold runs, as a successor finds it in the journal or is told by a former owner.
+ * A worker that may have runs, as a successor reads it from the journal or a former owner reports
+ * it.
  *
  * <p>Immutable.
  *
- * @param worker what the worker said of itself
- * @param closedAfter the number of the last submission of which it may hold runs, since it gets no
- *     orders any more; {@link #OPEN} while it may get orders
- * @param leaseMillis how long after the writing of this entry a lease on the worker may last, in
- *     milliseconds; {@link #RENEWED} while the writer goes on renewing it
- * @param runs all runs that may be there; empty if the writer does not know them
+ * @param worker the worker's entry in the worker list
+ * @param closedAfter the number of the last submission of which the worker may have runs, since it
+ *     gets no more orders; {@link #OPEN} while it may get orders
+ * @param leaseMillis how long after the writing of this entry a lease of the worker may last, in
+ *     milliseconds; {@link #RENEWED} while the writer continues to renew it
+ * @param runs all runs that the worker may have; empty if the writer does not list them
  */
 public record RosterEntry(
     WorkerEntry worker, long closedAfter, long leaseMillis, Optional<List<RunKey>> runs) {
 
-  /** The worker may get orders, for any submission. */
+  /** Marks a worker that may get orders for any submission. */
   public static final long OPEN = -1;
 
-  /** The writer may renew the worker's lease after it has written the entry. */
+  /** Marks a worker whose lease the writer may renew after it has written the entry. */
   public static final long RENEWED = -1;
 
-  /** Copies the list, so that the record stays as it is. */
+  /** Copies the list, so that the record is immutable. */
   public RosterEntry {
     runs = runs.map(List::copyOf);
   }
 
   /**
-   * Creates the entry of a worker whose lease is renewed and whose runs the writer does not name.
+   * Creates the entry of a worker whose lease is renewed and whose runs are not listed.
    *
-   * @param worker what the worker said of itself
-   * @param closedAfter as of the record
+   * @param worker the worker's entry in the worker list
+   * @param closedAfter the number of the last submission of which the worker may have runs, or
+   *     {@link #OPEN}
    */
   public RosterEntry(WorkerEntry worker, long closedAfter) {
     this(worker, closedAfter, RENEWED, Optional.empty());
   }
 
   /**
-   * Returns the entry as it is some time later.
+   * Returns the entry as of some time later.
    *
-   * @param millis the time, in milliseconds
-   * @return an entry with that much less of the lease, if it is not renewed
+   * @param millis the elapsed time, in milliseconds
+   * @return an entry with the remaining lease reduced by that time, but not below 0; this entry if
+   *     the lease is renewed
    */
   public RosterEntry afterElapsed(long millis) {
     return renewed()
@@ -52,9 +55,9 @@
   }
 
   /**
-   * Tells whether the writer may renew the worker's lease later on.
+   * Returns whether the writer may renew the worker's lease after it has written the entry.
    *
-   * @return false if the lease runs out
+   * @return false if the lease is left to expire
    */
   public boolean renewed() {
     return leaseMillis == RENEWED;
--- a/core/src/main/java/org/hickorypier/core/cell/RosterWriter.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RosterWriter.java
@@ -7,19 +7,22 @@
 import java.util.Set;
 
 /**
- * Writes the roster: what a successor has to know of the workers.
+ * Writes the roster, which tells a successor the state of the workers.
  *
- * <p>Invariants: one write at a time. A worker gets orders ({@code onRoster}) and renewals ({@code
- * renewable}) only while the newest roster that a successor may read allows them, whether that is
- * durable or still on its way. Belongs to the control thread.
+ * <p>Invariants: at most one write is in progress. A worker gets orders ({@code onRoster}) and
+ * renewals ({@code renewable}) only while the newest roster that a successor may read allows them,
+ * whether that roster is durable or its write is in progress. Confined to the control thread.
  */
 final class RosterWriter {
 
-  /** While a lease runs out, the roster is written this often with what is left of it. */
+  /**
+   * Interval at which the roster is written with the remaining time of leases that are expiring.
+   */
   private static final long EXPIRY_UPDATE_MILLIS = 1_000;
 
   /**
-   * With so many runs, of some 30 bytes each, a roster is well under the store's largest record.
+   * Maximum number of runs in a roster. At some 30 bytes each, the roster stays well below the
+   * store's maximum record size.
    */
   private static final int MAX_LISTED_RUNS = 4_000;
 
@@ -32,15 +35,15 @@
     this.cell = cell;
   }
 
-  /** Notes that the roster is out of date. */
+  /** Marks the roster as out of date. */
   void markStale() {
     stale = true;
   }
 
-  /** Writes the roster if it is out of date, unless it is being written. */
+  /** Writes the roster if it is out of date and no write is in progress. */
   void writeIfStale(long now) {
-    boolean countsDown = now - writtenAt >= EXPIRY_UPDATE_MILLIS && hasExpiringLease(now);
-    if (!stale && !countsDown || writing) {
+    boolean expiryUpdateDue = now - writtenAt >= EXPIRY_UPDATE_MILLIS && hasExpiringLease(now);
+    if (!stale && !expiryUpdateDue || writing) {
       return;
     }
     stale = false;
@@ -62,13 +65,16 @@
         });
   }
 
-  /** Makes the entries; from here on a worker whose lease runs out by its entry is not renewed. */
+  /**
+   * Creates the entries. From here on a worker whose lease expires according to its entry is not
+   * renewed.
+   */
   private List<RosterEntry> entriesOf(List<WorkerView> written, long now) {
     List<RosterEntry> entries = new ArrayList<>();
-    int namedRuns = 0;
+    int listedRuns = 0;
     for (WorkerView worker : written) {
-      RosterEntry entry = entryOf(worker, namedRuns, now);
-      namedRuns += entry.runs().map(List::size).orElse(0);
+      RosterEntry entry = entryOf(worker, listedRuns, now);
+      listedRuns += entry.runs().map(List::size).orElse(0);
       worker.leaseExpiringOnRoster = !entry.renewed();
       worker.renewable &= entry.renewed();
       entries.add(entry);
@@ -76,7 +82,10 @@
     return entries;
   }
 
-  /** Returns what may still run anywhere, from an owner that orders and renews nothing any more. */
+  /**
+   * Returns every worker that may still have runs, for an owner that sends no more orders or
+   * renewals.
+   */
   List<RosterEntry> finalRoster(long now) {
     List<RosterEntry> entries = new ArrayList<>();
     for (WorkerView worker : cell.workers.values()) {
@@ -101,22 +110,23 @@
     return false;
   }
 
-  private RosterEntry entryOf(WorkerView worker, int namedBefore, long now) {
+  private RosterEntry entryOf(WorkerView worker, int listedBefore, long now) {
     if (worker.isOpen()) {
       return new RosterEntry(worker.entry(), RosterEntry.OPEN);
     }
-    long lease = worker.isLeaseExpiring(now) ? cell.mayRunMillis(worker, now) : RosterEntry.RENEWED;
-    Optional<List<RunKey>> named =
-        possibleRuns(worker, now).filter(each -> namedBefore + each.size() <= MAX_LISTED_RUNS);
-    return new RosterEntry(worker.entry(), worker.closedAfter, lease, named);
+    long leaseMillis =
+        worker.isLeaseExpiring(now) ? cell.mayRunMillis(worker, now) : RosterEntry.RENEWED;
+    Optional<List<RunKey>> listed =
+        possibleRuns(worker, now).filter(each -> listedBefore + each.size() <= MAX_LISTED_RUNS);
+    return new RosterEntry(worker.entry(), worker.closedAfter, leaseMillis, listed);
   }
 
   private Optional<List<RunKey>> possibleRuns(WorkerView worker, long now) {
     if (cell.unresolved(worker, now)) {
       return Optional.empty();
     }
-    Set<RunKey> named = new LinkedHashSet<>(worker.runs.keySet());
-    named.addAll(worker.unsavedEnds);
-    return Optional.of(List.copyOf(named));
+    Set<RunKey> possible = new LinkedHashSet<>(worker.runs.keySet());
+    possible.addAll(worker.unsavedEnds);
+    return Optional.of(List.copyOf(possible));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/Run.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Run.java
@@ -3,10 +3,10 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * One run of a task on a worker. It keeps its room there until the worker has said that it ended or
- * never came.
+ * One run of a task on a worker. It occupies resources there until the worker has reported that it
+ * ended or never arrived.
  *
- * <p>Belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 public final class Run {
 
@@ -19,13 +19,13 @@
   long orderedAt;
   long lastOrderAt;
 
-  /** Time of the worker's confirmation; 0 while the order's fate is unknown. */
+  /** When the worker confirmed the run; 0 while it is unknown whether the order was carried out. */
   long confirmedAt;
 
-  /** The latest deadline of a copy of the order, on the worker's clock. */
+  /** The latest deadline of all copies of the start order, on the worker's clock. */
   long orderDeadline;
 
-  /** How many copies of the order were sent. */
+  /** Number of copies of the start order that were sent. */
   int orderCopies;
 
   String ticket;
@@ -34,10 +34,10 @@
   long stopAnsweredAt;
   int percent = -1;
 
-  /** It begins with restoring a checkpoint. */
+  /** Whether the run starts by restoring a checkpoint. */
   boolean resumed;
 
-  /** How it gets on, once its worker has told of it; null before. */
+  /** Pace of the run; null until its worker has reported progress. */
   RunPace pace;
 
   Run(RunKey key, Task task, WorkerView worker, Resources size, String customer) {
@@ -49,16 +49,16 @@
   }
 
   /**
-   * Names the run.
+   * Returns the key of the run.
    *
-   * @return its key
+   * @return the key
    */
   public RunKey key() {
     return key;
   }
 
   /**
-   * Returns the worker that has it.
+   * Returns the worker to which the run was sent.
    *
    * @return the worker
    */
@@ -67,18 +67,18 @@
   }
 
   /**
-   * Returns the submission that it belongs to.
+   * Returns the submission that the run belongs to.
    *
-   * @return the submission, or null for a run that nobody knows
+   * @return the submission, or null if it is not known
    */
   public Submission submission() {
     return task == null ? null : task.step.submission;
   }
 
   /**
-   * Returns the checkpoint that it resumes from.
+   * Returns the checkpoint from which the task resumes.
    *
-   * @return the checkpoint, or empty
+   * @return the checkpoint, or an empty string if there is none
    */
   public String checkpoint() {
     return task == null ? "" : task.checkpoint;
--- a/core/src/main/java/org/hickorypier/core/cell/RunAdoption.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunAdoption.java
@@ -1,9 +1,9 @@
 package org.hickorypier.core.cell;
 
 /**
- * Takes over runs that an earlier owner ordered.
+ * Adopts runs that an earlier owner ordered.
  *
- * <p>Invariant: of the runs of one task at most one goes on; the others are stopped. Belongs to the
+ * <p>Invariant: at most one run of a task is continued; the others are stopped. Confined to the
  * control thread.
  */
 final class RunAdoption {
@@ -16,14 +16,14 @@
     this.runs = runs;
   }
 
-  /** Takes over a run that its worker has reported, or stops it where it is not wanted. */
+  /** Adopts a run that its worker has reported, or stops it if it is not wanted. */
   Run adoptReported(WorkerView worker, RunKey key, long now) {
     return adopt("run-adopted", worker, key, now);
   }
 
   /**
-   * Takes over a run that an earlier owner has named, on a worker that has not been heard. It is
-   * not there any more if the worker's first report lacks it.
+   * Adopts a run that an earlier owner has listed, on a worker that has not answered yet. If the
+   * worker's first report lacks the run, it is removed.
    */
   void adoptListed(WorkerView worker, RunKey key, long now) {
     if (!worker.runs.containsKey(key)) {
@@ -52,7 +52,10 @@
     return run;
   }
 
-  /** Of two runs of a gang that are found the later one goes on, as a whole. */
+  /**
+   * Returns whether the run replaces those already known. Of two runs of a gang the one with the
+   * higher number is continued, for all members.
+   */
   private boolean supersedes(Task task, RunKey key, long now) {
     if (task.current != null && !replacesUnconfirmed(task.current, key, now)) {
       return false;
@@ -75,12 +78,15 @@
     return true;
   }
 
-  /** The earlier owner ordered a later run, so it had settled the one that it named before. */
-  private boolean replacesUnconfirmed(Run present, RunKey key, long now) {
-    if (present.worker.hasAnswered || present.key.number() >= key.number()) {
+  /**
+   * Returns whether the run replaces an earlier one whose worker has not answered yet. The former
+   * owner ordered the later run only after it had resolved the earlier one, which it listed before.
+   */
+  private boolean replacesUnconfirmed(Run existing, RunKey key, long now) {
+    if (existing.worker.hasAnswered || existing.key.number() >= key.number()) {
       return false;
     }
-    runs.stop(present, now);
+    runs.stop(existing, now);
     return true;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/RunController.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunController.java
@@ -5,33 +5,44 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * Orders runs and stops, and keeps the account of what may be at work where.
+ * Orders the start and stop of runs, and accounts for every run that may be active on a worker.
  *
- * <p>Invariant: a task has at most one run that may be at work, unless the worker of the other has
- * lost its lease or its life. Belongs to the control thread.
+ * <p>Invariant: a task has at most one run that may be active, unless the worker of the other run
+ * has lost its lease or has restarted. Confined to the control thread.
  */
 final class RunController {
 
   /**
-   * How long an order to start may be carried out, on the worker's clock. Orders without an answer
-   * are carried out up to 12 s late; with this deadline such a one is refused, and a task of which
-   * nothing is known is free again after 2 s.
+   * Validity of a start order on the worker's clock, in milliseconds. A start order whose answer is
+   * lost may be carried out up to 12 s later. With this deadline the worker refuses a late one, and
+   * a task whose run is unaccounted for is free again after 2 s.
    */
   static final long START_ORDER_VALIDITY_MILLIS = 2_000;
 
-  /** An order without an answer is sent again at once, so often; it is idempotent. */
+  /**
+   * Number of copies of a start order that are sent before the run is abandoned. An order without
+   * an answer is resent at once, since it is idempotent.
+   */
   private static final int MAX_ORDER_COPIES = 3;
 
-  /** A stop without effect is ordered again after this time: several answer times of a worker. */
+  /**
+   * Delay before a stop that has had no effect is sent again; several response times of a worker.
+   */
   private static final long STOP_RETRY_MILLIS = 700;
 
-  /** A worker that refuses for want of room is asked again after its next report. */
+  /**
+   * Backoff for a worker that refuses for lack of room, so that it is asked again after its next
+   * report.
+   */
   private static final long NO_ROOM_BACKOFF_MILLIS = 300;
 
-  /** A worker that answers that it is unwell gets nothing for this time. */
+  /** Time for which a worker that answers that it is unhealthy gets no orders. */
   private static final long UNHEALTHY_BACKOFF_MILLIS = 1_000;
 
-  /** The platform's pages name 12 s as the longest time until a lost order is carried out. */
+  /**
+   * Upper bound of the delay until an order with a lost answer is carried out. The platform's
+   * documentation gives 12 s.
+   */
   private static final long MAX_ORDER_DELAY_MILLIS = 13_000;
 
   private final CellState cell;
@@ -87,7 +98,7 @@
     cell.dirty = true;
   }
 
-  /** The worker has the run. */
+  /** Records that the worker has the run. */
   void confirm(Run run, long now) {
     if (run.confirmedAt == 0) {
       run.confirmedAt = now;
@@ -129,14 +140,17 @@
       default -> worker.fullUntil = now + NO_ROOM_BACKOFF_MILLIS;
     }
     if (run.orderCopies > 1) {
-      // An earlier copy may still be on its way. Its deadline, or the answer to a stop, settles it.
+      // An earlier copy may still be in transit; its deadline or the answer to a stop resolves it.
       abandon(run, now);
       return;
     }
     removeRun(run, now);
   }
 
-  /** Stops a run that is not wanted any more, whether it is there or may still come. */
+  /**
+   * Stops a run that is no longer wanted, whether it is active or its start order is still in
+   * transit.
+   */
   void abandon(Run run, long now) {
     stop(run, now);
     if (run.task != null && run.task.step.gang() && run.task.current == run) {
@@ -144,7 +158,7 @@
     }
   }
 
-  /** Orders a stop, once; {@link #resendStops} goes on with it. */
+  /** Sends the first stop order; {@link #resendStops} sends the later ones. */
   void stop(Run run, long now) {
     if (!run.stopping) {
       run.stopping = true;
@@ -160,7 +174,8 @@
   void handleStopAnswer(WorkerView worker, RunKey key, long now) {
     worker.runsToRefuse.remove(key);
     Run run = worker.runs.get(key);
-    // The first answer counts: a later one would put off the proof by each report.
+    // Only the first answer counts: otherwise each report would postpone the proof that the run is
+    // gone.
     if (run != null && run.stopping && run.stopAnsweredAt == 0) {
       run.stopAnsweredAt = now;
     }
@@ -180,7 +195,7 @@
     }
   }
 
-  /** Stops everything of a submission that has reached an end state. */
+  /** Stops all runs of a submission that has reached an end state. */
   void stopSubmission(Submission submission, long now) {
     for (StepRun[] steps : submission.occurrences) {
       for (StepRun step : steps) {
@@ -190,7 +205,7 @@
     }
   }
 
-  /** Stops all runs of a step; a gang of which one member is missing only burns time. */
+  /** Stops all runs of a step; a gang with a missing member cannot make progress. */
   private void stopStep(StepRun step, long now) {
     for (Task task : step.tasks) {
       if (task.current != null) {
@@ -200,24 +215,25 @@
   }
 
   void stopUnconfirmedGangs(long now) {
-    long patience = cell.terms.gangMillis() / 2;
+    long timeoutMillis = cell.terms.gangMillis() / 2;
     for (WorkerView worker : cell.workers.values()) {
       for (Run run : worker.runs.values()) {
-        boolean waits = !run.isConfirmed() && !run.stopping && now - run.orderedAt > patience;
-        if (waits && run.task != null && run.task.step.gang()) {
+        boolean overdue =
+            !run.isConfirmed() && !run.stopping && now - run.orderedAt > timeoutMillis;
+        if (overdue && run.task != null && run.task.step.gang()) {
           stopStep(run.task.step, now);
         }
       }
     }
   }
 
-  /** Begins to count a run. */
+  /** Reserves resources on the worker for the run and counts them as used by its customer. */
   void occupy(Run run) {
     run.worker.add(run);
     addUsage(run, 1);
   }
 
-  /** Ends to count a run that is not at work any more. */
+  /** Frees the resources of a run that is no longer active. */
   void release(Run run) {
     run.worker.remove(run);
     addUsage(run, -1);
@@ -232,33 +248,36 @@
     }
   }
 
-  /** A run is not at work any more, without an end of its own. */
+  /** Removes a run that is no longer active and for which no end was reported. */
   void removeRun(Run run, long now) {
     release(run);
     reopenTask(run, now);
   }
 
-  /** Lets the task of a run that is gone wait for its next one. */
+  /** Queues the task of a removed run for its next run. */
   void reopenTask(Run run, long now) {
     cell.dirty = true;
     Task task = run.task;
     if (task == null) {
       return;
     }
-    boolean counted = task.current == run;
-    if (counted) {
+    boolean wasCurrent = task.current == run;
+    if (wasCurrent) {
       task.current = null;
       task.waitsSince = now;
     }
     if (task.current == null && task.step.submission.live() && !task.done) {
       cell.open.add(task.step);
-      if (counted && task.step.gang()) {
+      if (wasCurrent && task.step.gang()) {
         stopStep(task.step, now);
       }
     }
   }
 
-  /** Every lease ever sent to the worker has expired: nothing that it had runs any more. */
+  /**
+   * Removes all runs of a worker after every lease ever sent to it has expired, so that none of
+   * them is still active.
+   */
   void handleLeaseExpiry(WorkerView worker, long now) {
     if (worker.runs.isEmpty()) {
       return;
@@ -275,7 +294,7 @@
     removeAllRuns(worker, now);
   }
 
-  /** The worker has left, and with it all that it had, orders without an answer among them. */
+  /** Removes all runs of a worker that has left, including start orders without an answer. */
   void handleDeparture(WorkerView worker, long now) {
     cell.workerEvent("worker-left", worker, "runs", worker.runs.size());
     worker.departed = false;
--- a/core/src/main/java/org/hickorypier/core/cell/RunDurationEstimator.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunDurationEstimator.java
@@ -4,18 +4,23 @@
 import java.util.Map;
 
 /**
- * How long tasks of a queue really take.
+ * Estimates the run time of tasks by queue from completed runs.
  *
- * <p>Callers' estimates are off by up to nine tenths on the users' short checks: by them a check of
- * 0.6 s that is estimated at 0.07 s would count as hopeless before it was due, and go last. Belongs
- * to the control thread.
+ * <p>Callers' estimates of short checks are off by up to 90% on the users' installations: with them
+ * alone, a check of 0.6 s that is estimated at 0.07 s would count as unable to meet its objective
+ * before it was due, and would be scheduled last. Confined to the control thread.
  */
 final class RunDurationEstimator {
 
-  /** Each end counts so much: some 20 ends make a mean, a few seconds of the rarest queue. */
+  /**
+   * Weight of a sample in the moving average. The mean is taken over some 20 samples, which is a
+   * few seconds of the least used queue.
+   */
   private static final double SAMPLE_WEIGHT = 0.05;
 
-  /** So many ends tell more of a queue than its callers' estimates. */
+  /**
+   * Number of completed runs from which on their mean is more accurate than the callers' estimates.
+   */
   private static final int MIN_ENDED_RUNS = 5;
 
   private final Map<String, Double> means = new HashMap<>();
@@ -26,12 +31,14 @@
     means.merge(queue, (double) millis, (mean, newest) -> mean + SAMPLE_WEIGHT * (newest - mean));
   }
 
-  /** Tells whether enough was seen of a queue to say how long its tasks take. */
+  /** Returns whether enough runs of a queue have completed to predict the run time of its tasks. */
   boolean isKnown(String queue) {
     return counts.getOrDefault(queue, 0) >= MIN_ENDED_RUNS;
   }
 
-  /** Returns the larger of an estimate and what tasks of the queue took on average. */
+  /**
+   * Returns the larger of an estimate and the mean run time of the queue's tasks, in milliseconds.
+   */
   long expectedMillis(String queue, long estimateMillis) {
     return Math.max(estimateMillis, Math.round(means.getOrDefault(queue, 0.0)));
   }
--- a/core/src/main/java/org/hickorypier/core/cell/RunEnd.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunEnd.java
@@ -1,17 +1,17 @@
 package org.hickorypier.core.cell;
 
-/** How a run ended, as its worker says. */
+/** How a run ended, as reported by its worker. */
 public enum RunEnd {
-  /** The task is done. */
+  /** The task is complete. */
   DONE,
-  /** It failed, through its own fault or the worker's. */
+  /** The run failed because of the task or the worker. */
   FAILED,
-  /** It was stopped on an order. */
+  /** The run was stopped by an order. */
   STOPPED,
   /** The worker's lease expired. */
   LAPSED,
-  /** Another member of the gang ended. */
+  /** Another member of the gang ended, so this one was ended. */
   BROKEN,
-  /** The other members of the gang did not come in time. */
+  /** The other members of the gang did not start in time. */
   ALONE
 }
--- a/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
@@ -4,18 +4,24 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * Draws the consequences of ends: for the task, its step, its submission, and the trust in the
- * worker.
+ * Processes the ends of runs: updates the task, its step and its submission, and quarantines
+ * workers that fail repeatedly.
  *
- * <p>Invariant: the same end, heard again by a successor, changes nothing a second time. Belongs to
- * the control thread.
+ * <p>Invariant: an end that is reported again to a successor has no effect a second time. Confined
+ * to the control thread.
  */
 final class RunEndHandler {
 
-  /** Two failures in a row, without a success between, are more than tasks fail by themselves. */
+  /**
+   * Number of failures in a row on a worker that starts a quarantine. Two without a success between
+   * them are more than tasks cause by themselves.
+   */
   private static final int FAILURES_TO_QUARANTINE = 2;
 
-  /** First length of a quarantine; a worker that fails everything empties the attempts of all. */
+  /**
+   * Initial length of a quarantine. A worker that fails every run uses up the attempts of all
+   * tasks.
+   */
   private static final long QUARANTINE_MILLIS = 4_000;
 
   private static final int MAX_DOUBLINGS = 3;
@@ -66,21 +72,24 @@
     worker.failureStreak = 0;
     Submission submission = task.step.submission;
     if (run != null && run.isConfirmed() && run.orderCopies > 0) {
-      long took = now - run.confirmedAt;
-      cell.learned.recordRun(submission.spec().queue().name(), took);
-      task.step.longestRunMillis = Math.max(task.step.longestRunMillis, took);
+      long tookMillis = now - run.confirmedAt;
+      cell.learned.recordRun(submission.spec().queue().name(), tookMillis);
+      task.step.longestRunMillis = Math.max(task.step.longestRunMillis, tookMillis);
       worker.slowStreak = 0;
       if (isComparable(run)) {
-        cell.speeds.recordRun(worker.entry().kind(), task.step, took);
+        cell.speeds.recordRun(worker.entry().kind(), task.step, tookMillis);
       }
     }
-    // A persistent task is never done: however it ends, it starts again.
+    // A persistent task is never done: it starts again however it ends.
     if (submission.live() && !task.step.spec.flags().persistent()) {
       completeTask(task, now);
     }
   }
 
-  /** Gangs, what fills, what lasts and what was resumed take a time of their own. */
+  /**
+   * Returns whether the run time says something about the worker's speed. The run times of gangs,
+   * gap-filling tasks, persistent tasks and resumed runs depend on other things.
+   */
   private static boolean isComparable(Run run) {
     StepFlags flags = run.task.step.spec.flags();
     return !flags.gang() && !flags.fills() && !flags.persistent() && !run.resumed;
@@ -94,7 +103,7 @@
     if (!step.gang()) {
       markDone(task, now);
     } else {
-      // The members of a gang end together, and one end stands for all.
+      // The members of a gang end together, so one end completes all of them.
       for (Task member : step.tasks) {
         markDone(member, now);
       }
@@ -138,7 +147,7 @@
 
   private void handleFailure(Task task, EndedRun ended, WorkerView worker, long now) {
     Task record = task.step.failureRecord(task);
-    // A task that has failed elsewhere says more of itself than of this worker.
+    // A task that has failed elsewhere is more likely to be the cause than this worker.
     if (record.failedRuns.isEmpty()) {
       recordWorkerFailure(worker, now);
     }
@@ -167,10 +176,15 @@
     worker.failureStreak++;
     if (worker.failureStreak >= FAILURES_TO_QUARANTINE) {
       int doublings = Math.min(MAX_DOUBLINGS, worker.failureStreak - FAILURES_TO_QUARANTINE);
-      long length = QUARANTINE_MILLIS << doublings;
-      worker.quarantinedUntil = now + length;
+      long quarantineMillis = QUARANTINE_MILLIS << doublings;
+      worker.quarantinedUntil = now + quarantineMillis;
       cell.workerEvent(
-          "worker-quarantined", worker, "failures", worker.failureStreak, "for_ms", length);
+          "worker-quarantined",
+          worker,
+          "failures",
+          worker.failureStreak,
+          "for_ms",
+          quarantineMillis);
     }
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/RunKey.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunKey.java
@@ -1,11 +1,11 @@
 package org.hickorypier.core.cell;
 
 /**
- * Names one run of a task.
+ * Identifies one run of a task.
  *
  * <p>Immutable.
  *
- * @param task the task
- * @param number the run's number, from 1; the members of a gang share it
+ * @param task the name of the task
+ * @param number the number of the run, from 1; the members of a gang share it
  */
 public record RunKey(TaskName task, int number) {}
--- a/core/src/main/java/org/hickorypier/core/cell/RunPace.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunPace.java
@@ -1,19 +1,22 @@
 package org.hickorypier.core.cell;
 
 /**
- * How fast a run gets on, by what its worker tells of it from time to time.
+ * Pace of a run, computed from the progress that its worker reports.
  *
- * <p>Only the latest of it counts: a worker may turn slow, or stand still, in the middle of a run.
- * Belongs to the control thread.
+ * <p>Only the latest samples count, since a worker may become slow or stall in the middle of a run.
+ * Confined to the control thread.
  */
 final class RunPace {
 
-  /** What is left of a run that does not get on at all, in milliseconds. */
+  /** Remaining time of a run that makes no progress, in milliseconds. */
   static final long NEVER_MILLIS = Long.MAX_VALUE / 4;
 
   private static final int WHOLE_PERCENT = 100;
 
-  /** Restoring a checkpoint takes up to 0.6 s on the users' installations. */
+  /**
+   * Longest time for which a run without progress counts as restoring a checkpoint. Restoring takes
+   * up to 0.6 s on the users' installations.
+   */
   private static final long MAX_RESTORE_MILLIS = 1_500;
 
   private boolean restoring;
@@ -22,25 +25,25 @@
   private Sample middle;
   private Sample newest;
 
-  /** How far a run was at some time of its worker's clock. */
+  /** Progress of the run at a time of its worker's clock. */
   private record Sample(long clockMillis, int percent) {}
 
   /**
-   * Begins to watch a run.
+   * Creates the pace of a run without samples.
    *
-   * @param resumed it restores a checkpoint first: its pace counts once it gets on, or has had
-   *     ample time to
+   * @param resumed whether the run restores a checkpoint first; its pace then counts only once the
+   *     run makes progress or the maximum restore time has passed
    */
   RunPace(boolean resumed) {
     this.restoring = resumed;
   }
 
   /**
-   * Notes how far the run is.
+   * Adds a progress report.
    *
-   * @param clockMillis the worker's clock
-   * @param percent from 0 to 100
-   * @param windowMillis how much time the pace is taken over at least
+   * @param clockMillis the worker's clock, in milliseconds
+   * @param percent the progress, from 0 to 100
+   * @param windowMillis the minimum time over which the pace is computed, in milliseconds
    */
   void addSample(long clockMillis, int percent, long windowMillis) {
     Sample sample = new Sample(clockMillis, percent);
@@ -60,33 +63,33 @@
   }
 
   /**
-   * Tells whether the run was watched for some time.
+   * Returns whether the samples span enough time to compute a pace.
    *
-   * @param windowMillis the time
-   * @return false while its pace is not known yet
+   * @param windowMillis the minimum time, in milliseconds
+   * @return false while the pace is not known yet
    */
   boolean isKnown(long windowMillis) {
     return oldest != null && newest.clockMillis - oldest.clockMillis >= windowMillis;
   }
 
   /**
-   * Returns how long the run takes yet at its present pace.
+   * Returns the remaining time of the run at its current pace.
    *
-   * @return milliseconds; {@link #NEVER_MILLIS} if it stands still
+   * @return the time in milliseconds; {@link #NEVER_MILLIS} if the run makes no progress
    */
   long remainingMillis() {
     int gained = newest.percent - oldest.percent;
     if (gained <= 0) {
       return NEVER_MILLIS;
     }
-    long watched = newest.clockMillis - oldest.clockMillis;
-    return watched * (WHOLE_PERCENT - newest.percent) / gained;
+    long elapsedMillis = newest.clockMillis - oldest.clockMillis;
+    return elapsedMillis * (WHOLE_PERCENT - newest.percent) / gained;
   }
 
   /**
-   * Returns the part of the run that is still to be done.
+   * Returns the fraction of the run that is still to be done.
    *
-   * @return from 0 to 1
+   * @return a value from 0 to 1
    */
   double remainingFraction() {
     return (WHOLE_PERCENT - newest.percent) / (double) WHOLE_PERCENT;
--- a/core/src/main/java/org/hickorypier/core/cell/RunningTask.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunningTask.java
@@ -1,12 +1,12 @@
 package org.hickorypier.core.cell;
 
 /**
- * A run that a worker says is at work.
+ * A run that its worker reports as active.
  *
  * <p>Immutable.
  *
- * @param run the run
- * @param checkpoint the newest checkpoint, or empty
- * @param percent how far it is
+ * @param run the key of the run
+ * @param checkpoint the newest checkpoint, or an empty string
+ * @param percent the progress, from 0 to 100
  */
 public record RunningTask(RunKey run, String checkpoint, int percent) {}
--- a/core/src/main/java/org/hickorypier/core/cell/StartOutcome.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StartOutcome.java
@@ -1,25 +1,25 @@
 package org.hickorypier.core.cell;
 
-/** What became of an order to start a run. */
+/** Outcome of an order to start a run. */
 public enum StartOutcome {
-  /** The run is there. */
+  /** The worker has the run. */
   STARTED,
-  /** The worker has seen a higher fencing token: this owner has a successor. */
+  /** The worker has seen a higher fencing token, so this owner has a successor. */
   FENCED,
-  /** The worker knows the run, or a later one of the task, as ended or stopped. */
+  /** The worker knows this run, or a later run of the task, as ended or stopped. */
   OLD,
   /** The order's deadline had passed on the worker's clock. */
   LATE,
-  /** The worker has no room. */
+  /** The worker lacks the resources for the run. */
   NO_ROOM,
-  /** The advisor's ticket is missing, expired, or of another life of the worker. */
+  /** The advisor's ticket is missing, expired, or for another incarnation of the worker. */
   NO_TICKET,
   /** The worker did not understand the order. */
   REJECTED,
-  /** The worker is not well and has done nothing. */
+  /** The worker is unhealthy and has not started the run. */
   UNHEALTHY,
-  /** Another worker, or another life, answers at the address; nothing was done. */
+  /** Another worker, or another incarnation, answers at the address; the run was not started. */
   OTHER_LIFE,
-  /** No answer came; the order may have been, or may yet be, carried out. */
+  /** No answer arrived; the order may have been, or may still be, carried out. */
   UNKNOWN
 }
--- a/core/src/main/java/org/hickorypier/core/cell/StepReservation.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StepReservation.java
@@ -4,12 +4,12 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * Room set aside for a step while the advisor is asked for new tickets. Without it, smaller work
- * takes the room during the call, and the tickets expire unused.
+ * Resources reserved for a step while the advisor is asked for new tickets. Without the
+ * reservation, smaller tasks take the resources during the call, and the tickets expire unused.
  *
  * <p>Immutable.
  *
- * @param rooms what is set aside, by worker
- * @param until when it ends by itself, on the owner's steady clock
+ * @param rooms the reserved resources by worker
+ * @param until when the reservation expires, on the owner's monotonic clock, in milliseconds
  */
 record StepReservation(Map<WorkerView, Resources> rooms, long until) {}
--- a/core/src/main/java/org/hickorypier/core/cell/StragglerDetector.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StragglerDetector.java
@@ -3,39 +3,52 @@
 import java.util.Collection;
 
 /**
- * Takes tasks away from workers that have turned slow or stand still.
+ * Moves tasks away from workers that are slow or stalled.
  *
- * <p>Load: a few workers do their work six times slower for some seconds, or start what they are
- * told and never get on with it, while they answer everything and count as well. Harm prevented: a
- * step is done with its last task, so one such worker in ten makes half of the short checks late; a
- * check of 0.8 s was seen to take 5.6 s. Workers tell how far each run is, so the time that it
- * takes yet can be compared with that of a new run elsewhere. Belongs to the control thread.
+ * <p>Load: a few workers run tasks six times slower for some seconds, or accept orders and then
+ * make no progress, while they answer all requests and count as healthy. Failure prevented: a step
+ * is done only with its last task, so one such worker in ten delays half of the short checks past
+ * their objective; a check of 0.8 s took 5.6 s. Workers report the progress of each run, so its
+ * remaining time can be compared with the time of a new run on another worker. Confined to the
+ * control thread.
  */
 final class StragglerDetector {
 
-  /** The pace of a run is taken over so much of its usual length, and over this time at least. */
+  /**
+   * Time over which the pace of a run is computed, as a fraction of its expected run time; never
+   * less than {@link #MIN_WINDOW_MILLIS}.
+   */
   private static final double WINDOW_FRACTION = 0.12;
 
   private static final long MIN_WINDOW_MILLIS = 200;
 
   /**
-   * So much longer than a run elsewhere must the present one take yet. Sound workers differ by a
-   * third, the tasks of a step by a sixth, and estimates by a fifth, 1.8 together.
+   * Minimum ratio of the remaining time of a run to the time of a new run on another worker for the
+   * task to be moved. Healthy workers differ by a third, the tasks of a step by a sixth and
+   * estimates by a fifth, which is a factor of 1.8 together.
    */
   private static final double MIN_SLOWDOWN_FACTOR = 2;
 
-  /** A stop, the news of it, a ticket and the order of the next run take about so long. */
+  /**
+   * Approximate time of a move: a stop, the report of it, a ticket and the order of the next run.
+   */
   private static final long MOVE_MILLIS = 300;
 
-  /** A task that was moved so often is slow by itself. */
+  /** Maximum number of moves of a task. A task that was moved so often is slow by itself. */
   private static final int MAX_MOVES = 2;
 
-  /** A worker that was found slow gets nothing for this time; doubled each time it is found so. */
+  /**
+   * Time for which a slow worker gets no orders; it doubles each time the worker is found slow
+   * again.
+   */
   private static final long SLOW_BACKOFF_MILLIS = 1_500;
 
   private static final int MAX_DOUBLINGS = 2;
 
-  /** If more than one worker in so many seems slow, the expectation is wrong, not the workers. */
+  /**
+   * At most one worker in this many may be in backoff. If more seem slow, the expected run time is
+   * wrong, not the workers.
+   */
   private static final int WORKERS_PER_SLOW_WORKER = 3;
 
   private final CellState cell;
@@ -46,7 +59,7 @@
     this.runs = runs;
   }
 
-  /** Notes how far a run is. */
+  /** Records the progress of a run. */
   void recordProgress(Run run, int percent, long clockMillis, long now) {
     if (!isWatched(run)) {
       return;
@@ -60,7 +73,10 @@
     run.pace.addSample(clockMillis, percent, windowMillis(run));
   }
 
-  /** Looks at all runs of a worker that has just told how far they are. */
+  /**
+   * Checks all runs of a worker that has just reported their progress, and moves those that
+   * straggle.
+   */
   void moveStragglers(WorkerView worker, long now) {
     for (Run run : CellState.copy(worker.runs.values())) {
       if (isWatched(run) && isStraggling(run) && mayMove(run, now)) {
@@ -70,8 +86,9 @@
   }
 
   /**
-   * A gang gets on as a whole, what lasts is never done, and what fills gets on as others leave it
-   * room: none of them has a pace that tells of its worker.
+   * Returns whether the pace of a run says something about its worker. A gang progresses as a
+   * whole, a persistent task is never done, and a gap-filling task progresses as other tasks leave
+   * it resources, so none of these is watched.
    */
   private static boolean isWatched(Run run) {
     return run.task != null
@@ -95,31 +112,36 @@
   }
 
   /**
-   * Compares what a run takes yet with a new run elsewhere. Before anything has ended there is
-   * nothing to compare with but callers' estimates, which are off by up to nine tenths.
+   * Compares the remaining time of a run with the time of a new run on another worker. Before any
+   * run of the queue has ended, the only reference is the callers' estimates, which are off by up
+   * to 90%.
    */
   private boolean isStraggling(Run run) {
     String queue = run.task.step.submission.spec().queue().name();
     if (run.pace == null || !cell.learned.isKnown(queue) || !run.pace.isKnown(windowMillis(run))) {
       return false;
     }
-    double again = run.task.step.spec.flags().checkpoints() ? run.pace.remainingFraction() : 1;
-    double elsewhere = again * expectedMillis(run) + MOVE_MILLIS;
-    return run.pace.remainingMillis() > MIN_SLOWDOWN_FACTOR * elsewhere;
+    double remainingShare =
+        run.task.step.spec.flags().checkpoints() ? run.pace.remainingFraction() : 1;
+    double elsewhereMillis = remainingShare * expectedMillis(run) + MOVE_MILLIS;
+    return run.pace.remainingMillis() > MIN_SLOWDOWN_FACTOR * elsewhereMillis;
   }
 
-  /** What is not urgent stays where it is unless there is room elsewhere: slow beats not at all. */
+  /**
+   * Returns whether the task may be moved. A task that is not urgent stays on its worker unless
+   * another worker has room for it: running slowly is better than not running.
+   */
   private boolean mayMove(Run run, long now) {
     if (run.task.moves >= MAX_MOVES) {
       return false;
     }
     StepRun step = run.task.step;
     String service = step.submission.spec().queue().service();
-    Collection<WorkerView> taking = cell.taking(service, now);
+    Collection<WorkerView> candidates = cell.taking(service, now);
     if (cell.urgent(step)) {
-      return !taking.isEmpty();
+      return !candidates.isEmpty();
     }
-    return taking.stream()
+    return candidates.stream()
         .anyMatch(
             worker ->
                 worker != run.worker
@@ -150,21 +172,21 @@
     if (now < worker.slowBackoffUntil || isBackoffLimitReached(worker.entry().service(), now)) {
       return;
     }
-    long length = SLOW_BACKOFF_MILLIS << Math.min(MAX_DOUBLINGS, worker.slowStreak);
+    long backoffMillis = SLOW_BACKOFF_MILLIS << Math.min(MAX_DOUBLINGS, worker.slowStreak);
     worker.slowStreak++;
-    worker.slowBackoffUntil = now + length;
-    cell.workerEvent("worker-slow", worker, "streak", worker.slowStreak, "for_ms", length);
+    worker.slowBackoffUntil = now + backoffMillis;
+    cell.workerEvent("worker-slow", worker, "streak", worker.slowStreak, "for_ms", backoffMillis);
   }
 
   private boolean isBackoffLimitReached(String service, long now) {
-    int shunned = 0;
+    int backedOff = 0;
     int all = 0;
     for (WorkerView worker : cell.workers.values()) {
       if (worker.listed && worker.entry().service().equals(service)) {
         all++;
-        shunned += now < worker.slowBackoffUntil ? 1 : 0;
+        backedOff += now < worker.slowBackoffUntil ? 1 : 0;
       }
     }
-    return (shunned + 1) * WORKERS_PER_SLOW_WORKER > all;
+    return (backedOff + 1) * WORKERS_PER_SLOW_WORKER > all;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerEntry.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerEntry.java
@@ -4,18 +4,19 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * What a worker says of itself in the list of workers.
+ * The entry that a worker writes for itself in the worker list.
  *
  * <p>Immutable.
  *
  * @param id the worker's id
- * @param service the service it belongs to
+ * @param service the service that the worker belongs to
  * @param address host and port
- * @param draining it takes no new tasks and will leave
- * @param remainingMillis while it drains, the least time that is left, in milliseconds
- * @param capacity what its tasks may need together
- * @param labels its kind and its rack, in this order
- * @param bornMillis start of its present life, milliseconds since 1970; 0 if unknown
+ * @param draining whether the worker takes no new tasks and will leave
+ * @param remainingMillis while the worker drains, the minimum time that is left, in milliseconds
+ * @param capacity the resources that the worker's tasks may use in total
+ * @param labels the worker's kind and its rack, in this order
+ * @param bornMillis start of the worker's current incarnation, in milliseconds since 1970; 0 if
+ *     unknown
  */
 public record WorkerEntry(
     String id,
@@ -27,7 +28,7 @@
     List<String> labels,
     long bornMillis) {
 
-  /** Copies the list, so that the record stays as it is. */
+  /** Copies the list, so that the record is immutable. */
   public WorkerEntry {
     labels = List.copyOf(labels);
   }
@@ -35,16 +36,16 @@
   /**
    * Returns the worker's kind.
    *
-   * @return the kind, or empty if the worker names none
+   * @return the kind, or an empty string if the worker has no such label
    */
   public String kind() {
     return labels.isEmpty() ? "" : labels.get(0);
   }
 
   /**
-   * Returns the label of the rack.
+   * Returns the label of the worker's rack.
    *
-   * @return the rack, or empty if the worker names none
+   * @return the rack, or an empty string if the worker has no such label
    */
   public String rack() {
     return labels.size() > 1 ? labels.get(1) : "";
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerRegistry.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerRegistry.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 
 /**
- * Knows which workers there are: those listed, those on the roster of an earlier owner, and those
- * that may still hold runs.
+ * Registry of the workers: those on the worker list, those on the roster of an earlier owner, and
+ * those that may still have runs.
  *
- * <p>Invariant: a worker that may hold runs is on the durable roster, so that a successor asks it
- * even if it is not listed any more. Belongs to the control thread.
+ * <p>Invariant: a worker that may have runs is on the durable roster, so that a successor contacts
+ * it even if it is no longer on the worker list. Confined to the control thread.
  */
 final class WorkerRegistry {
 
@@ -22,7 +22,7 @@
   private final RunController runs;
   private final RunAdoption adoption;
 
-  /** The last submission that an earlier owner may have taken. */
+  /** The number of the last submission that an earlier owner may have accepted. */
   private final long lastSubmissionOfEarlierOwners;
 
   private final RosterWriter roster;
@@ -75,7 +75,7 @@
       cell.log.event(PART, "worker-listed", "worker", entry.id(), "address", entry.address());
       roster.markStale();
     } else if (entry.bornMillis() > worker.bornMillis) {
-      // Only its own report tells what the new life runs; until then it gets nothing.
+      // Only its own report says what a restarted worker runs; until then it gets no orders.
       handleMissingAnswer(worker, now);
       if (!worker.entry().address().equals(entry.address())) {
         roster.markStale();
@@ -124,7 +124,7 @@
   }
 
   private void removeLostWorkers(long now) {
-    Set<String> gone = new HashSet<>();
+    Set<String> goneIds = new HashSet<>();
     for (WorkerView worker : cell.workers.values()) {
       if (worker.silent && worker.departed) {
         runs.handleDeparture(worker, now);
@@ -134,23 +134,23 @@
       boolean empty =
           worker.runs.isEmpty() && worker.unsavedEnds.isEmpty() && !cell.unresolved(worker, now);
       if (worker.silent && empty && !worker.listed) {
-        gone.add(worker.id());
+        goneIds.add(worker.id());
       }
     }
-    if (!gone.isEmpty()) {
-      cell.log.event(PART, "workers-gone", "workers", gone);
-      cell.workers.keySet().removeAll(gone);
+    if (!goneIds.isEmpty()) {
+      cell.log.event(PART, "workers-gone", "workers", goneIds);
+      cell.workers.keySet().removeAll(goneIds);
       roster.markStale();
     }
   }
 
   /**
-   * Closes workers that get no orders any more, and opens them again.
+   * Closes workers that get no more orders, and reopens them.
    *
-   * <p>A successor waits for a worker that it cannot hear, with everything that the worker may run.
-   * So the roster names the runs of a worker that gets no orders, says how long its lease lasts if
-   * it is not renewed, and leaves the worker out once it is empty. A successor may rely on that
-   * since a worker gets orders and renewals only after a roster that says so is durable.
+   * <p>A successor waits for a worker that it cannot reach, with every task that the worker may
+   * run. For a worker that gets no orders, the roster therefore lists the runs and says how long
+   * the lease lasts without renewal; it omits the worker once that is empty. A successor may rely
+   * on this since a worker gets orders and renewals only after a roster that says so is durable.
    */
   private void closeAndOpen(long now) {
     for (WorkerView worker : cell.workers.values()) {
@@ -176,14 +176,17 @@
     }
   }
 
-  /** Returns what may still run anywhere, from an owner that orders and renews nothing any more. */
+  /**
+   * Returns every worker that may still have runs, for an owner that sends no more orders or
+   * renewals.
+   */
   List<RosterEntry> finalRoster(long now) {
     return roster.finalRoster(now);
   }
 
   /**
-   * Takes the final roster of the owner before. It holds for workers that have not been heard: what
-   * they run was ordered by that owner or an earlier one.
+   * Applies the final roster of the former owner. It is valid for workers that have not answered
+   * this owner yet: their runs were ordered by the former owner or an earlier one.
    */
   void applyFinalRoster(Collection<RosterEntry> entries, long now) {
     Map<String, RosterEntry> byWorker = new HashMap<>();
@@ -192,11 +195,11 @@
       if (!worker.hasAnswered) {
         RosterEntry entry = byWorker.get(worker.id());
         if (entry == null) {
-          // An empty worker may hold a lease all the same.
+          // A worker without runs may still hold a lease.
           replaceRuns(worker, List.of(), now);
         } else {
           worker.earlierLeasesEnd = Math.min(worker.earlierLeasesEnd, now + entry.leaseMillis());
-          entry.runs().ifPresent(named -> replaceRuns(worker, named, now));
+          entry.runs().ifPresent(listed -> replaceRuns(worker, listed, now));
         }
       }
     }
@@ -204,13 +207,13 @@
     cell.dirty = true;
   }
 
-  private void replaceRuns(WorkerView worker, List<RunKey> named, long now) {
+  private void replaceRuns(WorkerView worker, List<RunKey> listed, long now) {
     worker.runsUnknown = false;
     for (Run run : CellState.copy(worker.runs.values())) {
-      if (!named.contains(run.key)) {
+      if (!listed.contains(run.key)) {
         runs.removeRun(run, now);
       }
     }
-    named.forEach(run -> adoption.adoptListed(worker, run, now));
+    listed.forEach(run -> adoption.adoptListed(worker, run, now));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerReportHandler.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerReportHandler.java
@@ -6,15 +6,18 @@
 import java.util.Set;
 
 /**
- * Takes in what workers say of their runs.
+ * Processes the reports that workers give of their runs when they answer a renewal.
  *
- * <p>Invariant: a report shows that a run is gone only if it comes from the worker's present life
- * and was given after the order or the stop had its answer, or after the order's deadline. Belongs
- * to the control thread.
+ * <p>Invariant: a report proves that a run is gone only if it comes from the worker's current
+ * incarnation and was requested after the order or the stop was answered, or is dated after the
+ * order's deadline. Confined to the control thread.
  */
 final class WorkerReportHandler {
 
-  /** Workers list so many ends at a time; a run beyond the page has not vanished. */
+  /**
+   * Maximum number of ends in one report. A run that is missing from a full page is not necessarily
+   * gone.
+   */
   private static final int ENDS_PAGE_SIZE = 500;
 
   private final CellState cell;
@@ -68,24 +71,24 @@
   }
 
   private void handleEnds(WorkerView worker, RenewalReport report, long now) {
-    long last = worker.lastProcessedEnd;
-    List<RunKey> taken = new ArrayList<>();
+    long lastEnd = worker.lastProcessedEnd;
+    List<RunKey> processed = new ArrayList<>();
     for (EndedRun ended : report.ended()) {
       if (ended.number() > worker.lastProcessedEnd) {
         ends.handleEnd(worker, ended, now);
-        last = ended.number();
-        taken.add(ended.run());
+        lastEnd = ended.number();
+        processed.add(ended.run());
       }
     }
-    if (last > worker.lastProcessedEnd) {
-      worker.lastProcessedEnd = last;
-      worker.unsavedEnds.addAll(taken);
-      long durable = last;
-      long life = worker.bornMillis;
+    if (lastEnd > worker.lastProcessedEnd) {
+      worker.lastProcessedEnd = lastEnd;
+      worker.unsavedEnds.addAll(processed);
+      long durable = lastEnd;
+      long incarnation = worker.bornMillis;
       cell.output.afterSave(
           () -> {
-            if (worker.bornMillis == life) {
-              taken.forEach(worker.unsavedEnds::remove);
+            if (worker.bornMillis == incarnation) {
+              processed.forEach(worker.unsavedEnds::remove);
               worker.lastDurableEnd = Math.max(worker.lastDurableEnd, durable);
             }
           });
@@ -108,25 +111,26 @@
   }
 
   private void handleMissing(Run run, RenewalReport report, long sentAt, long now) {
-    boolean stopTookEffect = run.stopAnsweredAt > 0 && run.stopAnsweredAt < sentAt;
-    boolean wasThere = run.confirmedAt > 0 && run.confirmedAt < sentAt;
-    boolean tooLate =
+    boolean stopAnswered = run.stopAnsweredAt > 0 && run.stopAnsweredAt < sentAt;
+    boolean wasConfirmed = run.confirmedAt > 0 && run.confirmedAt < sentAt;
+    boolean orderExpired =
         run.confirmedAt == 0
             && run.lastOrderAt < sentAt
             && run.orderDeadline < report.clockMillis();
-    if (!stopTookEffect && !wasThere && !tooLate) {
+    if (!stopAnswered && !wasConfirmed && !orderExpired) {
       return;
     }
-    String reason = stopTookEffect ? "stopped" : wasThere ? "vanished" : "order-expired";
+    String reason = stopAnswered ? "stopped" : wasConfirmed ? "vanished" : "order-expired";
     cell.runEvent("run-not-there", run.key, run.worker, "reason", reason);
     runs.removeRun(run, now);
   }
 
   /**
-   * A worker with a new life knows nothing of before. Its report tells which runs it has: an order
-   * may have reached the new life before its birth was noticed here, so nothing is taken for gone
-   * on the birth alone. An order without an answer may still arrive, and the new clock's deadline
-   * would not refuse it, even if a copy of it ran and ended long ago; the run is stopped first.
+   * Handles the restart of a worker. The worker has lost its state, and its report says which runs
+   * it has. An order may have reached the new incarnation before the restart was detected here, so
+   * the restart alone is no proof that a run is gone. An order without an answer may still arrive,
+   * and its deadline does not make the new clock refuse it, even if a copy of it ran and ended long
+   * ago; the run is therefore stopped first.
    */
   private void handleNewIncarnation(WorkerView worker, long bornMillis, long now) {
     cell.workerEvent("worker-reborn", worker, "runs", worker.runs.size());
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerView.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerView.java
@@ -7,32 +7,42 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * What the owner believes of one worker.
+ * The owner's view of one worker: its runs, its lease and whether it may get orders.
  *
- * <p>Invariant: the sum of {@code runs} and claims is what may be in use there. A run leaves only
- * when the worker has said that it ended or never came, when it has a new life or has left, when
- * every lease ever sent has expired, or, before it was first heard, when the former owner says that
- * it left nothing there.
+ * <p>Invariant: the sum of {@code runs} and reservations is an upper bound of what is in use on the
+ * worker. A run is removed only when the worker has reported that it ended or never arrived, when
+ * the worker has restarted or left, when every lease ever sent has expired, or, before the worker
+ * first answers this owner, when the former owner reports that nothing was left there.
  *
- * <p>A worker is open or closed to orders ({@code closedAfter}), and its lease is renewed or runs
- * out. A successor reads both from the roster, so orders wait for {@code onRoster}, and renewals
- * after a long silence for {@code renewable}. Belongs to the control thread.
+ * <p>A worker is open or closed to orders ({@code closedAfter}), and its lease is either renewed or
+ * left to expire. A successor reads both from the roster, so orders wait for {@code onRoster}, and
+ * renewals after a long silence for {@code renewable}. Confined to the control thread.
  */
 public final class WorkerView {
 
-  /** A new clock reading is taken with each renewal; without one no order can carry a deadline. */
+  /**
+   * Marks a missing clock reading. Each renewal takes a new reading; without one no order can carry
+   * a deadline.
+   */
   private static final long NO_READING = -1;
 
   /**
-   * A worker answers at least once a second. One not heard for three times that, for instance since
-   * this owner could not prove its ownership, may have died and come back meanwhile.
+   * Age of the last answer from which on the worker may have crashed and restarted. A worker
+   * answers at least once a second; this is three times that. It is exceeded, for instance, while
+   * this owner cannot prove its ownership.
    */
   private static final long MAX_ANSWER_AGE_MILLIS = 3_000;
 
-  /** A worker answers at least twice in this time, and takes longer to start again. */
+  /**
+   * Age of the last answer up to which orders may be resent. A worker answers at least twice in
+   * this time, and takes longer than that to restart.
+   */
   private static final long MAX_RESEND_ANSWER_AGE_MILLIS = 1_000;
 
-  /** A lost answer is repeated well within this time; a worker silent for longer may be lost. */
+  /**
+   * Silence after which a worker may be lost. A request whose answer was lost is repeated well
+   * within this time.
+   */
   private static final long LONG_SILENCE_MILLIS = 500;
 
   final Map<RunKey, Run> runs = new LinkedHashMap<>();
@@ -41,56 +51,61 @@
   boolean listed;
   long bornMillis;
 
-  /** It has answered a renewal under this owner's token. */
+  /** Whether the worker has answered a renewal under this owner's token. */
   boolean hasAnswered;
 
-  /** It is on the durable roster, so that a successor knows to ask it. */
+  /** Whether the worker is on the durable roster, so that a successor contacts it. */
   boolean onRoster;
 
-  /** It may run what an earlier owner ordered and nobody has named. */
+  /** Whether the worker may have runs that an earlier owner ordered and did not list. */
   boolean runsUnknown;
 
-  /** When every lease that earlier owners gave has expired, on the owner's steady clock. */
+  /** When every lease granted by earlier owners has expired, on the owner's monotonic clock. */
   long earlierLeasesEnd;
 
   /**
-   * The number of the last submission of which it may hold runs, if it gets no orders any more;
-   * {@link RosterEntry#OPEN} while it may get orders.
+   * The number of the last submission of which the worker may have runs once it gets no more
+   * orders; {@link RosterEntry#OPEN} while it may get orders.
    */
   long closedAfter = RosterEntry.OPEN;
 
-  /** It runs nothing and gets nothing, so it was taken off the roster. */
+  /** Whether the worker was taken off the roster, since it runs nothing and gets no orders. */
   boolean retired;
 
-  /** The last renewal had no answer. */
+  /** Whether the last renewal had no answer. */
   boolean silent;
 
   long silentSince;
   long lastAnswerAt;
 
-  /** No roster that a successor may read tells that the lease runs out. */
+  /** Whether the lease may be renewed: no roster that a successor may read says that it expires. */
   boolean renewable = true;
 
-  /** The roster that was handed over last tells that its lease runs out. */
+  /** Whether the roster that was last handed to the store says that the lease expires. */
   boolean leaseExpiringOnRoster;
 
-  /** Orders without an answer, with the time they were sent: each may yet be carried out. */
+  /** Start orders without an answer, by the time they were sent; each may still be carried out. */
   final Map<RunKey, Long> unansweredOrders = new LinkedHashMap<>();
 
-  /** Runs that a new life of the worker must refuse, until it has taken the stops. */
+  /**
+   * Runs that a restarted worker must refuse; each is kept until the worker has answered the stop.
+   */
   final Set<RunKey> runsToRefuse = new LinkedHashSet<>();
 
   long clockReading = NO_READING;
   long clockReadAt;
   long highestDeadline;
 
-  /** Ends up to this number have been taken in. */
+  /** The highest number of an end that has been processed. */
   long lastProcessedEnd;
 
-  /** Runs whose end was taken in and is not durable: a successor must hear it from the worker. */
+  /**
+   * Runs whose end has been processed but is not durable; a successor must hear of it from the
+   * worker.
+   */
   final Set<RunKey> unsavedEnds = new LinkedHashSet<>();
 
-  /** Ends up to this number are durable, and may be forgotten by the worker. */
+  /** The highest number of an end that is durable; the worker may discard ends up to it. */
   long lastDurableEnd;
 
   private long usedProcessors;
@@ -99,20 +114,23 @@
   private long reservedProcessors;
   private long reservedMemory;
 
-  /** It has taken itself off the list, and leaves as soon as it does not answer any more. */
+  /**
+   * Whether the worker has removed itself from the worker list; it counts as gone once it no longer
+   * answers.
+   */
   boolean departed;
 
   int failureStreak;
   long quarantinedUntil;
   long fullUntil;
 
-  /** How long tasks take on its kind, against other kinds; see {@link WorkerKindSpeedEstimator}. */
+  /** Relative run time of tasks on the worker's kind; see {@link WorkerKindSpeedEstimator}. */
   double kindFactor = 1;
 
-  /** It was found slow: it gets nothing until then. */
+  /** End of the time in which the worker gets no orders since it was found slow. */
   long slowBackoffUntil;
 
-  /** How often in a row it was found slow. */
+  /** How many times in a row the worker was found slow. */
   int slowStreak;
 
   WorkerView(WorkerEntry entry) {
@@ -130,7 +148,7 @@
   }
 
   /**
-   * Returns what the worker last said of itself.
+   * Returns the worker's latest entry in the worker list.
    *
    * @return the entry
    */
@@ -139,29 +157,30 @@
   }
 
   /**
-   * Returns up to which number its ends may be forgotten. A worker that left a renewal without an
-   * answer may have a new life, which counts its ends anew: told the old number, it would forget
-   * ends that nobody has seen, and their tasks would run twice. So it is told 0 until it has shown
-   * its life.
+   * Returns the number up to which the worker may discard its ends. A worker that has not answered
+   * a renewal may have restarted, and a restarted worker numbers its ends from the beginning: given
+   * the old number, it would discard ends that no owner has seen, and their tasks would run twice.
+   * The result is therefore 0 until the worker has answered with its start time.
    *
-   * @param now the time
-   * @return the number
+   * @param now the time, on the owner's monotonic clock, in milliseconds
+   * @return the number, or 0 if the worker is to discard nothing
    */
   public long acknowledgedEnd(long now) {
     return silent || !answeredRecently(now) ? 0 : lastDurableEnd;
   }
 
   /**
-   * Tells whether its last renewal had no answer.
+   * Returns whether the last renewal had no answer.
    *
-   * @return true while it is silent
+   * @return true while the worker is silent
    */
   public boolean silent() {
     return silent;
   }
 
   /**
-   * Notes an answer under this owner's token, after which it takes no renewal of an earlier one.
+   * Records an answer under this owner's token; from then on the worker accepts no renewal by an
+   * earlier owner.
    */
   void recordAnswer(long clockMillis, long longestLeaseMillis, long now) {
     if (!hasAnswered) {
@@ -174,7 +193,7 @@
     clockReadAt = now;
   }
 
-  /** Notes that a renewal had no answer. */
+  /** Records that a renewal had no answer. */
   void recordMissingAnswer(long now) {
     if (!silent) {
       silentSince = now;
@@ -182,9 +201,11 @@
     silent = true;
   }
 
-  /** Begins a new life, which knows nothing of before and counts anew. */
-  void beginIncarnation(long born) {
-    bornMillis = born;
+  /**
+   * Resets the state for a restarted worker, which has lost its state and numbers its ends anew.
+   */
+  void beginIncarnation(long newBornMillis) {
+    bornMillis = newBornMillis;
     lastProcessedEnd = 0;
     lastDurableEnd = 0;
     unsavedEnds.clear();
@@ -201,20 +222,22 @@
     this.listed = true;
   }
 
-  /** Estimates the worker's clock from below; -1 without a reading. */
+  /** Returns a lower bound of the worker's clock; -1 without a reading. */
   long clockAt(long now) {
     return clockReading == NO_READING ? NO_READING : clockReading + (now - clockReadAt);
   }
 
   /**
-   * Returns the deadline for a renewal that is sent now, and remembers it. A worker that left the
-   * last renewal without an answer gets none: otherwise each attempt would put off the moment when
-   * its tasks can be given to others. Neither does one whose lease runs out for all that a
-   * successor can read, nor one that was not heard for a while: it may have a new life and clock.
+   * Returns the deadline of a lease whose renewal is sent now, and records it. A worker that did
+   * not answer the last renewal gets none: otherwise each attempt would postpone the time at which
+   * its tasks can be given to other workers. Nor does a worker whose lease expires according to a
+   * roster that a successor may read, or one that has not answered for a while, since it may have
+   * restarted with a new clock.
    *
-   * @param now the time
-   * @param leaseMillis the length of the lease
-   * @return the deadline on the worker's clock, or -1 for a renewal that only asks
+   * @param now the time, on the owner's monotonic clock, in milliseconds
+   * @param leaseMillis the length of the lease, in milliseconds
+   * @return the deadline on the worker's clock, in milliseconds, or -1 for a renewal that requests
+   *     a report only
    */
   public long nextDeadline(long now, long leaseMillis) {
     if (clockReading == NO_READING || !answeredRecently(now) || silent || !renewable) {
@@ -225,7 +248,7 @@
     return deadline;
   }
 
-  /** Returns when every lease ever sent has expired, on the owner's steady clock. */
+  /** Returns when every lease ever sent has expired, on the owner's monotonic clock. */
   long leaseEnd() {
     if (clockReading == NO_READING || highestDeadline <= clockReading) {
       return Math.max(clockReadAt, earlierLeasesEnd);
@@ -277,31 +300,37 @@
     return closedAfter == RosterEntry.OPEN;
   }
 
-  /** Tells whether it is to get no orders for a while, which a successor should know. */
+  /**
+   * Returns whether the worker is to get no orders for a while, which the roster must tell a
+   * successor.
+   */
   boolean shouldClose(long now) {
     return entry.draining() || isSilentForLong(now);
   }
 
-  /** Tells whether it gets no renewal: it was never heard, or not for long. */
+  /**
+   * Returns whether the lease is not renewed, since the worker has never answered or is silent for
+   * long.
+   */
   boolean isLeaseExpiring(long now) {
     return !hasAnswered || isSilentForLong(now);
   }
 
-  /** Tells whether it may be lost, so that its lease is left to run out. */
+  /** Returns whether the worker may be lost, so that its lease is left to expire. */
   boolean isSilentForLong(long now) {
     return silent && now - silentSince >= LONG_SILENCE_MILLIS;
   }
 
   /**
-   * Tells whether a renewal should wait for the roster that allows it.
+   * Returns whether a renewal has to wait until a roster that allows it is durable.
    *
-   * @return true while the lease may not be renewed though the worker answers
+   * @return true while the lease may not be renewed although the worker answers
    */
   public boolean waitsForRoster() {
     return hasAnswered && !silent && !renewable;
   }
 
-  /** Tells whether nothing is there and nothing is on its way. */
+  /** Returns whether nothing runs on the worker and no order to it is in transit. */
   boolean isEmpty() {
     return runs.isEmpty()
         && unsavedEnds.isEmpty()
@@ -310,8 +339,8 @@
   }
 
   /**
-   * Tells whether an order without an answer may be sent to it again. A worker that was not heard
-   * for a while may have a new life, whose clock the order's deadline does not bound.
+   * Returns whether an order without an answer may be sent again. A worker that has not answered
+   * for a while may have restarted, and the order's deadline does not apply to its new clock.
    */
   boolean acceptsResentOrders(long now) {
     return !silent && renewable && now - lastAnswerAt <= MAX_RESEND_ANSWER_AGE_MILLIS;
