--- a/core/src/test/java/org/hickorypier/core/cell/DepartureDetectorTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/DepartureDetectorTest.java
@@ -7,10 +7,10 @@
 
 class DepartureDetectorTest {
 
-  private static final long HEARTBEAT = 1_500;
+  private static final long HEARTBEAT_MILLIS = 1_500;
   private static final long NO_PAUSE = Long.MIN_VALUE;
 
-  private final DepartureDetector detector = new DepartureDetector(HEARTBEAT);
+  private final DepartureDetector detector = new DepartureDetector(HEARTBEAT_MILLIS);
 
   private static WorkerEntry entry(boolean draining) {
     return new WorkerEntry(
@@ -18,34 +18,34 @@
   }
 
   @Test
-  void drainingWorkerThatIsRemovedBetweenItsHeartbeatsHasLeft() {
+  void drainingWorkerRemovedWithinHeartbeatsHasLeft() {
     detector.recordWrite(entry(true), 1_000);
     detector.recordWrite(entry(true), 2_500);
     assertThat(detector.recordRemoval("w", NO_PAUSE, 4_300)).isTrue();
   }
 
   @Test
-  void workerThatIsRemovedAfterSilenceMayRunOn() {
+  void drainingWorkerRemovedAfterMissedHeartbeatsMayStillRun() {
     detector.recordWrite(entry(true), 1_000);
-    assertThat(detector.recordRemoval("w", NO_PAUSE, 1_000 + 3 * HEARTBEAT)).isFalse();
+    assertThat(detector.recordRemoval("w", NO_PAUSE, 1_000 + 3 * HEARTBEAT_MILLIS)).isFalse();
   }
 
   @Test
-  void workerThatDidNotDrainMayRunOn() {
+  void workerThatIsNotDrainingMayStillRun() {
     detector.recordWrite(entry(true), 1_000);
     detector.recordWrite(entry(false), 2_000);
     assertThat(detector.recordRemoval("w", NO_PAUSE, 2_500)).isFalse();
   }
 
-  /** While the process was suspended the worker may have been silent for any time. */
+  /** The worker may have been silent for any length of time while this process was suspended. */
   @Test
-  void removalAcrossPauseTellsNothing() {
+  void removalAfterProcessPauseIsNoDeparture() {
     detector.recordWrite(entry(true), 1_000);
     assertThat(detector.recordRemoval("w", 1_200, 1_500)).isFalse();
   }
 
   @Test
-  void entryOfUnknownAgeTellsNothing() {
+  void removalOfEntryWithUnknownAgeIsNoDeparture() {
     detector.recordWrite(entry(true), 1_000);
     detector.clear();
     assertThat(detector.recordRemoval("w", NO_PAUSE, 1_500)).isFalse();
--- a/core/src/test/java/org/hickorypier/core/cell/StragglerDetectorTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/StragglerDetectorTest.java
@@ -11,7 +11,7 @@
 import org.hickorypier.core.submission.StepSpec;
 import org.junit.jupiter.api.Test;
 
-/** Workers that turn slow or stand still while they answer everything. */
+/** Tests the detection of workers that are slow or stalled while they answer all requests. */
 class StragglerDetectorTest {
 
   private static final long WORK_MILLIS = 800;
@@ -25,7 +25,7 @@
 
   private void start(StepFlags flags) {
     listWorkers();
-    learn();
+    completeEarlierTasks();
     fixture.submit(spec("s", QUEUE, step(flags)));
     fixture.confirmAll();
   }
@@ -36,8 +36,8 @@
     }
   }
 
-  /** Lets some tasks of the queue end, so that their usual length is known. */
-  private void learn() {
+  /** Completes some tasks of the queue, so that the expected run time is known. */
+  private void completeEarlierTasks() {
     StepSpec five = CellFixture.step(5, 100, WORK_MILLIS, false);
     fixture.submit(spec("earlier", QUEUE, five));
     fixture.confirmAll();
@@ -53,8 +53,8 @@
     fixture.cell.workers().forEach(fixture::hear);
   }
 
-  /** Lets time pass while the run gets on at some part of the usual speed. */
-  private void watch(double speed, long millis) {
+  /** Advances the time while the run progresses at a fraction of the expected speed. */
+  private void reportProgress(double speed, long millis) {
     Run run = fixture.starts.get(0).run();
     for (long passed = 100; passed <= millis; passed += 100) {
       fixture.advance(95);
@@ -64,15 +64,15 @@
   }
 
   /**
-   * A worker does its work six times slower. The caller's check of 0.8 s would take 4.8 s there,
-   * and miss its objective. By its progress it is found within half a second, stopped, and started
-   * on another worker; the slow one gets nothing more for now.
+   * Guards against a check that misses its objective on a worker that runs tasks six times slower:
+   * a check of 0.8 s would take 4.8 s there. Its progress shows this within half a second; the run
+   * is stopped and started on another worker, and the slow worker gets no orders for a while.
    */
   @Test
-  void taskIsTakenAwayFromSlowWorker() {
+  void taskIsMovedAwayFromSlowWorker() {
     start(StepFlags.PLAIN);
     final Run slow = fixture.starts.get(0).run();
-    watch(1.0 / 6, 500);
+    reportProgress(1.0 / 6, 500);
     assertThat(fixture.stops).containsExactly(slow.key());
 
     fixture.hear(slow.worker(), new EndedRun(2_000, slow.key(), RunEnd.STOPPED, ""));
@@ -82,53 +82,61 @@
     assertThat(slow.worker().acceptsOrders(fixture.now)).isFalse();
   }
 
-  /** A worker answers, counts as well, and never gets on with what it was told to start. */
+  /**
+   * Guards against a task that never ends on a worker that answers, counts as healthy and makes no
+   * progress with the runs that it was ordered to start.
+   */
   @Test
-  void taskIsTakenAwayFromWorkerThatStandsStill() {
+  void taskIsMovedAwayFromStalledWorker() {
     start(StepFlags.PLAIN);
-    watch(0, 500);
+    reportProgress(0, 500);
     assertThat(fixture.stops).hasSize(1);
   }
 
-  /** Callers' estimates are off by up to nine tenths, so they alone condemn nobody. */
+  /** Callers' estimates are off by up to 90%, so they alone do not make a worker count as slow. */
   @Test
-  void nothingIsMovedBeforeTheUsualLengthIsKnown() {
+  void noTaskIsMovedBeforeExpectedRunTimeIsKnown() {
     listWorkers();
     fixture.submit(spec("s", QUEUE, step(StepFlags.PLAIN)));
     fixture.confirmAll();
-    watch(1.0 / 6, 900);
+    reportProgress(1.0 / 6, 900);
     assertThat(fixture.stops).isEmpty();
   }
 
   @Test
-  void runsOfSoundWorkersAreLeftAlone() {
+  void runsOfHealthyWorkersAreNotMoved() {
     start(StepFlags.PLAIN);
-    watch(1 / 1.5, 900);
+    reportProgress(1 / 1.5, 900);
     assertThat(fixture.stops).isEmpty();
   }
 
-  /** What fills gaps is slow because others use the worker, and would be as slow elsewhere. */
+  /**
+   * A gap-filling task is slow because other tasks use the worker, and would be as slow elsewhere.
+   */
   @Test
-  void whatFillsGapsIsLeftAlone() {
+  void gapFillingTasksAreNotMoved() {
     start(new StepFlags(false, false, false, false, false, true));
-    watch(1.0 / 6, 900);
+    reportProgress(1.0 / 6, 900);
     assertThat(fixture.stops).isEmpty();
   }
 
-  /** If all workers seem slow, the expectation is wrong: most of them must go on taking work. */
+  /**
+   * If all workers seem slow, the expected run time is wrong, and most of them must continue to get
+   * orders.
+   */
   @Test
-  void mostWorkersGoOnTakingWork() {
+  void mostWorkersContinueToAcceptOrders() {
     listWorkers();
-    learn();
+    completeEarlierTasks();
     for (int index = 0; index < 4; index++) {
       fixture.submit(spec("s" + index, QUEUE, step(StepFlags.PLAIN)));
     }
     fixture.confirmAll();
-    for (int look = 1; look <= 6; look++) {
+    for (int percent = 1; percent <= 6; percent++) {
       fixture.advance(95);
       for (CellFixture.Started started : List.copyOf(fixture.starts)) {
         Run run = started.run();
-        fixture.progress(run.worker(), new RunningTask(run.key(), "", look));
+        fixture.progress(run.worker(), new RunningTask(run.key(), "", percent));
       }
     }
     assertThat(fixture.cell.workers())
--- a/core/src/test/java/org/hickorypier/core/cell/TakenOverLeaseTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/TakenOverLeaseTest.java
@@ -10,26 +10,26 @@
 import org.hickorypier.core.submission.SubmissionState;
 import org.junit.jupiter.api.Test;
 
-/** What a successor believes of leases that earlier owners gave. */
+/** Tests how a successor accounts for the leases that earlier owners granted. */
 class TakenOverLeaseTest {
 
   private static final long TICK_MILLIS = 100;
 
   private final CellFixture fixture = new CellFixture(1);
 
-  /** Starts a lasting task on a worker that is then silent for some time. */
-  private WorkerView leaveWithLastingTask(String id, long silentMillis) {
+  /** Starts a persistent task on a worker that is then silent for some time. */
+  private WorkerView silenceWorkerWithTask(String id, long silentMillis) {
     WorkerView leaving = fixture.worker("leaving-" + id);
     leaving.nextDeadline(fixture.now, TERMS.leaseMillis());
     fixture.submit(spec(id, QUEUE, lasting(1)));
     fixture.confirmAll();
     fixture.cell.holdUnanswered(leaving, fixture.now);
-    pass(fixture, silentMillis);
+    advance(fixture, silentMillis);
     return leaving;
   }
 
-  /** Lets time go by, with a report of every other worker at each tick. */
-  private static void pass(CellFixture owner, long millis) {
+  /** Advances the time; at each tick every staying worker reports and the others are silent. */
+  private static void advance(CellFixture owner, long millis) {
     long until = owner.now + millis;
     while (owner.now < until) {
       owner.advance(TICK_MILLIS - 5);
@@ -47,33 +47,41 @@
     }
   }
 
+  /**
+   * Guards against a takeover that waits for a new full lease of a worker which was silent before.
+   */
   @Test
-  void taskOfLostWorkerStartsWhenItsLeaseEndsThoughTheOwnerIsReplaced() {
-    leaveWithLastingTask("s", 1_000);
+  void taskOfLostWorkerRestartsAtLeaseExpiryDespiteTakeover() {
+    silenceWorkerWithTask("s", 1_000);
     CellFixture successor = fixture.successor(2, "s");
     successor.worker("staying");
-    pass(successor, TERMS.leaseMillis() - 1_100);
+    advance(successor, TERMS.leaseMillis() - 1_100);
     assertThat(successor.starts).isEmpty();
 
-    pass(successor, 1_500);
+    advance(successor, 1_500);
     assertThat(successor.starts).hasSize(1);
   }
 
+  /**
+   * Guards against a task that never restarts because each takeover restarts the wait for its
+   * worker.
+   */
   @Test
-  void severalTakeoversInRowDoNotProlongTheWaitForLostWorker() {
-    leaveWithLastingTask("s", 1_000);
+  void repeatedTakeoversDoNotExtendTheWaitForLostWorker() {
+    silenceWorkerWithTask("s", 1_000);
     CellFixture owner = fixture;
     for (int epoch = 2; epoch < 8; epoch++) {
       owner = owner.successor(epoch, "s");
       owner.worker("staying");
-      pass(owner, 1_200);
+      advance(owner, 1_200);
     }
     assertThat(owner.view("staying").runs).hasSize(1);
   }
 
+  /** Guards against tasks that the lost worker cannot have, but that wait for its lease. */
   @Test
-  void onlyTasksThatLostWorkerMayRunWaitForIt() {
-    leaveWithLastingTask("lost", 1_000);
+  void onlyTasksThatLostWorkerMayRunWaitForItsLease() {
+    silenceWorkerWithTask("lost", 1_000);
     fixture.submit(spec("waiting", QUEUE, lasting(1)));
     CellFixture successor = fixture.successor(2, "lost", "waiting");
     successor.worker("staying");
@@ -83,9 +91,13 @@
         .containsExactly("waiting");
   }
 
+  /**
+   * Guards against a task that runs twice: a successor would read the old roster and assume that
+   * the renewed lease has expired.
+   */
   @Test
-  void workerWhoseLeaseRunsOutOnTheRosterIsNotRenewedBeforeAnotherIsDurable() {
-    WorkerView worker = leaveWithLastingTask("s", 1_000);
+  void workerWithExpiringLeaseOnRosterIsNotRenewedBeforeNewRosterIsDurable() {
+    WorkerView worker = silenceWorkerWithTask("s", 1_000);
     assertThat(fixture.roster).noneMatch(RosterEntry::renewed);
 
     fixture.hear(worker, worker.bornMillis, List.copyOf(worker.runs.keySet()));
@@ -97,23 +109,30 @@
     assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isPositive();
   }
 
+  /**
+   * Guards against a task that runs twice: one answer of the worker does not end a lease that an
+   * earlier owner granted.
+   */
   @Test
-  void leaseOfEarlierOwnerCountsUntilItsEndThoughTheWorkerWasHeardOnce() {
-    WorkerView worker = leaveWithLastingTask("s", 1_000);
+  void leaseOfEarlierOwnerCountsUntilExpiryAfterWorkerAnsweredOnce() {
+    WorkerView worker = silenceWorkerWithTask("s", 1_000);
     CellFixture successor = fixture.successor(2, "s");
     successor.worker("staying");
     WorkerView heard = successor.view(worker.id());
     successor.hear(heard, 1, List.copyOf(heard.runs.keySet()));
     successor.cell.holdUnanswered(heard, successor.now);
-    pass(successor, TERMS.leaseMillis() - 1_100);
+    advance(successor, TERMS.leaseMillis() - 1_100);
     assertThat(successor.starts).isEmpty();
-    pass(successor, 1_500);
+    advance(successor, 1_500);
     assertThat(successor.starts).hasSize(1);
   }
 
+  /**
+   * Guards against a stop of the current run because the roster lists an earlier run of the task.
+   */
   @Test
-  void laterRunOfTaskGoesOnThoughTheRosterNamesAnEarlierOne() {
-    leaveWithLastingTask("s", 1_000);
+  void reportedLaterRunContinuesWhenRosterListsEarlierRun() {
+    silenceWorkerWithTask("s", 1_000);
     CellFixture successor = fixture.successor(2, "s");
     WorkerView staying = successor.worker("staying");
     RunKey later = new RunKey(new TaskName("s", 0, 0, 0), 2);
@@ -121,10 +140,13 @@
     assertThat(successor.stops).doesNotContain(later);
   }
 
-  /** A worker that leaves in the moment of the handover is still open on the durable roster. */
+  /**
+   * A worker that leaves at the moment of the handover is still open on the durable roster. Without
+   * the former owner's final roster, tasks that the worker cannot have would wait for it.
+   */
   @Test
-  void formerOwnerTellsWhatTheRosterDoesNot() {
-    final WorkerView leaving = leaveWithLastingTask("s", 0);
+  void finalRosterOfFormerOwnerReplacesOutdatedDurableRoster() {
+    final WorkerView leaving = silenceWorkerWithTask("s", 0);
     fixture.submit(spec("waiting", QUEUE, lasting(1)));
     CellFixture successor = fixture.successor(2, "s", "waiting");
     successor.worker("staying");
@@ -139,14 +161,17 @@
         .extracting(each -> each.run().key().task().submission())
         .containsExactly("waiting");
 
-    pass(successor, TERMS.leaseMillis() - 200);
+    advance(successor, TERMS.leaseMillis() - 200);
     assertThat(successor.view("staying").runs).hasSize(1);
-    pass(successor, 700);
+    advance(successor, 700);
     assertThat(successor.view("staying").runs).hasSize(2);
   }
 
+  /**
+   * Guards against tasks that wait for a silent worker although the former owner had no runs there.
+   */
   @Test
-  void workerThatTheFormerOwnerLeftEmptyHoldsUpNothing() {
+  void workerWithoutRunsAtHandoverBlocksNoTask() {
     WorkerView leaving = fixture.worker("leaving");
     fixture.cell.holdUnanswered(leaving, fixture.now);
     fixture.submit(spec("s", QUEUE, lasting(1)));
@@ -160,9 +185,12 @@
     assertThat(successor.starts).hasSize(1);
   }
 
-  /** The end was known to the former owner alone, and the worker reports it again. */
+  /**
+   * Guards against a second run of a task whose end only the former owner knew; the worker reports
+   * the end again.
+   */
   @Test
-  void taskThatEndedUnsavedBeforeTheHandoverDoesNotRunAgain() {
+  void taskWhoseEndWasNotDurableAtHandoverDoesNotRunAgain() {
     WorkerView worker = fixture.worker("w");
     fixture.submit(spec("s", QUEUE, CellFixture.step(1, 1_000, 500, false)));
     fixture.confirmAll();
@@ -183,7 +211,7 @@
   }
 
   @Test
-  void departedWorkerIsOnTheFinalRosterUntilItsEndsAreDurable() {
+  void departedWorkerStaysOnFinalRosterUntilItsEndsAreDurable() {
     final WorkerView leaving = fixture.worker("leaving");
     fixture.submit(spec("s", QUEUE, CellFixture.step(1, 1_000, 500, false)));
     fixture.confirmAll();
@@ -200,10 +228,10 @@
     assertThat(fixture.cell.workers()).isEmpty();
   }
 
-  /** What a worker has reported since is newer than what the former owner knew. */
+  /** The report of a worker is newer than the state known to the former owner. */
   @Test
-  void formerOwnerChangesNothingAtWorkersThatWereHeard() {
-    WorkerView worker = leaveWithLastingTask("s", 0);
+  void finalRosterDoesNotChangeWorkersThatHaveAnswered() {
+    WorkerView worker = silenceWorkerWithTask("s", 0);
     List<RosterEntry> left = fixture.cell.finalRoster(fixture.now);
     CellFixture successor = fixture.successor(2, "s");
     WorkerView heard = successor.view(worker.id());
@@ -212,8 +240,9 @@
     assertThat(heard.runs).isEmpty();
   }
 
+  /** Guards against a stop of the gang's current run because the roster lists an earlier one. */
   @Test
-  void laterRunOfGangGoesOnThoughTheRosterNamesAnEarlierOne() {
+  void reportedLaterRunOfGangContinuesWhenRosterListsEarlierRun() {
     final WorkerView leaving = fixture.worker("leaving");
     fixture.worker("other");
     fixture.submit(spec("g", QUEUE, CellFixture.step(2, 9_000, 500, true)));
@@ -238,8 +267,8 @@
   }
 
   @Test
-  void rosterSurvivesItsCodec() throws Exception {
-    leaveWithLastingTask("s", 1_000);
+  void rosterIsUnchangedByEncodingAndDecoding() throws Exception {
+    silenceWorkerWithTask("s", 1_000);
     assertThat(RosterCodec.decode(RosterCodec.encode(fixture.roster))).isEqualTo(fixture.roster);
   }
 }
