--- a/core/src/main/java/org/hickorypier/core/cell/WorkerRegistry.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerRegistry.java
@@ -101,7 +101,7 @@
 
   void handleMissingAnswer(WorkerView worker, long now) {
     if (!worker.silent) {
-      long heardAgo = worker.hasAnswered ? now - worker.lastAnswerAt : -1;
+      long answerAgeMillis = worker.hasAnswered ? now - worker.lastAnswerAt : -1;
       cell.log.event(
           PART,
           "worker-silent",
@@ -110,7 +110,7 @@
           "runs",
           worker.runs.size(),
           "heard_ms_ago",
-          heardAgo,
+          answerAgeMillis,
           "may_run_ms",
           cell.mayRunMillis(worker, now));
     }
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerView.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerView.java
@@ -202,7 +202,8 @@
   }
 
   /**
-   * Resets the state for a restarted worker, which has lost its state and numbers its ends anew.
+   * Resets the view of a restarted worker, which has lost its state and numbers its ends from the
+   * start.
    */
   void beginIncarnation(long newBornMillis) {
     bornMillis = newBornMillis;
