--- /dev/null
+++ b/core/src/main/java/org/hickorypier/core/cell/RunController.java
@@ -0,0 +1,312 @@
+package org.hickorypier.core.cell;
+
+import org.hickorypier.core.model.Resources;
+import org.hickorypier.core.submission.QueueTerms;
+import org.hickorypier.core.submission.SubmissionState;
+
+/**
+ * Orders the start and stop of runs, and accounts for every run that may be active on a worker.
+ *
+ * <p>Invariant: a task has at most one run that may be active, unless the worker of the other run
+ * has lost its lease or has restarted. Confined to the control thread.
+ */
+final class RunController {
+
+  /**
+   * Validity of a start order on the worker's clock, in milliseconds. A start order whose answer is
+   * lost may be carried out up to 12 s later. With this deadline the worker refuses a late one, and
+   * a task whose run is unaccounted for is free again after 2 s.
+   */
+  static final long START_ORDER_VALIDITY_MILLIS = 2_000;
+
+  /**
+   * Number of copies of a start order that are sent before the run is abandoned. An order without
+   * an answer is resent at once, since it is idempotent.
+   */
+  private static final int MAX_ORDER_COPIES = 3;
+
+  /**
+   * Delay before a stop that has had no effect is sent again; several response times of a worker.
+   */
+  private static final long STOP_RETRY_MILLIS = 700;
+
+  /**
+   * Backoff for a worker that refuses for lack of room, so that it is asked again after its next
+   * report.
+   */
+  private static final long NO_ROOM_BACKOFF_MILLIS = 300;
+
+  /** Time for which a worker that answers that it is unhealthy gets no orders. */
+  private static final long UNHEALTHY_BACKOFF_MILLIS = 1_000;
+
+  /**
+   * Upper bound of the delay until an order with a lost answer is carried out. The platform's
+   * documentation gives 12 s.
+   */
+  private static final long MAX_ORDER_DELAY_MILLIS = 13_000;
+
+  private final CellState cell;
+
+  RunController(CellState cell) {
+    this.cell = cell;
+  }
+
+  void orderStart(Task task, WorkerView worker, int number, String ticket, long now) {
+    Resources size = task.step.spec.reserved();
+    String customer = task.step.submission.spec().customer();
+    Run run = new Run(new RunKey(task.name(), number), task, worker, size, customer);
+    run.orderedAt = now;
+    run.resumed = !task.checkpoint.isEmpty();
+    task.current = run;
+    task.lastRun = number;
+    occupy(run);
+    cell.runEvent(
+        "ordered",
+        run.key,
+        worker,
+        "ticket",
+        ticket != null,
+        "left_milli_cores",
+        worker.freeProcessors());
+    sendStart(run, ticket, now);
+  }
+
+  private void sendStart(Run run, String ticket, long now) {
+    run.orderCopies++;
+    run.lastOrderAt = now;
+    run.ticket = ticket;
+    run.orderDeadline = run.worker.clockAt(now) + START_ORDER_VALIDITY_MILLIS;
+    run.worker.highestDeadline = Math.max(run.worker.highestDeadline, run.orderDeadline);
+    cell.output.start(run, run.orderDeadline, ticket);
+  }
+
+  void handleStartAnswer(Run run, StartOutcome outcome, long now) {
+    if (run.worker.runs.get(run.key) != run) {
+      return;
+    }
+    if (outcome == StartOutcome.STARTED) {
+      confirm(run, now);
+      return;
+    }
+    cell.runEvent(
+        "start-not-confirmed", run.key, run.worker, "outcome", outcome, "copies", run.orderCopies);
+    switch (outcome) {
+      case UNKNOWN -> handleMissingAnswer(run, now);
+      case OLD -> run.confirmedAt = now;
+      default -> handleRefusal(run, outcome, now);
+    }
+    cell.dirty = true;
+  }
+
+  /** Records that the worker has the run. */
+  void confirm(Run run, long now) {
+    if (run.confirmedAt == 0) {
+      run.confirmedAt = now;
+    }
+    Submission submission = run.submission();
+    if (submission != null && submission.state == SubmissionState.QUEUED) {
+      submission.state = SubmissionState.RUNNING;
+      submission.shown = SubmissionState.RUNNING;
+      cell.submissionEvent(
+          "first-start",
+          submission,
+          "worker",
+          run.worker.id(),
+          "waited_ms",
+          now - submission.acceptedAt);
+    }
+    if (run.stopping) {
+      sendStop(run, now);
+    }
+  }
+
+  private void handleMissingAnswer(Run run, long now) {
+    run.worker.unansweredOrders.put(run.key, now);
+    if (run.stopping) {
+      return;
+    }
+    if (run.orderCopies < MAX_ORDER_COPIES && run.worker.acceptsResentOrders(now)) {
+      sendStart(run, run.ticket, now);
+    } else {
+      abandon(run, now);
+    }
+  }
+
+  private void handleRefusal(Run run, StartOutcome outcome, long now) {
+    WorkerView worker = run.worker;
+    switch (outcome) {
+      case NO_TICKET -> run.task.step.advice.forget(worker);
+      case UNHEALTHY, REJECTED -> worker.quarantinedUntil = now + UNHEALTHY_BACKOFF_MILLIS;
+      default -> worker.fullUntil = now + NO_ROOM_BACKOFF_MILLIS;
+    }
+    if (run.orderCopies > 1) {
+      // An earlier copy may still be in transit; its deadline or the answer to a stop resolves it.
+      abandon(run, now);
+      return;
+    }
+    removeRun(run, now);
+  }
+
+  /**
+   * Stops a run that is no longer wanted, whether it is active or its start order is still in
+   * transit.
+   */
+  void abandon(Run run, long now) {
+    stop(run, now);
+    if (run.task != null && run.task.step.gang() && run.task.current == run) {
+      stopStep(run.task.step, now);
+    }
+  }
+
+  /** Sends the first stop order; {@link #resendStops} sends the later ones. */
+  void stop(Run run, long now) {
+    if (!run.stopping) {
+      run.stopping = true;
+      sendStop(run, now);
+    }
+  }
+
+  private void sendStop(Run run, long now) {
+    run.stopOrderedAt = now;
+    cell.output.stop(run.worker, run.key);
+  }
+
+  void handleStopAnswer(WorkerView worker, RunKey key, long now) {
+    worker.runsToRefuse.remove(key);
+    Run run = worker.runs.get(key);
+    // Only the first answer counts: otherwise each report would postpone the proof that the run is
+    // gone.
+    if (run != null && run.stopping && run.stopAnsweredAt == 0) {
+      run.stopAnsweredAt = now;
+    }
+  }
+
+  void resendStops(long now) {
+    for (WorkerView worker : cell.workers.values()) {
+      for (RunKey key : CellState.copy(worker.runsToRefuse)) {
+        cell.output.stop(worker, key);
+      }
+      worker.unansweredOrders.values().removeIf(sentAt -> now - sentAt > MAX_ORDER_DELAY_MILLIS);
+      for (Run run : worker.runs.values()) {
+        if (run.stopping && !worker.silent && now - run.stopOrderedAt > STOP_RETRY_MILLIS) {
+          sendStop(run, now);
+        }
+      }
+    }
+  }
+
+  /** Stops all runs of a submission that has reached an end state. */
+  void stopSubmission(Submission submission, long now) {
+    for (StepRun[] steps : submission.occurrences) {
+      for (StepRun step : steps) {
+        cell.open.remove(step);
+        stopStep(step, now);
+      }
+    }
+  }
+
+  /** Stops all runs of a step; a gang with a missing member cannot make progress. */
+  private void stopStep(StepRun step, long now) {
+    for (Task task : step.tasks) {
+      if (task.current != null) {
+        stop(task.current, now);
+      }
+    }
+  }
+
+  void stopUnconfirmedGangs(long now) {
+    long timeoutMillis = cell.terms.gangMillis() / 2;
+    for (WorkerView worker : cell.workers.values()) {
+      for (Run run : worker.runs.values()) {
+        boolean overdue =
+            !run.isConfirmed() && !run.stopping && now - run.orderedAt > timeoutMillis;
+        if (overdue && run.task != null && run.task.step.gang()) {
+          stopStep(run.task.step, now);
+        }
+      }
+    }
+  }
+
+  /** Reserves resources on the worker for the run and counts them as used by its customer. */
+  void occupy(Run run) {
+    run.worker.add(run);
+    addUsage(run, 1);
+  }
+
+  /** Frees the resources of a run that is no longer active. */
+  void release(Run run) {
+    run.worker.remove(run);
+    addUsage(run, -1);
+  }
+
+  private void addUsage(Run run, int sign) {
+    cell.usage.add(run.customer, run.size, sign);
+    if (run.task != null) {
+      run.task.runsOnWorkers += sign;
+      QueueTerms queue = run.task.step.submission.spec().queue();
+      cell.reserve.running(queue.service(), queue.priority(), sign * run.size.milliProcessors());
+    }
+  }
+
+  /** Removes a run that is no longer active and for which no end was reported. */
+  void removeRun(Run run, long now) {
+    release(run);
+    reopenTask(run, now);
+  }
+
+  /** Queues the task of a removed run for its next run. */
+  void reopenTask(Run run, long now) {
+    cell.dirty = true;
+    Task task = run.task;
+    if (task == null) {
+      return;
+    }
+    boolean wasCurrent = task.current == run;
+    if (wasCurrent) {
+      task.current = null;
+      task.waitsSince = now;
+    }
+    if (task.current == null && task.step.submission.live() && !task.done) {
+      cell.open.add(task.step);
+      if (wasCurrent && task.step.gang()) {
+        stopStep(task.step, now);
+      }
+    }
+  }
+
+  /**
+   * Removes all runs of a worker after every lease ever sent to it has expired, so that none of
+   * them is still active.
+   */
+  void handleLeaseExpiry(WorkerView worker, long now) {
+    if (worker.runs.isEmpty()) {
+      return;
+    }
+    cell.workerEvent(
+        "worker-lost",
+        worker,
+        "runs",
+        worker.runs.size(),
+        "silent_ms",
+        now - worker.silentSince,
+        "lease_end_ago_ms",
+        now - worker.leaseEnd());
+    removeAllRuns(worker, now);
+  }
+
+  /** Removes all runs of a worker that has left, including start orders without an answer. */
+  void handleDeparture(WorkerView worker, long now) {
+    cell.workerEvent("worker-left", worker, "runs", worker.runs.size());
+    worker.departed = false;
+    worker.runsUnknown = false;
+    worker.unansweredOrders.clear();
+    worker.runsToRefuse.clear();
+    removeAllRuns(worker, now);
+  }
+
+  private void removeAllRuns(WorkerView worker, long now) {
+    for (Run run : CellState.copy(worker.runs.values())) {
+      removeRun(run, now);
+    }
+  }
+}
--- a/core/src/main/java/org/hickorypier/core/cell/TaskEnds.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
@@ -4,31 +4,37 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * Draws the consequences of ends: for the task, its step, its submission, and the trust in the
- * worker.
+ * Processes the ends of runs: updates the task, its step and its submission, and quarantines
+ * workers that fail repeatedly.
  *
- * <p>Invariant: the same end, heard again by a successor, changes nothing a second time. Belongs to
- * the control thread.
+ * <p>Invariant: an end that is reported again to a successor has no effect a second time. Confined
+ * to the control thread.
  */
-final class TaskEnds {
+final class RunEndHandler {
 
-  /** Two failures in a row, without a success between, are more than tasks fail by themselves. */
+  /**
+   * Number of failures in a row on a worker that starts a quarantine. Two without a success between
+   * them are more than tasks cause by themselves.
+   */
   private static final int FAILURES_TO_QUARANTINE = 2;
 
-  /** First length of a quarantine; a worker that fails everything empties the attempts of all. */
+  /**
+   * Initial length of a quarantine. A worker that fails every run uses up the attempts of all
+   * tasks.
+   */
   private static final long QUARANTINE_MILLIS = 4_000;
 
-  private static final int MOST_DOUBLINGS = 3;
+  private static final int MAX_DOUBLINGS = 3;
 
   private final CellState cell;
-  private final RunBook runs;
+  private final RunController runs;
 
-  TaskEnds(CellState cell, RunBook runs) {
+  RunEndHandler(CellState cell, RunController runs) {
     this.cell = cell;
     this.runs = runs;
   }
 
-  void take(WorkerView worker, EndedRun ended, long now) {
+  void handleEnd(WorkerView worker, EndedRun ended, long now) {
     Run run = worker.runs.get(ended.run());
     if (run != null) {
       runs.release(run);
@@ -53,59 +59,62 @@
       task.keepCheckpoint(ended.checkpoint());
     }
     if (ended.how() == RunEnd.DONE) {
-      succeeded(worker, run, task, now);
+      handleSuccess(worker, run, task, now);
     } else if (ended.how() == RunEnd.FAILED) {
-      failed(task, ended, worker, now);
+      handleFailure(task, ended, worker, now);
     }
     if (run != null) {
-      runs.free(run, now);
+      runs.reopenTask(run, now);
     }
   }
 
-  private void succeeded(WorkerView worker, Run run, Task task, long now) {
+  private void handleSuccess(WorkerView worker, Run run, Task task, long now) {
     worker.failureStreak = 0;
     Submission submission = task.step.submission;
-    if (run != null && run.confirmed() && run.copies > 0) {
-      long took = now - run.confirmedAt;
-      cell.learned.ended(submission.spec().queue().name(), took);
-      task.step.longestRunMillis = Math.max(task.step.longestRunMillis, took);
+    if (run != null && run.isConfirmed() && run.orderCopies > 0) {
+      long tookMillis = now - run.confirmedAt;
+      cell.learned.recordRun(submission.spec().queue().name(), tookMillis);
+      task.step.longestRunMillis = Math.max(task.step.longestRunMillis, tookMillis);
       worker.slowStreak = 0;
-      if (comparable(run)) {
-        cell.speeds.ended(worker.entry().kind(), task.step, took);
+      if (isComparable(run)) {
+        cell.speeds.recordRun(worker.entry().kind(), task.step, tookMillis);
       }
     }
-    // A persistent task is never done: however it ends, it starts again.
+    // A persistent task is never done: it starts again however it ends.
     if (submission.live() && !task.step.spec.flags().persistent()) {
-      done(task, now);
+      completeTask(task, now);
     }
   }
 
-  /** Gangs, what fills, what lasts and what was resumed take a time of their own. */
-  private static boolean comparable(Run run) {
+  /**
+   * Returns whether the run time says something about the worker's speed. The run times of gangs,
+   * gap-filling tasks, persistent tasks and resumed runs depend on other things.
+   */
+  private static boolean isComparable(Run run) {
     StepFlags flags = run.task.step.spec.flags();
     return !flags.gang() && !flags.fills() && !flags.persistent() && !run.resumed;
   }
 
-  private void done(Task task, long now) {
+  private void completeTask(Task task, long now) {
     StepRun step = task.step;
     if (step.done() || task.done) {
       return;
     }
     if (!step.gang()) {
-      taskDone(task, now);
+      markDone(task, now);
     } else {
-      // The members of a gang end together, and one end stands for all.
+      // The members of a gang end together, so one end completes all of them.
       for (Task member : step.tasks) {
-        taskDone(member, now);
+        markDone(member, now);
       }
     }
     cell.changed(step.submission);
     if (step.done()) {
-      stepDone(step, now);
+      completeStep(step, now);
     }
   }
 
-  private void taskDone(Task task, long now) {
+  private void markDone(Task task, long now) {
     if (task.done) {
       return;
     }
@@ -118,7 +127,7 @@
     }
   }
 
-  private void stepDone(StepRun step, long now) {
+  private void completeStep(StepRun step, long now) {
     Submission submission = step.submission;
     submission.openSteps--;
     cell.open.remove(step);
@@ -136,11 +145,11 @@
         submission.objectiveMillis(cell.learned));
   }
 
-  private void failed(Task task, EndedRun ended, WorkerView worker, long now) {
+  private void handleFailure(Task task, EndedRun ended, WorkerView worker, long now) {
     Task record = task.step.failureRecord(task);
-    // A task that has failed elsewhere says more of itself than of this worker.
+    // A task that has failed elsewhere is more likely to be the cause than this worker.
     if (record.failedRuns.isEmpty()) {
-      distrust(worker, now);
+      recordWorkerFailure(worker, now);
     }
     Submission submission = task.step.submission;
     if (!submission.live() || task.done || record.failedRuns.contains(ended.run().number())) {
@@ -159,18 +168,23 @@
           CellState.text(ended.run().task()),
           "attempts",
           record.failedRuns.size());
-      runs.stopAll(submission, now);
+      runs.stopSubmission(submission, now);
     }
   }
 
-  private void distrust(WorkerView worker, long now) {
+  private void recordWorkerFailure(WorkerView worker, long now) {
     worker.failureStreak++;
     if (worker.failureStreak >= FAILURES_TO_QUARANTINE) {
-      int doublings = Math.min(MOST_DOUBLINGS, worker.failureStreak - FAILURES_TO_QUARANTINE);
-      long length = QUARANTINE_MILLIS << doublings;
-      worker.quarantinedUntil = now + length;
+      int doublings = Math.min(MAX_DOUBLINGS, worker.failureStreak - FAILURES_TO_QUARANTINE);
+      long quarantineMillis = QUARANTINE_MILLIS << doublings;
+      worker.quarantinedUntil = now + quarantineMillis;
       cell.workerEvent(
-          "worker-quarantined", worker, "failures", worker.failureStreak, "for_ms", length);
+          "worker-quarantined",
+          worker,
+          "failures",
+          worker.failureStreak,
+          "for_ms",
+          quarantineMillis);
     }
   }
 }
--- /dev/null
+++ b/core/src/main/java/org/hickorypier/core/cell/StepReservation.java
@@ -0,0 +1,15 @@
+package org.hickorypier.core.cell;
+
+import java.util.Map;
+import org.hickorypier.core.model.Resources;
+
+/**
+ * Resources reserved for a step while the advisor is asked for new tickets. Without the
+ * reservation, smaller tasks take the resources during the call, and the tickets expire unused.
+ *
+ * <p>Immutable.
+ *
+ * @param rooms the reserved resources by worker
+ * @param until when the reservation expires, on the owner's monotonic clock, in milliseconds
+ */
+record StepReservation(Map<WorkerView, Resources> rooms, long until) {}
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerBook.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerRegistry.java
@@ -8,30 +8,30 @@
 import java.util.Set;
 
 /**
- * Knows which workers there are: those listed, those on the roster of an earlier owner, and those
- * that may still hold runs.
+ * Registry of the workers: those on the worker list, those on the roster of an earlier owner, and
+ * those that may still have runs.
  *
- * <p>Invariant: a worker that may hold runs is on the durable roster, so that a successor asks it
- * even if it is not listed any more. Belongs to the control thread.
+ * <p>Invariant: a worker that may have runs is on the durable roster, so that a successor contacts
+ * it even if it is no longer on the worker list. Confined to the control thread.
  */
-final class WorkerBook {
+final class WorkerRegistry {
 
   private static final String PART = "cell";
 
   private final CellState cell;
-  private final RunBook runs;
+  private final RunController runs;
   private final RunAdoption adoption;
 
-  /** The last submission that an earlier owner may have taken. */
-  private final long lastOfEarlierOwners;
+  /** The number of the last submission that an earlier owner may have accepted. */
+  private final long lastSubmissionOfEarlierOwners;
 
   private final RosterWriter roster;
 
-  WorkerBook(CellState cell, RunBook runs, RunAdoption adoption) {
+  WorkerRegistry(CellState cell, RunController runs, RunAdoption adoption) {
     this.cell = cell;
     this.runs = runs;
     this.adoption = adoption;
-    this.lastOfEarlierOwners = cell.lastNumber();
+    this.lastSubmissionOfEarlierOwners = cell.lastNumber();
     this.roster = new RosterWriter(cell);
   }
 
@@ -42,22 +42,22 @@
       worker.onRoster = true;
       worker.closedAfter = restored.closedAfter();
       worker.renewable = restored.renewed();
-      worker.runsOutOnRoster = !restored.renewed();
-      worker.earlierLeasesEnd = cell.takenOverAt + longestLease(restored);
+      worker.leaseExpiringOnRoster = !restored.renewed();
+      worker.earlierLeasesEnd = cell.takenOverAt + longestLeaseMillis(restored);
       worker.runsUnknown = restored.runs().isEmpty();
       cell.workers.put(entry.id(), worker);
       for (RunKey run : restored.runs().orElse(List.of())) {
-        adoption.named(worker, run, cell.takenOverAt);
+        adoption.adoptListed(worker, run, cell.takenOverAt);
       }
     }
   }
 
-  private long longestLease(RosterEntry restored) {
+  private long longestLeaseMillis(RosterEntry restored) {
     return restored.renewed() ? cell.terms.silentWorkerMillis() : restored.leaseMillis();
   }
 
-  void listed(Map<String, WorkerEntry> entries, long now) {
-    entries.values().forEach(entry -> listed(entry, now));
+  void handleListed(Map<String, WorkerEntry> entries, long now) {
+    entries.values().forEach(entry -> handleListed(entry, now));
     for (WorkerView worker : cell.workers.values()) {
       if (worker.listed && !entries.containsKey(worker.id())) {
         worker.listed = false;
@@ -67,18 +67,18 @@
     cell.dirty = true;
   }
 
-  private void listed(WorkerEntry entry, long now) {
+  private void handleListed(WorkerEntry entry, long now) {
     WorkerView worker = cell.workers.get(entry.id());
     if (worker == null) {
       worker = new WorkerView(entry);
       cell.workers.put(entry.id(), worker);
       cell.log.event(PART, "worker-listed", "worker", entry.id(), "address", entry.address());
-      roster.stale();
+      roster.markStale();
     } else if (entry.bornMillis() > worker.bornMillis) {
-      // Only its own report tells what the new life runs; until then it gets nothing.
-      unanswered(worker, now);
+      // Only its own report says what a restarted worker runs; until then it gets no orders.
+      handleMissingAnswer(worker, now);
       if (!worker.entry().address().equals(entry.address())) {
-        roster.stale();
+        roster.markStale();
       }
     }
     if (entry.draining() && !worker.entry().draining()) {
@@ -89,19 +89,19 @@
     worker.update(entry);
   }
 
-  void departed(Collection<String> ids, long now) {
+  void handleDepartures(Collection<String> ids, long now) {
     for (String id : ids) {
       WorkerView worker = cell.workers.get(id);
       if (worker != null) {
         worker.departed = true;
       }
     }
-    settleLost(now);
+    removeLostWorkers(now);
   }
 
-  void unanswered(WorkerView worker, long now) {
+  void handleMissingAnswer(WorkerView worker, long now) {
     if (!worker.silent) {
-      long heardAgo = worker.heard ? now - worker.heardAt : -1;
+      long answerAgeMillis = worker.hasAnswered ? now - worker.lastAnswerAt : -1;
       cell.log.event(
           PART,
           "worker-silent",
@@ -110,105 +110,110 @@
           "runs",
           worker.runs.size(),
           "heard_ms_ago",
-          heardAgo,
+          answerAgeMillis,
           "may_run_ms",
           cell.mayRunMillis(worker, now));
     }
-    worker.unanswered(now);
+    worker.recordMissingAnswer(now);
   }
 
   void tick(long now) {
     closeAndOpen(now);
-    roster.write(now);
-    settleLost(now);
+    roster.writeIfStale(now);
+    removeLostWorkers(now);
   }
 
-  private void settleLost(long now) {
-    Set<String> gone = new HashSet<>();
+  private void removeLostWorkers(long now) {
+    Set<String> goneIds = new HashSet<>();
     for (WorkerView worker : cell.workers.values()) {
       if (worker.silent && worker.departed) {
-        runs.workerLeft(worker, now);
+        runs.handleDeparture(worker, now);
       } else if (worker.silent && now > worker.leaseEnd()) {
-        runs.leaseExpired(worker, now);
+        runs.handleLeaseExpiry(worker, now);
       }
       boolean empty =
           worker.runs.isEmpty() && worker.unsavedEnds.isEmpty() && !cell.unresolved(worker, now);
       if (worker.silent && empty && !worker.listed) {
-        gone.add(worker.id());
+        goneIds.add(worker.id());
       }
     }
-    if (!gone.isEmpty()) {
-      cell.log.event(PART, "workers-gone", "workers", gone);
-      cell.workers.keySet().removeAll(gone);
-      roster.stale();
+    if (!goneIds.isEmpty()) {
+      cell.log.event(PART, "workers-gone", "workers", goneIds);
+      cell.workers.keySet().removeAll(goneIds);
+      roster.markStale();
     }
   }
 
   /**
-   * Closes workers that get no orders any more, and opens them again.
+   * Closes workers that get no more orders, and reopens them.
    *
-   * <p>A successor waits for a worker that it cannot hear, with everything that the worker may run.
-   * So the roster names the runs of a worker that gets no orders, says how long its lease lasts if
-   * it is not renewed, and leaves the worker out once it is empty. A successor may rely on that
-   * since a worker gets orders and renewals only after a roster that says so is durable.
+   * <p>A successor waits for a worker that it cannot reach, with every task that the worker may
+   * run. For a worker that gets no orders, the roster therefore lists the runs and says how long
+   * the lease lasts without renewal; it omits the worker once that is empty. A successor may rely
+   * on this since a worker gets orders and renewals only after a roster that says so is durable.
    */
   private void closeAndOpen(long now) {
     for (WorkerView worker : cell.workers.values()) {
-      if (worker.open() && worker.closing(now)) {
-        worker.closedAfter = worker.heard ? cell.lastNumber() : lastOfEarlierOwners;
+      if (worker.isOpen() && worker.shouldClose(now)) {
+        worker.closedAfter = worker.hasAnswered ? cell.lastNumber() : lastSubmissionOfEarlierOwners;
         worker.onRoster = false;
-        roster.stale();
-      } else if (!worker.open() && worker.heard && !worker.closing(now)) {
+        roster.markStale();
+      } else if (!worker.isOpen() && worker.hasAnswered && !worker.shouldClose(now)) {
         worker.closedAfter = RosterEntry.OPEN;
         worker.onRoster = false;
-        roster.stale();
+        roster.markStale();
       }
-      boolean retired = !worker.open() && worker.empty() && !cell.unresolved(worker, now);
+      boolean retired = !worker.isOpen() && worker.isEmpty() && !cell.unresolved(worker, now);
       if (retired != worker.retired) {
         worker.retired = retired;
-        roster.stale();
+        roster.markStale();
       }
-      if (!worker.open() && !retired && worker.leaseRunsOut(now) != worker.runsOutOnRoster) {
-        roster.stale();
+      if (!worker.isOpen()
+          && !retired
+          && worker.isLeaseExpiring(now) != worker.leaseExpiringOnRoster) {
+        roster.markStale();
       }
     }
   }
 
-  /** Returns what may still run anywhere, from an owner that orders and renews nothing any more. */
+  /**
+   * Returns every worker that may still have runs, for an owner that sends no more orders or
+   * renewals.
+   */
   List<RosterEntry> finalRoster(long now) {
     return roster.finalRoster(now);
   }
 
   /**
-   * Takes the final roster of the owner before. It holds for workers that have not been heard: what
-   * they run was ordered by that owner or an earlier one.
+   * Applies the final roster of the former owner. It is valid for workers that have not answered
+   * this owner yet: their runs were ordered by the former owner or an earlier one.
    */
-  void formerOwnerEnded(Collection<RosterEntry> entries, long now) {
+  void applyFinalRoster(Collection<RosterEntry> entries, long now) {
     Map<String, RosterEntry> byWorker = new HashMap<>();
     entries.forEach(entry -> byWorker.put(entry.worker().id(), entry));
     for (WorkerView worker : cell.workers.values()) {
-      if (!worker.heard) {
+      if (!worker.hasAnswered) {
         RosterEntry entry = byWorker.get(worker.id());
         if (entry == null) {
-          // An empty worker may hold a lease all the same.
+          // A worker without runs may still hold a lease.
           replaceRuns(worker, List.of(), now);
         } else {
           worker.earlierLeasesEnd = Math.min(worker.earlierLeasesEnd, now + entry.leaseMillis());
-          entry.runs().ifPresent(named -> replaceRuns(worker, named, now));
+          entry.runs().ifPresent(listed -> replaceRuns(worker, listed, now));
         }
       }
     }
-    roster.stale();
+    roster.markStale();
     cell.dirty = true;
   }
 
-  private void replaceRuns(WorkerView worker, List<RunKey> named, long now) {
+  private void replaceRuns(WorkerView worker, List<RunKey> listed, long now) {
     worker.runsUnknown = false;
     for (Run run : CellState.copy(worker.runs.values())) {
-      if (!named.contains(run.key)) {
-        runs.gone(run, now);
+      if (!listed.contains(run.key)) {
+        runs.removeRun(run, now);
       }
     }
-    named.forEach(run -> adoption.named(worker, run, now));
+    listed.forEach(run -> adoption.adoptListed(worker, run, now));
   }
 }
--- /dev/null
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerReportHandler.java
@@ -0,0 +1,150 @@
+package org.hickorypier.core.cell;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Processes the reports that workers give of their runs when they answer a renewal.
+ *
+ * <p>Invariant: a report proves that a run is gone only if it comes from the worker's current
+ * incarnation and was requested after the order or the stop was answered, or is dated after the
+ * order's deadline. Confined to the control thread.
+ */
+final class WorkerReportHandler {
+
+  /**
+   * Maximum number of ends in one report. A run that is missing from a full page is not necessarily
+   * gone.
+   */
+  private static final int ENDS_PAGE_SIZE = 500;
+
+  private final CellState cell;
+  private final RunController runs;
+  private final RunEndHandler ends;
+  private final StragglerDetector stragglers;
+  private final RunAdoption adoption;
+
+  WorkerReportHandler(
+      CellState cell,
+      RunController runs,
+      RunEndHandler ends,
+      StragglerDetector stragglers,
+      RunAdoption adoption) {
+    this.cell = cell;
+    this.runs = runs;
+    this.adoption = adoption;
+    this.ends = ends;
+    this.stragglers = stragglers;
+  }
+
+  void handleReport(WorkerView worker, RenewalReport report, long sentAt, long now) {
+    if (worker.bornMillis != report.bornMillis()) {
+      handleNewIncarnation(worker, report.bornMillis(), now);
+    }
+    if (!worker.hasAnswered) {
+      cell.workerEvent(
+          "worker-heard",
+          worker,
+          "running",
+          report.running().size(),
+          "ended",
+          report.ended().size());
+    }
+    worker.recordAnswer(report.clockMillis(), cell.terms.longestLeaseMillis(), now);
+    handleEnds(worker, report, now);
+    Set<RunKey> listed = new HashSet<>();
+    for (RunningTask running : report.running()) {
+      listed.add(running.run());
+      handleRunning(worker, running, report.clockMillis(), now);
+    }
+    stragglers.moveStragglers(worker, now);
+    if (report.ended().size() < ENDS_PAGE_SIZE) {
+      for (Run run : CellState.copy(worker.runs.values())) {
+        if (!listed.contains(run.key)) {
+          handleMissing(run, report, sentAt, now);
+        }
+      }
+    }
+    cell.dirty = true;
+  }
+
+  private void handleEnds(WorkerView worker, RenewalReport report, long now) {
+    long lastEnd = worker.lastProcessedEnd;
+    List<RunKey> processed = new ArrayList<>();
+    for (EndedRun ended : report.ended()) {
+      if (ended.number() > worker.lastProcessedEnd) {
+        ends.handleEnd(worker, ended, now);
+        lastEnd = ended.number();
+        processed.add(ended.run());
+      }
+    }
+    if (lastEnd > worker.lastProcessedEnd) {
+      worker.lastProcessedEnd = lastEnd;
+      worker.unsavedEnds.addAll(processed);
+      long durable = lastEnd;
+      long incarnation = worker.bornMillis;
+      cell.output.afterSave(
+          () -> {
+            if (worker.bornMillis == incarnation) {
+              processed.forEach(worker.unsavedEnds::remove);
+              worker.lastDurableEnd = Math.max(worker.lastDurableEnd, durable);
+            }
+          });
+    }
+  }
+
+  private void handleRunning(WorkerView worker, RunningTask running, long clock, long now) {
+    Run run = worker.runs.get(running.run());
+    if (run == null) {
+      run = adoption.adoptReported(worker, running.run(), now);
+    }
+    if (!run.isConfirmed()) {
+      runs.confirm(run, now);
+    }
+    run.percent = running.percent();
+    stragglers.recordProgress(run, running.percent(), clock, now);
+    if (run.task != null && !running.checkpoint().isEmpty()) {
+      run.task.keepCheckpoint(running.checkpoint());
+    }
+  }
+
+  private void handleMissing(Run run, RenewalReport report, long sentAt, long now) {
+    boolean stopAnswered = run.stopAnsweredAt > 0 && run.stopAnsweredAt < sentAt;
+    boolean wasConfirmed = run.confirmedAt > 0 && run.confirmedAt < sentAt;
+    boolean orderExpired =
+        run.confirmedAt == 0
+            && run.lastOrderAt < sentAt
+            && run.orderDeadline < report.clockMillis();
+    if (!stopAnswered && !wasConfirmed && !orderExpired) {
+      return;
+    }
+    String reason = stopAnswered ? "stopped" : wasConfirmed ? "vanished" : "order-expired";
+    cell.runEvent("run-not-there", run.key, run.worker, "reason", reason);
+    runs.removeRun(run, now);
+  }
+
+  /**
+   * Handles the restart of a worker. The worker has lost its state, and its report says which runs
+   * it has. An order may have reached the new incarnation before the restart was detected here, so
+   * the restart alone is no proof that a run is gone. An order without an answer may still arrive,
+   * and its deadline does not make the new clock refuse it, even if a copy of it ran and ended long
+   * ago; the run is therefore stopped first.
+   */
+  private void handleNewIncarnation(WorkerView worker, long bornMillis, long now) {
+    cell.workerEvent("worker-reborn", worker, "runs", worker.runs.size());
+    worker.beginIncarnation(bornMillis);
+    for (RunKey key : worker.unansweredOrders.keySet()) {
+      worker.runsToRefuse.add(key);
+      cell.output.stop(worker, key);
+    }
+    for (Run run : CellState.copy(worker.runs.values())) {
+      if (!run.isConfirmed()) {
+        run.orderDeadline = Long.MAX_VALUE;
+        run.stopAnsweredAt = 0;
+        runs.abandon(run, now);
+      }
+    }
+  }
+}
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
 import org.hickorypier.core.cell.Cell;
-import org.hickorypier.core.cell.HoldReport;
+import org.hickorypier.core.cell.RenewalReport;
 import org.hickorypier.core.cell.WorkerView;
 import org.hickorypier.platform.execution.Renewal;
 import org.hickorypier.platform.execution.WorkerCallException;
@@ -114,7 +114,7 @@
                 worker.entry().address(),
                 deadline,
                 fencingToken,
-                worker.acknowledged(sentAt),
+                worker.acknowledgedEnd(sentAt),
                 wait))
         .onComplete(report -> handleReport(report, sentAt, wait), this::handleFailure);
   }
@@ -128,7 +128,7 @@
     return deadline < 0 ? 0 : ANSWER_WAIT_MILLIS;
   }
 
-  private void handleReport(HoldReport report, long sentAt, long wait) {
+  private void handleReport(RenewalReport report, long sentAt, long wait) {
     if (stopped) {
       return;
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerListReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/WorkerListReader.java
@@ -111,7 +111,7 @@
     departed.remove(id);
     if (value == null) {
       entries.remove(id);
-      if (departureDetector.removed(
+      if (departureDetector.recordRemoval(
           id, suspensionDetector.uninterruptedSince(), timers.nowMillis())) {
         departed.add(id);
       }
@@ -120,7 +120,7 @@
     try {
       WorkerEntry entry = WorkerEntryDecoder.decode(id, value);
       entries.put(id, entry);
-      departureDetector.written(entry, lastCompleteReadSentAt);
+      departureDetector.recordWrite(entry, lastCompleteReadSentAt);
       decodeErrors.remove(id);
     } catch (UndecodableException error) {
       entries.remove(id);
