--- a/daemon/src/main/java/org/hickorypier/daemon/owner/AbandonedException.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/AbandonedException.java
@@ -1,6 +1,6 @@
 package org.hickorypier.daemon.owner;
 
-/** A takeover that is not wanted any more when the journal has been read. */
+/** Thrown when a takeover is no longer wanted by the time the journal has been read. */
 final class AbandonedException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Candidate.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Candidate.java
@@ -5,7 +5,7 @@
  *
  * <p>Immutable.
  *
- * @param address where other instances reach it
+ * @param address the address at which other instances reach it
  * @param strength what its machine can carry
  */
 public record Candidate(String address, Strength strength) {
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/FormerOwnership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/FormerOwnership.java
@@ -5,13 +5,13 @@
 import org.hickorypier.daemon.link.LinkRequest;
 
 /**
- * What an instance left on the workers when it ceased to own the cell.
+ * What may still run on the workers from an ownership of this instance that has ended.
  *
  * <p>Immutable.
  *
  * @param epoch the epoch of the ownership
- * @param roster what may still run where, and how long after the end its leases last
- * @param endedAt when it ended, on this instance's steady clock
+ * @param roster what may still run on each worker, and how long after the end its lease lasts
+ * @param endedAt when the ownership ended, in milliseconds of this instance's monotonic clock
  */
 record FormerOwnership(int epoch, List<RosterEntry> roster, long endedAt) {
 
@@ -19,7 +19,9 @@
     roster = List.copyOf(roster);
   }
 
-  /** Returns the message for the successor, with what is left of the leases. */
+  /**
+   * Returns the message to the successor, with the rest of each lease at a time of the same clock.
+   */
   LinkRequest.FormerOwner toMessage(long now) {
     long elapsed = now - endedAt;
     return new LinkRequest.FormerOwner(
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalContents.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalContents.java
@@ -12,7 +12,10 @@
 import org.hickorypier.core.submission.SubmissionState;
 import org.hickorypier.wire.UndecodableException;
 
-/** What an owner finds in the journal. Belongs to the control thread. */
+/**
+ * The decoded contents of the journal, from which a new owner restores its cell. Confined to the
+ * control thread.
+ */
 final class JournalContents {
 
   private static final Progress NO_PROGRESS =
@@ -47,9 +50,11 @@
   }
 
   /**
-   * Gives the submissions to a cell.
+   * Restores the submissions in a cell. A submission that cannot be decoded is logged and left out.
    *
-   * @return how many there are
+   * @param now the present time of the monotonic clock, in milliseconds
+   * @param wallMillis the present time of the wall clock, in milliseconds
+   * @return the number of submissions in the journal
    */
   int restore(Cell cell, long now, long wallMillis) {
     int count = 0;
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalKeys.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalKeys.java
@@ -1,12 +1,15 @@
 package org.hickorypier.daemon.owner;
 
-/** Names of what the scheduler keeps in the store. */
+/** Names of the topics, keys and group that the scheduler keeps in the store. */
 final class JournalKeys {
 
-  /** Keeps the newest record of each key for good, so it needs no snapshots of ours. */
+  /**
+   * The store keeps the newest record of each key of this topic for good, so the scheduler writes
+   * no snapshots of its own.
+   */
   static final String TOPIC = "keyed.hickorypier-journal";
 
-  /** Tells instances that do not own the cell where its owner is. */
+  /** Holds the present owner, for the instances that do not own the cell. */
   static final String DIRECTORY_TOPIC = "keyed.hickorypier-directory";
 
   static final String DIRECTORY_KEY = "cell-0";
@@ -14,12 +17,12 @@
   static final String GROUP = "hickorypier";
   static final String PRODUCER = "owner";
 
-  /** Written first by each owner, with its epoch. */
+  /** The owner record, which each owner writes first, with its epoch. */
   static final String OWNER = "owner";
 
   static final String ROSTER = "roster";
 
-  /** Written while there is nothing else to write, as a proof of ownership. */
+  /** Written as a proof of ownership while there is nothing else to write. */
   static final String PROOF = "proof";
 
   private static final String SPEC_PREFIX = "s.";
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
@@ -21,33 +21,37 @@
 import org.hickorypier.platform.store.StoreException;
 
 /**
- * Writes the owner's journal: a few appends under way, and all that waits goes with the next.
+ * Writes the owner's journal with a few appends in flight; all that is saved meanwhile goes into
+ * the next append.
  *
- * <p>Invariants: an append whose fate is unknown is repeated unchanged, under the same sequence
- * number, until the store tells what became of it; nothing is written after a successor has fenced
- * the partition. Each success is a proof that no successor had done so when it was sent. Belongs to
- * the control thread.
+ * <p>Invariants: an append whose outcome is unknown is repeated unchanged, under the same sequence
+ * number, until the store reports its outcome; nothing is written after a successor has fenced the
+ * partition. Each success proves that no successor had fenced it when the append was sent. Confined
+ * to the control thread.
  */
 final class JournalWriter {
 
   private static final String PART = "journal";
 
-  /** What comes within this time shares one append; the store charges and limits calls. */
+  /**
+   * Records saved within this time share one append, since the store charges for calls and limits
+   * their number.
+   */
   private static final Duration LINGER = Duration.ofMillis(8);
 
   private static final Duration RETRY_DELAY = Duration.ofMillis(80);
 
-  /** Without other appends one is made after this time, as a proof of ownership. */
+  /** Without other appends, one is made after this time as a proof of ownership. */
   private static final long PROOF_PERIOD_MILLIS = 1_000;
 
   /**
-   * Appends under way at once. The store answers after some 4 ms, and 0.2 s on its slowest days;
-   * with one at a time each write would wait for up to two answers. The store repeats the answers
-   * of the last five.
+   * The store answers after some 4 ms, and after 0.2 s on its slowest days; with one append at a
+   * time each write would wait for up to two answers. The store repeats its answers to the last
+   * five appends.
    */
   private static final int MAX_IN_FLIGHT_APPENDS = 3;
 
-  /** Well under the largest call that the store takes, 2 MB. */
+  /** Well below the largest call that the store accepts, 2 MB. */
   private static final int BATCH_BYTES = 1 << 20;
 
   private final StoreClient store;
@@ -74,7 +78,7 @@
   /**
    * Creates the writer.
    *
-   * @param sequence the number of the last append of this epoch
+   * @param sequence the sequence number of the last append of this epoch
    */
   JournalWriter(
       StoreClient store,
@@ -94,10 +98,10 @@
     this.provenAt = timers.nowMillis();
   }
 
-  /** What the writer tells its owner. */
+  /** The events that the owner is told of. */
   interface Callbacks {
 
-    /** A submission was written as it was at a version. */
+    /** A submission has been written in the state of some version. */
     void written(Submission submission, long version);
 
     /** A successor has taken over. */
@@ -129,31 +133,38 @@
     }
   }
 
-  /** Tells whether no successor can have taken over more than some time ago. */
+  /**
+   * Returns whether a proof of ownership is no older than some time, so that no successor can have
+   * taken over before that.
+   */
   boolean isProven(long withinMillis) {
     return !stopped
         && pauseGuard.unbroken(provenAt)
         && timers.nowMillis() - provenAt <= withinMillis;
   }
 
-  /** Returns for how long the store has refused or left unanswered the present append. */
+  /**
+   * Returns for how long the store has refused or not answered the present append, in milliseconds;
+   * 0 if it has not.
+   */
   long unavailableMillis() {
     return unavailable ? timers.nowMillis() - unavailableSince : 0;
   }
 
   void tick() {
-    boolean old = timers.nowMillis() - provenAt > PROOF_PERIOD_MILLIS;
-    if (!stopped && inFlight.isEmpty() && (old || !pauseGuard.unbroken(provenAt))) {
+    boolean proofStale = timers.nowMillis() - provenAt > PROOF_PERIOD_MILLIS;
+    if (!stopped && inFlight.isEmpty() && (proofStale || !pauseGuard.unbroken(provenAt))) {
       put(JournalKeys.PROOF, new byte[] {1});
     }
   }
 
   /**
-   * Begins no append for some time.
+   * Starts no new append for some time.
    *
-   * <p>Load: an owner writes some 50 times a second, and a successor claims the cell on condition
-   * that the journal ends where it has read to. Harm prevented: the claim fails until it fences the
-   * owner first, 0.3 s without a start in the cell, and all that wait for an append ask again.
+   * <p>An owner writes some 50 times a second, and a successor claims the cell on condition that
+   * the journal ends where it has read to. Without the pause the claim fails until the successor
+   * fences the owner first: nothing starts in the cell for 0.3 s, and all requests that wait for an
+   * append are sent again.
    *
    * @param millis the time, in milliseconds
    */
@@ -161,7 +172,7 @@
     pausedUntil = timers.nowMillis() + millis;
   }
 
-  /** Ends the rest, and asks the store for a proof that no successor has taken over. */
+  /** Ends the pause and writes a proof record, which shows whether a successor has taken over. */
   void resumeAppends() {
     pausedUntil = 0;
     scheduled = false;
@@ -184,10 +195,10 @@
     if (stopped || inFlight.size() >= MAX_IN_FLIGHT_APPENDS) {
       return;
     }
-    long rest = pausedUntil - timers.nowMillis();
-    if (rest > 0) {
+    long pauseMillis = pausedUntil - timers.nowMillis();
+    if (pauseMillis > 0) {
       scheduled = true;
-      timers.after(Duration.ofMillis(rest), this::flush);
+      timers.after(Duration.ofMillis(pauseMillis), this::flush);
       return;
     }
     List<KeyedRecord> records = new ArrayList<>();
@@ -198,7 +209,8 @@
       releaseWaitingActions();
       return;
     }
-    // Actions wait for all that was saved before them, so they stay while something is left over.
+    // Actions wait for all that was saved before them, so they stay queued while some of it is
+    // left over.
     List<Runnable> actions = new ArrayList<>();
     if (changedSubmissions.isEmpty()) {
       actions.addAll(waitingActions);
@@ -220,7 +232,10 @@
     scheduleIfNeeded();
   }
 
-  /** There is nothing to write: all that the actions wait for is under way, or written already. */
+  /**
+   * Runs the waiting actions when nothing is left to write, or attaches them to the last append in
+   * flight.
+   */
   private void releaseWaitingActions() {
     List<Runnable> actions = List.copyOf(waitingActions);
     waitingActions.clear();
@@ -282,8 +297,8 @@
       unavailable = false;
       log.event(PART, "store-regained", "epoch", epoch);
     }
-    // The partition takes appends in the order of their numbers, so an answer to a later one says
-    // that the earlier are written; they are told in order all the same.
+    // The partition takes appends in the order of their sequence numbers, so the answer to a later
+    // append implies that the earlier ones are written. The callbacks run in order all the same.
     while (!stopped && !inFlight.isEmpty() && inFlight.get(0).done) {
       Batch written = inFlight.remove(0);
       written.versions.forEach(callbacks::written);
@@ -327,7 +342,7 @@
         });
   }
 
-  /** One append with what is to be told once it is written. */
+  /** One append, with the versions and actions to report once it is written. */
   private static final class Batch {
 
     private final Append append;
@@ -335,7 +350,8 @@
     private final List<Runnable> actions;
 
     /**
-     * When it was sent first. The store repeats its first answer, which proves no more than that.
+     * When the append was first sent. The store repeats its first answer, which proves the
+     * ownership at that time only.
      */
     private long sentAt;
 
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
@@ -9,38 +9,42 @@
 import org.hickorypier.platform.execution.WorkerCallException;
 
 /**
- * The conversation with one worker: one renewal after another, each waiting for the next end.
+ * Renews the lease of one worker: one renewal after another, each of which waits at the worker for
+ * the next end of a run.
  *
- * <p>Belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 final class LeaseRenewer {
 
   /**
-   * A worker answers at the latest after this time, or at once when a run ends. A busy worker ends
-   * some four runs a second, so it rarely waits; when an answer is lost, nothing is known of its
-   * ends until it is given up, and short checks on it come too late.
+   * A worker answers after this time at the latest, or at once when a run ends. A busy worker ends
+   * some four runs a second, so it rarely waits. When an answer is lost, the owner learns of no end
+   * until it gives the answer up, and short checks on that worker come too late.
    */
   private static final long ANSWER_WAIT_MILLIS = 400;
 
-  /** The wait while a roster is being written that allows the next renewal to carry a lease. */
-  private static final long ROSTER_WAIT_MILLIS = 100;
-
   /**
-   * Ends that come within this time are told in one answer; each look at a worker has its price.
+   * The wait at the worker while the roster that allows the next renewal to carry a lease is being
+   * written.
    */
+  private static final long ROSTER_WAIT_MILLIS = 100;
+
+  /** Ends within this time share one answer, since each renewal has a cost. */
   private static final Duration RENEWAL_DELAY = Duration.ofMillis(40);
 
   /**
-   * Pace of renewals while ends wait for the store. Until they are durable the worker answers at
-   * once, and each look has its price; but a store that takes 0.25 s an answer would put off the
-   * news of each further end by as much, half of what a short check has to spare.
+   * The delay between renewals while ends wait for the store. Until they are durable the worker
+   * answers at once, and each renewal has a cost. Waiting for a store that takes 0.25 s an answer
+   * would put off the news of each further end by as much, half of what a short check has to spare.
    */
   private static final Duration UNSAVED_RENEWAL_DELAY = Duration.ofMillis(100);
 
-  /** After one lost answer the worker is asked again at once, over a new connection. */
+  /**
+   * After the first lost answer the worker is asked again almost at once, over a new connection.
+   */
   private static final Duration FIRST_RETRY_DELAY = Duration.ofMillis(10);
 
-  /** A worker that does not answer is asked again after this time. */
+  /** The delay before a worker that still does not answer is asked again. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
   private final Instruments instruments;
@@ -51,16 +55,16 @@
   private final Events events;
   private boolean stopped;
 
-  /** What the owner hears of the conversation. */
+  /** The events that the owner is told of. */
   interface Events {
 
-    /** The worker has told what it runs. */
+    /** The worker has reported what it runs. */
     void workerAnswered();
 
-    /** The worker has seen a higher token. */
+    /** The worker has seen a higher fencing token. */
     void fenced(String worker);
 
-    /** Runs something once all that was saved is durable. */
+    /** Runs an action once all that was saved before is durable. */
     void afterSave(Runnable action);
   }
 
@@ -68,13 +72,13 @@
       Instruments instruments,
       Cell cell,
       WorkerView worker,
-      long token,
+      long fencingToken,
       BooleanSupplier mayOrder,
       Events events) {
     this.instruments = instruments;
     this.cell = cell;
     this.worker = worker;
-    this.fencingToken = token;
+    this.fencingToken = fencingToken;
     this.mayOrder = mayOrder;
     this.events = events;
   }
@@ -123,7 +127,7 @@
     if (worker.waitsForRoster()) {
       return ROSTER_WAIT_MILLIS;
     }
-    // Without a reading of the worker's clock no lease can be asked for: the first answer is
+    // No lease can be requested without a reading of the worker's clock, so the first answer is
     // wanted at once.
     return deadline < 0 ? 0 : ANSWER_WAIT_MILLIS;
   }
@@ -142,16 +146,15 @@
           .timers()
           .after(now - sentAt < wait / 2 ? RENEWAL_DELAY : Duration.ZERO, this::renew);
     } else {
-      // Until the ends are durable the worker would list them again, at once. But while the store
-      // is
-      // away the lease must go on, or all that runs would be thrown away.
+      // Until the ends are durable the worker would list them again, at once. While the store is
+      // unavailable the lease must still be renewed, or the worker would stop all its runs.
       Once next = new Once(this::renew);
       events.afterSave(() -> instruments.timers().after(RENEWAL_DELAY, next));
       instruments.timers().after(UNSAVED_RENEWAL_DELAY, next);
     }
   }
 
-  /** Runs an action the first time only. */
+  /** Runs an action on the first call only. */
   private static final class Once implements Runnable {
 
     private final Runnable action;
@@ -178,8 +181,8 @@
       events.fenced(worker.id());
       return;
     }
-    boolean again = worker.silent();
+    boolean alreadySilent = worker.silent();
     cell.holdUnanswered(worker, instruments.timers().nowMillis());
-    instruments.timers().after(again ? RETRY_DELAY : FIRST_RETRY_DELAY, this::renew);
+    instruments.timers().after(alreadySilent ? RETRY_DELAY : FIRST_RETRY_DELAY, this::renew);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerFailureDetector.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerFailureDetector.java
@@ -8,15 +8,15 @@
 import org.hickorypier.daemon.time.TimerService;
 
 /**
- * Looks whether the owner answers while requests wait, and steps in for one that gives no sign of
+ * Probes an owner that leaves requests unanswered, and starts a takeover if it shows no sign of
  * life.
  *
- * <p>Failure: the owner's machine loses power, stands still, or its link goes silent for good.
- * Symptom: nothing refuses or resets, and callers wait for the store's group to notice, some 2 s,
- * longer than a short check has. Safeguard: an owner without any reply is asked for a sign of life,
- * and instances step in one after another if there is none. It is enough because an owner that is
- * merely busy answers the question from memory, and one that lives behind a cut is seen in its
- * journal. Belongs to the control thread.
+ * <p>Failure: the owner's machine loses power or stops, or its link goes silent for good. Nothing
+ * refuses or resets a connection then, and callers would wait some 2 s for the store's group to
+ * notice, longer than a short check has. An owner from which no reply arrives is therefore probed,
+ * and if the probe fails the instances take over one after another. An owner that is merely busy
+ * answers the probe from memory, and one that is alive behind a network partition is detected by
+ * its writes to the journal. Confined to the control thread.
  */
 final class OwnerFailureDetector {
 
@@ -25,12 +25,13 @@
   private static final Duration CHECK_PERIOD = Duration.ofMillis(50);
 
   /**
-   * An owner that leaves requests without any reply for so long is asked for a sign of life. Most
-   * replies take 20 ms; acceptances take as long as the store, which such an owner tells at once.
+   * An owner that sends no reply to waiting requests for this time is probed. Most replies take 20
+   * ms. Acceptances take as long as the store, but an owner that waits for the store answers the
+   * probe at once.
    */
   private static final long PROBE_AFTER_MILLIS = 200;
 
-  /** An owner that gives no sign of life within this time is suspected to be lost. */
+  /** An owner that does not answer the probe within this time is suspected to be lost. */
   private static final long PROBE_TIMEOUT_MILLIS = 250;
 
   private final TimerService timers;
@@ -44,13 +45,13 @@
   /** The requests that wait for the owner. */
   interface Requests {
 
-    /** Returns how many wait. */
+    /** Returns how many requests wait. */
     int pendingCount();
 
     /** Returns for how long requests have waited without any reply, in milliseconds. */
     long silentMillis();
 
-    /** Returns the link to the owner, or null. */
+    /** Returns the link to the owner, or null if there is none. */
     Link link();
 
     /** Returns the owner at the other end of the link. */
@@ -59,7 +60,7 @@
     /** Returns when the owner last replied, by the timers' clock. */
     long repliedAt();
 
-    /** Takes notice of a sign of life. */
+    /** Records that the owner has answered a probe. */
     void ownerResponded();
   }
 
@@ -69,13 +70,13 @@
       Directory directory,
       Ownership ownership,
       Requests requests,
-      Supplier<Duration> stepInDelay) {
+      Supplier<Duration> takeoverDelay) {
     this.timers = timers;
     this.log = log;
     this.directory = directory;
     this.ownership = ownership;
     this.requests = requests;
-    this.takeoverDelay = stepInDelay;
+    this.takeoverDelay = takeoverDelay;
   }
 
   void start() {
@@ -91,7 +92,7 @@
       return;
     }
     probeInFlight = true;
-    OwnerRecord asked = requests.linkedOwner();
+    OwnerRecord probed = requests.linkedOwner();
     link.ask(new LinkRequest.ProveOwnership(), PROBE_TIMEOUT_MILLIS)
         .onComplete(
             reply -> {
@@ -100,7 +101,7 @@
             },
             error -> {
               probeInFlight = false;
-              suspectOwner(asked);
+              suspectOwner(probed);
             });
   }
 
@@ -122,7 +123,7 @@
         takeoverDelay.get(),
         () ->
             ownership.tryTakeOverUnlessAlive(
-                "the owner answers nothing",
+                "the owner does not respond",
                 () -> silent.equals(directory.owner()) && requests.repliedAt() == lastReply));
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerRecord.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerRecord.java
@@ -4,17 +4,17 @@
 import org.hickorypier.wire.UndecodableException;
 
 /**
- * Who owns the cell.
+ * The owner of the cell, as stored in the journal and the directory.
  *
  * <p>Immutable.
  *
- * @param epoch the owner's epoch, also its fencing token at the workers
- * @param address where other instances reach it
- * @param strength what its machine can carry
+ * @param epoch the owner's epoch, which is also its fencing token at the workers
+ * @param address the address at which other instances reach the owner
+ * @param strength what the owner's machine can carry
  */
 public record OwnerRecord(int epoch, String address, Strength strength) {
 
-  /** Before any owner. */
+  /** The record while the cell has had no owner yet. */
   public static final OwnerRecord NONE = new OwnerRecord(0, "", Strength.UNKNOWN);
 
   byte[] encode() {
@@ -28,7 +28,7 @@
           parts.length > 2 ? new Strength(Integer.parseInt(parts[2])) : Strength.UNKNOWN;
       return new OwnerRecord(Integer.parseInt(parts[0]), parts[1], strength);
     } catch (NumberFormatException | ArrayIndexOutOfBoundsException error) {
-      throw new UndecodableException("no owner record", error);
+      throw new UndecodableException("malformed owner record", error);
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
@@ -21,61 +21,73 @@
 /**
  * Decides whether this instance owns the cell.
  *
- * <p>The journal's epoch alone makes an owner, and any instance may take the cell over. Who does so
- * is a matter of speed and quiet: the owner hands over when it leaves or when the store refuses it;
- * an instance whose owner refuses connections steps in; otherwise the store's group, which notices
- * silent members, names a candidate. The candidate leaves an owner alone that can prove itself, so
- * that a group that deals everything anew costs nothing.
+ * <p>Only the epoch in the journal makes an instance the owner, and any instance may take the cell
+ * over. Which one does so depends on how fast the loss is detected and on how few takeovers it
+ * costs: the owner hands over when it leaves or when the store refuses its appends; an instance
+ * whose owner refuses connections takes over; otherwise the store's group, which detects silent
+ * members, assigns a candidate. The candidate does not replace an owner that proves its ownership,
+ * so that a full rebalance of the group causes no takeover.
  *
- * <p>Belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 public final class Ownership {
 
   private static final String PART = "ownership";
 
-  /** Signs a lifetime of the group's members: two may be lost. */
+  /** Heartbeats within the lifetime of a group member; two of them may be lost. */
   private static final int HEARTBEATS_PER_LIFETIME = 4;
 
   private static final Duration ANNOUNCE_RETRY_DELAY = Duration.ofMillis(150);
 
   private static final Duration NOTIFY_RETRY_DELAY = Duration.ofMillis(100);
 
-  /** An owner that has proved itself within this time is left alone. */
+  /** An owner whose last proof of ownership is no older than this is not replaced. */
   private static final long PROOF_VALIDITY_MILLIS = 1_600;
 
   /**
-   * An instance steps in by itself at most so often: where two sides of a cut refuse each other's
-   * connections, the cell would otherwise go back and forth all the time.
+   * The minimum interval between two takeovers that this instance starts by itself. Where the two
+   * sides of a network partition refuse each other's connections, the cell would otherwise move
+   * back and forth between them continuously.
    */
   private static final long MIN_TAKEOVER_INTERVAL_MILLIS = 5_000;
 
   /**
-   * A suspicion is followed up at most so often. An instance that is cut off from the owner asks
-   * the store again and again, and finds the owner at work each time.
+   * The minimum interval between two checks of a suspected owner. An instance that is cut off from
+   * the owner queries the store again and again and finds the owner active each time.
    */
   private static final long MIN_SUSPICION_INTERVAL_MILLIS = 700;
 
   /**
-   * A weak machine joins the group only when no owner has answered for so long: the stronger ones
-   * have had their chance by then, and the lifetime of a lost member is over.
+   * A weak machine joins the group only after no owner has answered for this time. By then the
+   * stronger machines have had the chance to take over, and the lifetime of a lost member has
+   * expired.
    */
   private static final long WEAK_JOIN_DELAY_MILLIS = 3_000;
 
-  /** How often an instance compares its machine with the owner's; instances differ a little. */
+  /**
+   * How often an instance compares its machine with the owner's. The jitter makes the period differ
+   * a little between instances.
+   */
   private static final int COMPARE_PERIOD_MILLIS = 1_000;
 
   private static final int COMPARE_JITTER_MILLIS = 500;
 
   /**
-   * A suspected owner that lives writes within this time: while callers wait it appends some 50
+   * A suspected owner that is alive writes within this time: while callers wait it appends some 50
    * times a second.
    */
   private static final Duration LIVENESS_WAIT = Duration.ofMillis(150);
 
-  /** An owner that asked for a takeover turns to another instance after some more than this. */
+  /**
+   * The limit for a takeover that the owner requested. The owner asks another instance a little
+   * later than this.
+   */
   private static final long REQUESTED_TAKEOVER_TIMEOUT_MILLIS = 700;
 
-  /** What is under way is written within some 20 ms, unless the store is away. */
+  /**
+   * The limit for the appends in flight when the process leaves. They are written within some 20 ms
+   * unless the store is unavailable.
+   */
   private static final Duration LEAVE_FLUSH_TIMEOUT = Duration.ofMillis(300);
 
   private final Instruments instruments;
@@ -89,7 +101,10 @@
   private Optional<Collection<CustomerTerms>> customers = Optional.empty();
   private Owner owner;
 
-  /** The last ownership of this process, until the successor knows what it left on the workers. */
+  /**
+   * The last ownership of this process, kept until the successor knows what may still run on the
+   * workers.
+   */
   private FormerOwnership formerOwnership;
 
   private long generation;
@@ -102,13 +117,13 @@
   private Runnable onLost = () -> {};
 
   /**
-   * Creates the follower.
+   * Creates the ownership of an instance that is not the owner yet.
    *
-   * @param instruments what the parts work with
+   * @param instruments the shared clients, timers and log
    * @param member this instance's name in the group
    * @param self this instance and what its machine can carry
-   * @param lifetimeMillis the lifetime of a member without a sign, in milliseconds
-   * @param directory learns of a new owner
+   * @param lifetimeMillis how long the group keeps a member without a heartbeat, in milliseconds
+   * @param directory is told of a new owner
    */
   public Ownership(
       Instruments instruments,
@@ -124,12 +139,12 @@
     this.directory = directory;
   }
 
-  /** Asks the present owner, wherever it is, to prove itself. */
+  /** Asks the present owner, on whichever instance, to prove its ownership. */
   @FunctionalInterface
   public interface OwnerCheck {
 
     /**
-     * Asks.
+     * Asks the present owner for a proof.
      *
      * @return true if there is an owner that need not be replaced
      */
@@ -137,10 +152,10 @@
   }
 
   /**
-   * Joins the group and stays in it.
+   * Joins the group and renews the membership until this instance leaves.
    *
-   * @param check asks the present owner
-   * @param ownerSilentMillis tells for how long no owner has answered, in milliseconds
+   * @param check asks the present owner for a proof
+   * @param ownerSilentMillis returns for how long no owner has answered, in milliseconds
    */
   public void start(OwnerCheck check, LongSupplier ownerSilentMillis) {
     ownerCheck = check;
@@ -148,14 +163,17 @@
     instruments
         .timers()
         .every(Duration.ofMillis(lifetimeMillis / HEARTBEATS_PER_LIFETIME), this::joinGroup);
-    int spread = Math.floorMod(memberName.hashCode(), COMPARE_JITTER_MILLIS);
+    int jitterMillis = Math.floorMod(memberName.hashCode(), COMPARE_JITTER_MILLIS);
     instruments
         .timers()
-        .every(Duration.ofMillis(COMPARE_PERIOD_MILLIS + spread), this::compareWithOwner);
+        .every(Duration.ofMillis(COMPARE_PERIOD_MILLIS + jitterMillis), this::compareWithOwner);
     joinGroup();
   }
 
-  /** A machine that is far stronger than the owner's takes over, whatever made that one owner. */
+  /**
+   * Takes over if this machine is much stronger than the owner's, however that one became the
+   * owner.
+   */
   private void compareWithOwner() {
     OwnerRecord present = directory.owner();
     if (!leaving && self.strength().isMuchStrongerThan(present.strength())) {
@@ -180,50 +198,52 @@
         .onComplete(
             this::handleMembership,
             error -> {
-              // The store tells nothing; the journal's epoch, not the group, protects the workers.
+              // The store has not answered. The journal's epoch, not the group, protects the
+              // workers.
               joining = false;
             });
   }
 
   /**
-   * Takes the customers of a configuration.
+   * Applies the customers of a configuration, now and to any later ownership.
    *
-   * @param newer all customers
+   * @param updated all customers
    */
-  public void configure(Collection<CustomerTerms> newer) {
-    customers = Optional.of(newer);
+  public void configure(Collection<CustomerTerms> updated) {
+    customers = Optional.of(updated);
     if (owner != null) {
-      owner.configure(newer);
+      owner.configure(updated);
     }
   }
 
   /**
-   * Runs something whenever this instance is the owner no longer.
+   * Sets the action that runs whenever this instance ceases to be the owner.
    *
-   * @param action what to run, on the control thread
+   * @param action runs on the control thread
    */
   public void onLost(Runnable action) {
     onLost = action;
   }
 
   /**
-   * Tells whether this instance is the owner.
+   * Returns whether this instance is the owner.
    *
-   * @return true from takeover to the end
+   * @return true from the takeover to the end of the ownership
    */
   public boolean isOwner() {
     return owner != null;
   }
 
   /**
-   * Adds an instance that can ask the advisor.
+   * Adds an instance through which the advisor can be asked.
    *
-   * @param address the instance's address, by which all owners order the instances alike
-   * @param asker asks through that instance
-   * @return what to run when the instance is gone
+   * @param address the instance's address, by which every owner orders the instances in the same
+   *     way
+   * @param client asks the advisor through that instance
+   * @return removes the client; to be run when the instance is gone
    */
-  public Runnable addAdvisorClient(String address, AdvisorClient asker) {
-    AdviceDesk.Helper helper = advice.add(address, asker);
+  public Runnable addAdvisorClient(String address, AdvisorClient client) {
+    AdviceDesk.Helper helper = advice.add(address, client);
     return () -> advice.remove(helper);
   }
 
@@ -232,10 +252,10 @@
   public interface AdvisorClient {
 
     /**
-     * Asks.
+     * Asks the advisor.
      *
      * @param request the question
-     * @param timeoutMillis how long the reply may take, in milliseconds
+     * @param timeoutMillis the time limit of the reply, in milliseconds
      * @return the reply; the future may fail
      */
     Future<LinkReply> ask(LinkRequest.Advise request, long timeoutMillis);
@@ -268,7 +288,7 @@
   }
 
   /**
-   * Tells whether this instance is the owner and has proved it a short time ago.
+   * Returns whether this instance is the owner and has a recent proof of it.
    *
    * @return true if no other instance need take over
    */
@@ -277,19 +297,22 @@
   }
 
   /**
-   * Tells whether the store has refused this owner's writes for some time.
+   * Returns whether the store has refused or not answered this owner's present append for longer
+   * than some time.
    *
    * @param millis the time, in milliseconds
-   * @return true if another instance should try
+   * @return true if another instance should take over; false if this instance is not the owner
    */
   public boolean isStoreUnavailableFor(long millis) {
     return owner != null && owner.storeUnavailableFor(millis);
   }
 
   /**
-   * Steps in, since the owner's process is known to be gone.
+   * Takes the cell over without a check whether the owner still writes its journal: its process is
+   * known to be gone, or its machine is much weaker. Does nothing if this instance is the owner or
+   * tried a short time ago.
    *
-   * @param reason why, for the log
+   * @param reason the reason, for the log
    */
   public void tryTakeOver(String reason) {
     long now = instruments.timers().nowMillis();
@@ -300,11 +323,11 @@
   }
 
   /**
-   * Steps in for an owner that answers nothing, unless it still writes its journal: then it is this
-   * instance that is cut off.
+   * Takes the cell over from an owner that does not respond, unless the owner still writes its
+   * journal: in that case this instance is the one that is cut off.
    *
-   * @param reason why, for the log
-   * @param silent tells whether the owner is still silent
+   * @param reason the reason, for the log
+   * @param silent returns whether the owner is still silent
    */
   public void tryTakeOverUnlessAlive(String reason, BooleanSupplier silent) {
     long now = instruments.timers().nowMillis();
@@ -317,25 +340,25 @@
   }
 
   private Future<Void> awaitSignOfLife() {
-    Promise<Void> over = Promise.promise();
-    instruments.timers().after(LIVENESS_WAIT, over::tryComplete);
-    return over.future();
+    Promise<Void> elapsed = Promise.promise();
+    instruments.timers().after(LIVENESS_WAIT, elapsed::tryComplete);
+    return elapsed.future();
   }
 
   /**
-   * Takes the cell over for an owner that asks for it, unless that takes too long: the owner has
-   * asked another instance by then.
+   * Takes the cell over at the owner's request. The takeover is abandoned if it takes too long,
+   * since the owner has asked another instance by then.
    *
    * @return true if this instance is the owner afterwards
    */
   public Future<Boolean> takeOverOnRequest() {
-    long until = instruments.timers().nowMillis() + REQUESTED_TAKEOVER_TIMEOUT_MILLIS;
+    long deadline = instruments.timers().nowMillis() + REQUESTED_TAKEOVER_TIMEOUT_MILLIS;
     return takeOver(
-        "the owner asked for it", () -> instruments.timers().nowMillis() <= until, null);
+        "the owner asked for it", () -> instruments.timers().nowMillis() <= deadline, null);
   }
 
   private Future<Boolean> takeOver(
-      String reason, BooleanSupplier wanted, Takeover.Delay signOfLife) {
+      String reason, BooleanSupplier wanted, Takeover.Delay livenessDelay) {
     if (owner != null) {
       return Future.succeededFuture(true);
     }
@@ -351,7 +374,7 @@
             randomFirstSequence(),
             directory.owner().epoch(),
             wanted,
-            signOfLife)
+            livenessDelay)
         .run()
         .transform(
             (taken, error) -> {
@@ -359,14 +382,15 @@
               if (error != null) {
                 instruments.log().event(PART, "takeover-failed", "error", error.getMessage());
                 return error instanceof SupersededException newer
-                    ? handleSuperseded(newer.owner(), reason, wanted, signOfLife)
+                    ? handleSuperseded(newer.owner(), reason, wanted, livenessDelay)
                     : Future.succeededFuture(false);
               }
               if (closed) {
                 return Future.succeededFuture(false);
               }
-              // One that was told to leave meanwhile has fenced its predecessor all the same: a
-              // cell whose owner dropped it has none. It hands over in its turn.
+              // An instance that was told to leave during the takeover has fenced its predecessor
+              // nevertheless, and the cell would have no owner if this one gave it up. It becomes
+              // the owner and hands over in its turn.
               owner = new Owner(instruments, taken, advice, customers, this::endOwnership);
               announceOwner(self.toOwnerRecord(taken.epoch()));
               return Future.succeededFuture(true);
@@ -374,28 +398,32 @@
   }
 
   private Future<Boolean> handleSuperseded(
-      OwnerRecord newer, String reason, BooleanSupplier wanted, Takeover.Delay signOfLife) {
+      OwnerRecord newer, String reason, BooleanSupplier wanted, Takeover.Delay livenessDelay) {
     if (newer.address().equals(self.address())) {
-      // A claim of this instance has succeeded while its answer was lost.
+      // An earlier claim of this instance has succeeded, and its answer was lost.
       directory.learn(newer);
-      return takeOver(reason, wanted, signOfLife);
+      return takeOver(reason, wanted, livenessDelay);
     }
-    // Its process may have ended between the claim and the announcement. Then each instance would
-    // find out by a failed takeover of its own, and the named one, once back, not at all. A second
-    // announcement of one claim is answered like the first.
+    // The process of the newer owner may have ended between its claim and the announcement.
+    // Without an announcement from here each instance would find out by a failed takeover of its
+    // own, and the newer owner, once restarted, not at all. The store answers a repeated
+    // announcement of one claim as it did the first.
     announceOwner(newer);
     return Future.succeededFuture(false);
   }
 
-  /** Far apart for two candidates, and far from the end of the range. */
+  /**
+   * Returns a sequence number that is far from that of another candidate and from the end of the
+   * range.
+   */
   private static long randomFirstSequence() {
     return ThreadLocalRandom.current().nextLong(1, Integer.MAX_VALUE);
   }
 
   /**
-   * Takes notice of an owner that another instance or the store has named.
+   * Ends this ownership if another instance or the store has announced a newer owner.
    *
-   * @param newer the owner
+   * @param newer the announced owner
    */
   public void observeOwner(OwnerRecord newer) {
     if (owner != null && newer.epoch() > owner.epoch()) {
@@ -404,9 +432,9 @@
   }
 
   /**
-   * Ends the part in the group and writes what is under way, since the process ends.
+   * Leaves the group and completes the appends in flight, since the process ends.
    *
-   * @return done when another instance may take over
+   * @return completes when another instance may take over
    */
   public Future<Void> leave() {
     leaving = true;
@@ -425,16 +453,16 @@
   }
 
   /**
-   * Tells whether this instance neither owns the cell nor is about to.
+   * Returns whether this instance neither owns the cell nor is taking it over.
    *
-   * @return true if it may end without harm to callers
+   * @return true if the process may end without harm to callers
    */
   public boolean isSafeToShutDown() {
     return owner == null && !takingOver;
   }
 
   /**
-   * Writes and starts nothing for some time, while a successor claims the cell.
+   * Appends and starts nothing for some time, while a successor claims the cell.
    *
    * @param millis the time, in milliseconds
    */
@@ -445,23 +473,24 @@
   }
 
   /**
-   * Goes on writing, which tells whether a successor has the cell, and starts nothing before that.
+   * Resumes the appends, which show whether a successor has claimed the cell. No run is started
+   * before that is known.
    *
-   * @param startsRestMillis how long nothing is started, in milliseconds; 0 if the cell is known
+   * @param startsPauseMillis how long nothing is started, in milliseconds; 0 if the cell is known
    *     not to be taken
    */
-  public void resumeWriting(long startsRestMillis) {
+  public void resumeWriting(long startsPauseMillis) {
     if (owner != null) {
-      owner.resumeWriting(startsRestMillis);
+      owner.resumeWriting(startsPauseMillis);
     }
   }
 
-  /** Stops deciding, since a successor has said that it has taken over. */
+  /** Ends this ownership, since a successor has confirmed that it has taken over. */
   public void completeHandover() {
     endOwnership("handed over");
   }
 
-  /** Stops deciding for good, since the process is over in a moment. */
+  /** Ends this ownership for good, since the process is about to exit. */
   public void shutDown() {
     closed = true;
     endOwnership("shutdown");
@@ -471,13 +500,13 @@
     joining = false;
     generation = membership.generation();
     if (membership.partitions().contains(JournalKeys.PARTITION) && owner == null && !leaving) {
-      int judged = directory.owner().epoch();
+      int checkedEpoch = directory.owner().epoch();
       ownerCheck
           .hasProvenOwner()
           .onSuccess(
               alive -> {
-                // Another instance may have stepped in while the lost owner was asked.
-                if (!alive && directory.owner().epoch() == judged) {
+                // Another instance may have taken over while the lost owner was asked.
+                if (!alive && directory.owner().epoch() == checkedEpoch) {
                   takeOver(
                       "the group named this instance, and no owner proves itself",
                       () -> true,
@@ -510,23 +539,25 @@
   }
 
   /**
-   * Tells the present owner what this instance left on the workers when it ceased to be the owner.
-   * An instance may be announced as the owner a moment before it is ready to be told.
+   * Tells the present owner what may still run on the workers from this instance's former
+   * ownership. An instance may be announced as the owner a moment before it can take the message,
+   * so the message is repeated until then.
    *
    * @param successorEpoch the epoch of the present owner
-   * @param successor asks the present owner; its future fails once it cannot be asked any more
+   * @param successor sends a request to the present owner; its future fails once the owner cannot
+   *     be reached any more
    */
   public void notifySuccessor(
       int successorEpoch, Function<LinkRequest, Future<LinkReply>> successor) {
-    FormerOwnership told = formerOwnership;
-    if (told == null || told.epoch() >= successorEpoch) {
+    FormerOwnership reported = formerOwnership;
+    if (reported == null || reported.epoch() >= successorEpoch) {
       return;
     }
     successor
-        .apply(told.toMessage(instruments.timers().nowMillis()))
+        .apply(reported.toMessage(instruments.timers().nowMillis()))
         .onSuccess(
             reply -> {
-              if (formerOwnership != told) {
+              if (formerOwnership != reported) {
                 return;
               }
               if (reply instanceof LinkReply.NotOwner) {
@@ -541,14 +572,14 @@
 
   private void endOwnership(String reason) {
     if (owner != null) {
-      Owner ending = owner;
-      // Whom the end tells that this is not the owner has to find it so.
+      Owner endedOwner = owner;
+      // The callbacks below must already find that this instance is not the owner.
       owner = null;
       onLost.run();
-      ending.end(reason);
+      endedOwner.end(reason);
       formerOwnership =
           new FormerOwnership(
-              ending.epoch(), ending.finalRoster(), instruments.timers().nowMillis());
+              endedOwner.epoch(), endedOwner.finalRoster(), instruments.timers().nowMillis());
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/SupersededException.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/SupersededException.java
@@ -1,6 +1,6 @@
 package org.hickorypier.daemon.owner;
 
-/** The journal has a newer owner than the one that was to be replaced. */
+/** Thrown when the journal names a newer owner than the one to be replaced. */
 final class SupersededException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Takeover.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Takeover.java
@@ -16,25 +16,32 @@
  * Takes the journal over.
  *
  * <p>The owner record is appended under a new epoch on the condition that the journal ends where
- * the candidate has read to. So the append fences the predecessor and shows in one step that the
+ * the candidate has read to. The append thus fences the predecessor and shows in one step that the
  * candidate knows all that was written; of two candidates one succeeds.
  *
  * <p>The store answers a repeated append, one with the same epoch and sequence number, as it did
  * the first time. Two candidates with equal numbers would both be told that they had succeeded, and
- * two owners would order under one token. So each candidate begins at a number of its own.
+ * two owners would send orders under one fencing token. Each candidate therefore begins at a
+ * sequence number of its own.
  *
- * <p>A candidate replaces the owner that it has reason to replace, and no other: of several that
- * step in for one lost owner, one after another, the later ones would else replace each other.
- * Belongs to the control thread.
+ * <p>A candidate replaces only the owner that it has reason to replace: of several candidates for
+ * one lost owner, the later ones would otherwise replace the earlier. Confined to the control
+ * thread.
  */
 final class Takeover {
 
-  /** While the predecessor still writes, the end moves; after so many tries it is fenced first. */
+  /**
+   * While the predecessor still writes, the end of the journal moves and a claim fails. After this
+   * many retries the predecessor is fenced first.
+   */
   private static final int RETRIES_BEFORE_FENCE = 3;
 
   private static final int MAX_CLAIM_RETRIES = 12;
 
-  /** Attempts at one claim: where a third of the answers is lost, one in 80 is not settled then. */
+  /**
+   * Attempts at one claim. Where a third of the answers is lost, one claim in 80 is still undecided
+   * after the last.
+   */
   private static final int MAX_APPEND_ATTEMPTS = 4;
 
   private final StoreClient store;
@@ -51,11 +58,12 @@
    * Creates a takeover.
    *
    * @param candidate the instance that takes over
-   * @param sequence the number to begin at; no other candidate may have the same
+   * @param sequence the sequence number to begin at; no other candidate may have the same
    * @param replacedEpoch the epoch of the owner to replace, or 0 if none is known
-   * @param wanted tells, just before the claim, whether the cell is still to be taken over
-   * @param signOfLife ends when an owner that lives would have written something, or null if it is
-   *     known to be gone; if it has written meanwhile, the takeover is abandoned
+   * @param stillWanted returns, just before the claim, whether the cell is still to be taken over
+   * @param livenessDelay ends when a live owner would have written something; null if the owner
+   *     need not be checked, as when it is known to be gone. If the owner has written meanwhile,
+   *     the takeover is abandoned
    */
   Takeover(
       StoreClient store,
@@ -63,35 +71,35 @@
       Candidate candidate,
       long sequence,
       int replacedEpoch,
-      BooleanSupplier wanted,
-      Delay signOfLife) {
+      BooleanSupplier stillWanted,
+      Delay livenessDelay) {
     this.store = store;
     this.log = log;
     this.candidate = candidate;
     this.sequence = sequence;
     this.replacedEpoch = replacedEpoch;
-    this.stillWanted = wanted;
-    this.livenessDelay = signOfLife;
+    this.stillWanted = stillWanted;
+    this.livenessDelay = livenessDelay;
   }
 
-  /** Lets some time pass. */
+  /** A delay before the claim. */
   @FunctionalInterface
   interface Delay {
 
     /**
-     * Begins the pause.
+     * Starts the delay.
      *
-     * @return done when it is over
+     * @return completes when the delay is over
      */
     Future<Void> start();
   }
 
   /**
-   * The journal in the hands of its new owner.
+   * The outcome of a successful takeover.
    *
-   * @param epoch the owner's epoch
-   * @param sequence the number of the epoch's last append
-   * @param values what the journal holds
+   * @param epoch the new owner's epoch
+   * @param sequence the sequence number of the epoch's last append
+   * @param values the newest value of each key in the journal
    */
   record Result(int epoch, long sequence, Map<String, byte[]> values) {}
 
@@ -101,7 +109,8 @@
         .compose(snapshot -> readToEnd(snapshot.from(), snapshot.values(), 0, 0));
   }
 
-  private Future<Result> readToEnd(long from, Map<String, byte[]> values, int tries, int fenced) {
+  private Future<Result> readToEnd(
+      long from, Map<String, byte[]> values, int retries, int fencedEpoch) {
     return store
         .read(JournalKeys.TOPIC, JournalKeys.PARTITION, from, 0)
         .compose(
@@ -111,15 +120,17 @@
               }
               long next = from + page.records().size();
               if (next < page.end()) {
-                return readToEnd(next, values, tries, fenced);
+                return readToEnd(next, values, retries, fencedEpoch);
               }
               return livenessDelay == null
-                  ? claim(next, values, tries, fenced)
-                  : livenessDelay.start().compose(over -> claim(next, values, tries, fenced));
+                  ? claim(next, values, retries, fencedEpoch)
+                  : livenessDelay
+                      .start()
+                      .compose(delayed -> claim(next, values, retries, fencedEpoch));
             });
   }
 
-  private Future<Result> claim(long end, Map<String, byte[]> values, int tries, int fenced) {
+  private Future<Result> claim(long end, Map<String, byte[]> values, int retries, int fencedEpoch) {
     OwnerRecord present = new JournalContents(values, log).owner();
     boolean newer = replacedEpoch > 0 && present.epoch() > replacedEpoch;
     if (newer || predecessor != null && !present.equals(predecessor)) {
@@ -129,11 +140,11 @@
       return Future.failedFuture(new AbandonedException());
     }
     predecessor = present;
-    int epoch = Math.max(present.epoch(), fenced) + 1;
-    if (tries == RETRIES_BEFORE_FENCE) {
+    int epoch = Math.max(present.epoch(), fencedEpoch) + 1;
+    if (retries == RETRIES_BEFORE_FENCE) {
       return store
           .append(append(List.of(), OptionalLong.empty(), epoch, sequence))
-          .compose(done -> readToEnd(end, values, tries + 1, epoch));
+          .compose(done -> readToEnd(end, values, retries + 1, epoch));
     }
     KeyedRecord owner = new KeyedRecord(JournalKeys.OWNER, candidate.toOwnerRecord(epoch).encode());
     return appendClaim(append(List.of(owner), OptionalLong.of(end), epoch, sequence), 1)
@@ -145,13 +156,16 @@
               if (moved && livenessDelay != null) {
                 return Future.failedFuture(new AbandonedException());
               }
-              return moved && tries < MAX_CLAIM_RETRIES
-                  ? readToEnd(end, values, tries + 1, fenced)
+              return moved && retries < MAX_CLAIM_RETRIES
+                  ? readToEnd(end, values, retries + 1, fencedEpoch)
                   : Future.failedFuture(error);
             });
   }
 
-  /** Appends; one without an answer is repeated, since the store answers a repeat as the first. */
+  /**
+   * Appends a claim, and repeats it while no answer arrives, since the store answers a repeated
+   * append as it did the first time.
+   */
   private Future<Long> appendClaim(Append claim, int attempt) {
     return store
         .append(claim, timeout.timeoutMillis(attempt))
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/TakeoverDelay.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/TakeoverDelay.java
@@ -3,28 +3,31 @@
 import java.time.Duration;
 
 /**
- * How long an instance waits before it steps in for a lost owner. Stateless.
+ * The time that an instance waits before it takes over from a lost owner. Stateless.
  *
- * <p>Load: all instances notice the loss within a few milliseconds. Harm prevented: those that take
- * over at once replace each other, and a weak or slowed machine that is first falls behind as the
- * owner. Each waits for a time of its own, and such a machine until the others have had their
- * chance.
+ * <p>All instances notice the loss within a few milliseconds. Those that take over at once would
+ * replace each other, and a weak or slowed machine that came first would fall behind as the owner.
+ * Each instance therefore waits for a time of its own, and a weak or slowed one until the others
+ * have had their chance.
  */
 final class TakeoverDelay {
 
-  /** Instances step in one after another, so that one takes over before the next tries. */
+  /**
+   * The range of the delays. Instances take over one after another, so that one takeover completes
+   * before the next instance tries.
+   */
   private static final int SPREAD_MILLIS = 250;
 
-  /** Three spreads of the others. */
+  /** The additional delay of a weak or slowed machine, three times the spread of the others. */
   static final int WEAK_OR_SLOWED_EXTRA_MILLIS = 750;
 
   private TakeoverDelay() {}
 
   /**
-   * Tells how long to wait.
+   * Returns the delay of an instance.
    *
-   * @param address the instance's address, by which instances differ
-   * @param weak whether its machine is far weaker than the lost owner's
+   * @param address the instance's address, from which its place within the spread is derived
+   * @param weak whether its machine is much weaker than the lost owner's
    * @param slowed whether its machine is much slower than usual
    */
   static Duration of(String address, boolean weak, boolean slowed) {
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/TopicReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/TopicReader.java
@@ -11,10 +11,11 @@
 import org.hickorypier.platform.store.StoreException;
 
 /**
- * Reads a keyed topic: first the newest record of each key, then what is written after.
+ * Reads a keyed topic: first a snapshot with the newest record of each key, then the records
+ * written after it.
  *
- * <p>Invariant: no record is passed over. Where the store has forgotten what comes next, the newest
- * records are read once more. Belongs to the control thread.
+ * <p>Invariant: no record is skipped. Where the store no longer keeps the next record, the snapshot
+ * is read again. Confined to the control thread.
  */
 final class TopicReader {
 
@@ -31,13 +32,14 @@
   }
 
   /**
-   * What one read found.
+   * The result of one read.
    *
    * <p>Immutable.
    *
-   * @param whole true if it is the newest record of all keys; a key that is missing is gone
-   * @param caughtUp true if there was nothing further when the store answered
-   * @param records the records, in the order of writing
+   * @param isSnapshot true if the records are the newest of all keys; a key without a record no
+   *     longer exists
+   * @param caughtUp true if the topic had no further records when the store answered
+   * @param records the records, in the order in which they were written
    */
   record Changes(boolean isSnapshot, boolean caughtUp, List<KeyedRecord> records) {
 
@@ -47,10 +49,10 @@
   }
 
   /**
-   * Reads on.
+   * Reads the next records.
    *
    * @param waitMillis how long the store may wait for a record, in milliseconds
-   * @return what was found; or the store's error, after which the read may be repeated
+   * @return the records; or the error of the store, after which the read may be repeated
    */
   Future<Changes> readNext(long waitMillis) {
     Future<Changes> read =
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/AppendTimeoutTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/AppendTimeoutTest.java
@@ -9,14 +9,16 @@
   private final AppendTimeout timeout = new AppendTimeout();
 
   @Test
-  void quickStoreIsNotWaitedForLong() {
+  void fastStoreHasTheMinimumTimeout() {
     timeout.recordAnswer(4);
     assertThat(timeout.timeoutMillis(1)).isEqualTo(AppendTimeout.MIN_TIMEOUT_MILLIS);
   }
 
-  /** A store that takes 360 ms without being lost is not sent everything twice. */
+  /**
+   * Guards against sending each append twice to a store that takes 360 ms without losing answers.
+   */
   @Test
-  void slowStoreIsWaitedForLonger() {
+  void slowStoreHasLongerTimeoutUntilItIsFastAgain() {
     timeout.recordAnswer(360);
     assertThat(timeout.timeoutMillis(1)).isEqualTo(1_080);
     for (int answers = 0; answers < 20; answers++) {
@@ -26,17 +28,20 @@
   }
 
   /**
-   * A store that turned a hundred times slower answers nothing in time; the next wait is longer.
+   * A store that becomes a hundred times slower answers nothing in time, so the next timeout is
+   * longer.
    */
   @Test
-  void silenceOfTheWholeStoreIsTakenForSlowness() {
+  void silenceOfTheWholeStoreCountsAsSlowness() {
     timeout.recordTimeout(500, 600);
     assertThat(timeout.timeoutMillis(1)).isEqualTo(AppendTimeout.MAX_TIMEOUT_MILLIS);
   }
 
-  /** One answer of many is lost; the others came meanwhile, so the store is as quick as before. */
+  /**
+   * One answer of many is lost. The others arrived meanwhile, so the store is as fast as before.
+   */
   @Test
-  void lostAnswerDoesNotMakeTheNextWaitLonger() {
+  void lostAnswerDoesNotLengthenTheTimeout() {
     timeout.recordTimeout(500, 20);
     assertThat(timeout.timeoutMillis(1)).isEqualTo(AppendTimeout.MIN_TIMEOUT_MILLIS);
   }
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/FormerOwnershipTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/FormerOwnershipTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void messageTellsWhatIsLeftOfTheLeasesWhenItIsSent() {
+  void messageHasTheRemainingLeaseTimesWhenItIsSent() {
     FormerOwnership former = new FormerOwnership(3, List.of(entry(3_000), entry(500)), 10_000);
     assertThat(former.toMessage(11_000).epoch()).isEqualTo(3);
     assertThat(former.toMessage(11_000).roster()).containsExactly(entry(2_000), entry(0));
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/TakeoverDelayTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/TakeoverDelayTest.java
@@ -10,12 +10,12 @@
   private static final String ADDRESS = "10.1.0.17:7420";
 
   /**
-   * The owner is lost while this instance's machine runs five times slower. It used to step in as
-   * early as any other, and callers waited for a slow owner and then for the next takeover; now all
-   * quick ones are due before it, whatever their addresses.
+   * Guards against a takeover by a slowed machine, after which callers waited for a slow owner and
+   * then for the next takeover. The owner is lost while this instance's machine runs five times
+   * slower. All machines that are not slowed must be due earlier, whatever their addresses.
    */
   @Test
-  void slowedMachineStepsInAfterAllOthers() {
+  void slowedMachineTakesOverAfterAllOthers() {
     Duration slowed = TakeoverDelay.of(ADDRESS, false, true);
     for (int last = 1; last < 255; last++) {
       Duration other = TakeoverDelay.of("10.1.0." + last + ":7420", false, false);
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void weakMachineStepsInAfterAllOthers() {
+  void weakMachineHasTheExtraDelay() {
     assertThat(TakeoverDelay.of(ADDRESS, true, false))
         .isEqualTo(
             TakeoverDelay.of(ADDRESS, false, false)
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/TakeoverTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/TakeoverTest.java
@@ -25,7 +25,7 @@
 
 class TakeoverTest {
 
-  private static final long HELD_BACK_MILLIS = 1_500;
+  private static final long FIRST_APPEND_DELAY_MILLIS = 1_500;
 
   private final Vertx vertx = Vertx.vertx();
   private final InMemoryStore memory = new InMemoryStore(1, () -> 0);
@@ -55,7 +55,11 @@
   }
 
   private Takeover candidate(
-      String address, long sequence, int replacedEpoch, boolean wanted, Takeover.Delay signOfLife) {
+      String address,
+      long sequence,
+      int replacedEpoch,
+      boolean wanted,
+      Takeover.Delay livenessDelay) {
     return new Takeover(
         store,
         (part, event, fields) -> {},
@@ -63,7 +67,7 @@
         sequence,
         replacedEpoch,
         () -> wanted,
-        signOfLife);
+        livenessDelay);
   }
 
   private static <T> T await(Future<T> future) throws Exception {
@@ -71,15 +75,16 @@
   }
 
   /**
-   * Callers' tasks ran twice, and accepted submissions were not known. The owner was killed, and
-   * two instances stepped in at once. Both wrote the owner record with one epoch and one sequence
-   * number; the store took the second for a repetition of the first and told both that they had
-   * succeeded.
+   * Guards against two owners at once, under which callers' tasks ran twice and accepted
+   * submissions were unknown. After the owner is killed, two instances take over at the same time.
+   * If both write the owner record with one epoch and one sequence number, the store takes the
+   * second for a repetition of the first and reports success to both.
    */
   @Test
-  void ofTwoCandidatesAtOnceOneSucceeds() throws Exception {
-    // The first append is held back, so that both have read the journal before either writes.
-    storeServer.gate().plan(new FaultPlan("append", Fault.NONE, 1, HELD_BACK_MILLIS));
+  void exactlyOneOfTwoConcurrentCandidatesSucceeds() throws Exception {
+    // The first append is delayed, so that both candidates have read the journal before either
+    // writes.
+    storeServer.gate().plan(new FaultPlan("append", Fault.NONE, 1, FIRST_APPEND_DELAY_MILLIS));
     Future<Takeover.Result> one = candidate("10.0.0.1:1", 17).run();
     Future<Takeover.Result> other = candidate("10.0.0.2:1", 4_711).run();
     await(Future.join(one, other).otherwiseEmpty());
@@ -87,7 +92,7 @@
   }
 
   @Test
-  void successorReadsWhatWasWrittenAndFencesItsPredecessor() throws Exception {
+  void successorReadsTheJournalAndFencesItsPredecessor() throws Exception {
     Takeover.Result first = await(candidate("10.0.0.1:1", 17).run());
     await(store.append(write(first, 1, "s.1")));
     Takeover.Result second = await(candidate("10.0.0.2:1", 4).run());
@@ -101,9 +106,10 @@
   }
 
   /**
-   * Callers waited for seconds while thirteen owners followed one another. Several instances found
-   * the same owner lost; each read the journal after another had taken over, and replaced that one
-   * as well. Now each replaces only the owner that it found lost.
+   * Guards against a series of takeovers after one loss, with thirteen owners in a row while
+   * callers waited for seconds. Several instances find the same owner lost, and each reads the
+   * journal after another has taken over. A candidate must replace only the owner that it found
+   * lost, not its successor.
    */
   @Test
   void laterCandidateDoesNotReplaceTheSuccessorOfTheLostOwner() throws Exception {
@@ -119,12 +125,12 @@
   }
 
   /**
-   * The store refuses the owner for a moment, and it asks another instance to take over. That one
-   * reads for seconds over a narrow link; meanwhile the owner is served again. It must not be
-   * replaced then.
+   * Guards against the replacement of an owner that works again. The store refuses the owner for a
+   * moment, and the owner asks another instance to take over. That instance reads the journal for
+   * seconds over a narrow link, and meanwhile the store serves the owner again.
    */
   @Test
-  void takeoverThatTookTooLongClaimsNothing() throws Exception {
+  void takeoverThatIsNoLongerWantedClaimsNothing() throws Exception {
     Takeover.Result owner = await(candidate("10.0.0.1:1", 17).run());
     Future<Takeover.Result> late = candidate("10.0.0.2:1", 4, owner.epoch(), false).run();
     await(late.otherwiseEmpty());
@@ -133,18 +139,18 @@
   }
 
   /**
-   * An instance is cut off from the owner and takes it for lost. The owner still writes its
-   * journal, so it is left alone; otherwise both sides of a cut would replace each other by turns,
-   * and callers would wait for each new owner.
+   * Guards against takeovers back and forth between the two sides of a network partition, during
+   * which callers wait for each new owner. An instance that is cut off from the owner takes it for
+   * lost, while the owner still writes its journal.
    */
   @Test
   void ownerThatStillWritesIsNotReplacedOnSuspicion() throws Exception {
     Takeover.Result owner = await(candidate("10.0.0.1:1", 17).run());
-    Takeover.Delay ownerWrites = () -> store.append(write(owner, 1, "s.1")).mapEmpty();
-    Future<Takeover.Result> cutOff =
-        candidate("10.0.0.2:1", 4, owner.epoch(), true, ownerWrites).run();
-    await(cutOff.otherwiseEmpty());
-    assertThat(cutOff.cause()).isInstanceOf(AbandonedException.class);
+    Takeover.Delay ownerAppends = () -> store.append(write(owner, 1, "s.1")).mapEmpty();
+    Future<Takeover.Result> isolated =
+        candidate("10.0.0.2:1", 4, owner.epoch(), true, ownerAppends).run();
+    await(isolated.otherwiseEmpty());
+    assertThat(isolated.cause()).isInstanceOf(AbandonedException.class);
     await(store.append(write(owner, 2, "s.2")));
   }
 
@@ -157,8 +163,9 @@
   }
 
   /**
-   * The store carries out a claim and its answer is lost, on a connection that stays open. The
-   * claim is repeated and settled; the candidate neither waits for seconds nor claims twice.
+   * Guards against a wait of seconds and against a second claim when the store carries out a claim
+   * but its answer is lost on a connection that stays open. The candidate repeats the claim, and
+   * the store answers the repetition as it did the first.
    */
   @Test
   void claimWithoutAnAnswerIsRepeated() throws Exception {
