--- a/core/src/main/java/org/hickorypier/core/cell/Archive.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Archive.java
@@ -22,10 +22,10 @@
   void tick(long wallMillis) {
     List<Submission> settled = new ArrayList<>();
     for (Submission submission : cell.submissions.values()) {
-      if (submission.state.terminal() && submission.endedAtMillis == 0) {
+      if (submission.state.isTerminal() && submission.endedAtMillis == 0) {
         submission.endedAtMillis = wallMillis;
         cell.changed(submission);
-      } else if (submission.state.terminal() && submission.shown == submission.state) {
+      } else if (submission.state.isTerminal() && submission.shown == submission.state) {
         settled.add(submission);
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/Cell.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Cell.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.hickorypier.core.submission.Progress;
+import org.hickorypier.core.submission.SubmissionProgress;
 import org.hickorypier.core.submission.SubmissionSpec;
 import org.hickorypier.core.submission.SubmissionState;
 
@@ -107,7 +107,7 @@
    * @param wallMillis the time of day, milliseconds since 1970
    */
   public void restore(
-      SubmissionSpec spec, long number, Progress progress, long now, long wallMillis) {
+      SubmissionSpec spec, long number, SubmissionProgress progress, long now, long wallMillis) {
     if (rosterRestored) {
       throw new IllegalStateException("the roster names runs of submissions restored before it");
     }
@@ -142,7 +142,7 @@
       submission.durable = true;
       state.newlyDone = true;
     }
-    if (version == submission.version() && submission.state.terminal()) {
+    if (version == submission.version() && submission.state.isTerminal()) {
       submission.shown = submission.state;
     }
   }
--- a/core/src/main/java/org/hickorypier/core/cell/CellState.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellState.java
@@ -135,7 +135,7 @@
     Submission submission = submissions.get(task.submission());
     if (submission != null) {
       Task known = submission.task(task);
-      return known == null ? Resources.NONE : known.step.spec.reserved();
+      return known == null ? Resources.NONE : known.step.spec.reservedResources();
     }
     EndedSubmission past = ended.get(task.submission());
     if (past == null) {
@@ -143,7 +143,9 @@
     }
     try {
       List<StepSpec> steps = SubmissionCodec.decode(past.spec()).steps();
-      return task.step() < steps.size() ? steps.get(task.step()).reserved() : Resources.NONE;
+      return task.step() < steps.size()
+          ? steps.get(task.step()).reservedResources()
+          : Resources.NONE;
     } catch (UndecodableException error) {
       log.event("cell", "unreadable-record", "id", task.submission(), "error", error.getMessage());
       return Resources.NONE;
--- a/core/src/main/java/org/hickorypier/core/cell/ComeBack.java
+++ b/core/src/main/java/org/hickorypier/core/cell/ComeBack.java
@@ -28,7 +28,7 @@
    * @return milliseconds, whole seconds
    */
   public static long afterMillis(SubmissionSpec spec) {
-    double chain = spec.queue().stretch() * spec.longestChainMillis();
+    double chain = spec.queue().stretch() * spec.criticalPathMillis();
     double wanted = PART_OF_OBJECTIVE * (chain + spec.queue().objectiveMillis());
     long seconds = Math.round(wanted / SOONEST_MILLIS) * SOONEST_MILLIS;
     return Math.max(SOONEST_MILLIS, Math.min(LATEST_MILLIS, seconds));
--- a/core/src/main/java/org/hickorypier/core/cell/Dispatch.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Dispatch.java
@@ -113,7 +113,7 @@
       return waiting;
     }
     String customer = step.submission.spec().customer();
-    Resources each = step.spec.each();
+    Resources each = step.spec.taskResources();
     long free = unreserved(cell, step, workers);
     for (Task task : step.tasks) {
       int count = waiting.size() + 1;
@@ -131,12 +131,12 @@
 
   /** Tells whether not even one task of a step may start beside the reserve for urgent work. */
   static boolean beyondReserve(CellState cell, StepRun step, List<WorkerView> workers) {
-    return step.spec.each().milliProcessors() > unreserved(cell, step, workers);
+    return step.spec.taskResources().milliProcessors() > unreserved(cell, step, workers);
   }
 
   private static long unreserved(CellState cell, StepRun step, List<WorkerView> workers) {
     QueueTerms queue = step.submission.spec().queue();
-    if (cell.urgent(step) || step.spec.flags().fills() || step.lasting()) {
+    if (cell.urgent(step) || step.spec.flags().opportunistic() || step.lasting()) {
       return Long.MAX_VALUE;
     }
     long free = -cell.reserve.processors(queue.service());
@@ -207,7 +207,7 @@
   private void claimRoom(StepRun step, Map<Task, WorkerView> planned, long now) {
     Map<WorkerView, Resources> rooms = new HashMap<>();
     for (WorkerView worker : planned.values()) {
-      rooms.merge(worker, step.spec.each(), Resources::plus);
+      rooms.merge(worker, step.spec.taskResources(), Resources::plus);
     }
     long call = Math.round(step.advice.terms.callMillis(rooms.size()));
     claim(step, new Claim(rooms, now + 2 * call + ASK_AGAIN_MILLIS));
--- a/core/src/main/java/org/hickorypier/core/cell/Explanation.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Explanation.java
@@ -87,7 +87,7 @@
     if (!cell.usage.configured()) {
       return "the configuration, which has the customers' limits";
     }
-    if (!cell.usage.allows(submission.spec().customer(), step.spec.each(), 1)) {
+    if (!cell.usage.allows(submission.spec().customer(), step.spec.taskResources(), 1)) {
       return "its customer's limit";
     }
     List<WorkerView> taking = cell.taking(submission.spec().queue().service(), now);
--- a/core/src/main/java/org/hickorypier/core/cell/Placer.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Placer.java
@@ -66,9 +66,9 @@
   /** Tells how many more tasks of the step a worker has room for. */
   static int slots(StepRun step, WorkerView worker) {
     StepSpec spec = step.spec;
-    Resources each = spec.each();
+    Resources each = spec.taskResources();
     long most = tasksIn(worker.freeMemory(), each.memoryMebibytes());
-    if (!spec.flags().fills()) {
+    if (!spec.flags().opportunistic()) {
       most = Math.min(most, tasksIn(worker.freeProcessors(), each.milliProcessors()));
     }
     most = Math.min(most, tasksIn(worker.freeAccelerators(), each.accelerators()));
@@ -176,8 +176,9 @@
   private static double score(StepSpec spec, WorkerView worker, int already) {
     Resources capacity = worker.entry().capacity();
     double leftProcessors =
-        worker.freeProcessors() - (already + 1.0) * spec.each().milliProcessors();
-    double leftMemory = worker.freeMemory() - (already + 1.0) * spec.each().memoryMebibytes();
+        worker.freeProcessors() - (already + 1.0) * spec.taskResources().milliProcessors();
+    double leftMemory =
+        worker.freeMemory() - (already + 1.0) * spec.taskResources().memoryMebibytes();
     double score =
         leftProcessors / Math.max(1, capacity.milliProcessors())
             + leftMemory / Math.max(1, capacity.memoryMebibytes());
--- a/core/src/main/java/org/hickorypier/core/cell/RunBook.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunBook.java
@@ -41,7 +41,7 @@
   }
 
   void order(Task task, WorkerView worker, int number, String ticket, long now) {
-    Resources size = task.step.spec.reserved();
+    Resources size = task.step.spec.reservedResources();
     String customer = task.step.submission.spec().customer();
     Run run = new Run(new RunKey(task.name(), number), task, worker, size, customer);
     run.orderedAt = now;
--- a/core/src/main/java/org/hickorypier/core/cell/Stragglers.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Stragglers.java
@@ -80,7 +80,7 @@
         && run.task.current == run
         && !run.task.step.gang()
         && !run.task.step.spec.flags().persistent()
-        && !run.task.step.spec.flags().fills();
+        && !run.task.step.spec.flags().opportunistic();
   }
 
   private long expectedMillis(Run run) {
--- a/core/src/main/java/org/hickorypier/core/cell/Submission.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Submission.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.hickorypier.core.submission.Progress;
+import org.hickorypier.core.submission.SubmissionProgress;
 import org.hickorypier.core.submission.SubmissionSpec;
 import org.hickorypier.core.submission.SubmissionState;
 
@@ -50,7 +50,7 @@
     this.number = number;
     this.acceptedAt = acceptedAt;
     this.firstRun = firstRun;
-    this.occurrences = new StepRun[spec.occurrences()][spec.steps().size()];
+    this.occurrences = new StepRun[spec.occurrenceCount()][spec.steps().size()];
     int place = 0;
     for (int occurrence = 0; occurrence < occurrences.length; occurrence++) {
       for (int index = 0; index < spec.steps().size(); index++) {
@@ -113,12 +113,12 @@
    * @return false before the first end of a task
    */
   public boolean worthSaving() {
-    return version > 1 || state.terminal();
+    return version > 1 || state.isTerminal();
   }
 
   /** Returns how long it may take to be in time, in milliseconds. */
   long objectiveMillis(LearnedWork learned) {
-    long chain = learned.atLeast(spec.queue().name(), spec.longestChainMillis());
+    long chain = learned.atLeast(spec.queue().name(), spec.criticalPathMillis());
     return Math.round(spec.queue().stretch() * chain) + spec.queue().objectiveMillis();
   }
 
@@ -127,7 +127,7 @@
   }
 
   boolean live() {
-    return !state.terminal();
+    return !state.isTerminal();
   }
 
   Task task(TaskName name) {
@@ -144,7 +144,7 @@
    *
    * @return a copy of the progress
    */
-  public Progress progress() {
+  public SubmissionProgress progress() {
     List<BitSet> done = new ArrayList<>();
     Map<Integer, List<Integer>> failed = new HashMap<>();
     for (StepRun[] steps : occurrences) {
@@ -159,10 +159,10 @@
         done.add(bits);
       }
     }
-    return new Progress(state, endedAtMillis, done, failed);
+    return new SubmissionProgress(state, endedAtMillis, done, failed);
   }
 
-  void restore(Progress progress) {
+  void restore(SubmissionProgress progress) {
     state = progress.state();
     shown = state;
     endedAtMillis = progress.endedAtMillis();
@@ -173,15 +173,15 @@
     int place = 0;
     for (StepRun[] steps : occurrences) {
       for (StepRun step : steps) {
-        restoreStep(step, progress, place < progress.done().size() ? place : -1);
+        restoreStep(step, progress, place < progress.completedTasks().size() ? place : -1);
         place++;
       }
     }
   }
 
-  private void restoreStep(StepRun step, Progress progress, int place) {
+  private void restoreStep(StepRun step, SubmissionProgress progress, int place) {
     for (Task task : step.tasks) {
-      if (place >= 0 && progress.done().get(place).get(task.index)) {
+      if (place >= 0 && progress.completedTasks().get(place).get(task.index)) {
         task.done = true;
         step.doneCount++;
       }
--- a/core/src/main/java/org/hickorypier/core/cell/TaskEnds.java
+++ b/core/src/main/java/org/hickorypier/core/cell/TaskEnds.java
@@ -83,7 +83,7 @@
   /** Gangs, what fills, what lasts and what was resumed take a time of their own. */
   private static boolean comparable(Run run) {
     StepFlags flags = run.task.step.spec.flags();
-    return !flags.gang() && !flags.fills() && !flags.persistent() && !run.resumed;
+    return !flags.gang() && !flags.opportunistic() && !flags.persistent() && !run.resumed;
   }
 
   private void done(Task task, long now) {
@@ -149,7 +149,7 @@
     record.failedRuns.add(ended.run().number());
     record.avoided = worker;
     cell.changed(submission);
-    boolean exhausted = record.failedRuns.size() >= submission.spec().queue().attempts();
+    boolean exhausted = record.failedRuns.size() >= submission.spec().queue().maxAttempts();
     if (exhausted && !task.step.spec.flags().persistent()) {
       submission.state = SubmissionState.FAILED;
       cell.submissionEvent(
--- a/core/src/main/java/org/hickorypier/core/cell/Turns.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Turns.java
@@ -14,7 +14,7 @@
   /** Tells whether a turn may come by time alone. */
   boolean anyScheduled() {
     for (Submission submission : cell.submissions.values()) {
-      if (submission.live() && submission.spec().scheduled()) {
+      if (submission.live() && submission.spec().isScheduled()) {
         return true;
       }
     }
@@ -35,7 +35,7 @@
   }
 
   private static boolean due(SubmissionSpec spec, int occurrence, long wallMillis) {
-    return !spec.scheduled()
+    return !spec.isScheduled()
         || wallMillis >= spec.startAtMillis() + occurrence * spec.intervalMillis();
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
@@ -51,7 +51,7 @@
 
   /** Notes the first steps of a submission that is being written. */
   void accepted(Submission submission) {
-    if (submission.spec().scheduled()) {
+    if (submission.spec().isScheduled()) {
       return;
     }
     for (StepRun step : submission.occurrences[0]) {
--- a/core/src/main/java/org/hickorypier/core/configuration/Configuration.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/Configuration.java
@@ -29,11 +29,11 @@
    * For how many offsets an id is remembered. At the target of 3,000 changes a day this is 16
    * hours; a repeat comes within seconds of an outage's end.
    */
-  static final long REMEMBERED_OFFSETS = 2_048;
+  static final long ID_RETENTION_OFFSETS = 2_048;
 
   /** The configuration before the first record. */
   public static final Configuration EMPTY =
-      new Configuration(-1, Map.of(), Map.of(), Map.of(), RecentIds.empty(REMEMBERED_OFFSETS));
+      new Configuration(-1, Map.of(), Map.of(), Map.of(), RecentIds.empty(ID_RETENTION_OFFSETS));
 
   /** Copies the maps. */
   public Configuration {
@@ -48,7 +48,7 @@
    * @param id the id of the change
    * @return offset and verdict, or empty if it was not folded, or too long ago
    */
-  public Optional<FoldedId> verdictOf(String id) {
+  public Optional<FoldedId> findFoldedId(String id) {
     return ids.find(id);
   }
 
@@ -79,16 +79,16 @@
   Configuration with(Drain drain) {
     Map<String, Drain> next = new HashMap<>(drains);
     next.values()
-        .removeIf(old -> !old.draining() && old.offset() < drain.offset() - REMEMBERED_OFFSETS);
+        .removeIf(old -> !old.draining() && old.offset() < drain.offset() - ID_RETENTION_OFFSETS);
     next.put(drain.name(), drain);
     return new Configuration(offset, teams, keys, next, ids);
   }
 
-  Configuration foldedAt(long newOffset) {
+  Configuration withOffset(long newOffset) {
     return new Configuration(newOffset, teams, keys, drains, ids);
   }
 
-  Configuration remembering(FoldedId entry) {
+  Configuration withFoldedId(FoldedId entry) {
     return new Configuration(offset, teams, keys, drains, ids.plus(entry));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/configuration/ConfigurationFold.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/ConfigurationFold.java
@@ -42,13 +42,13 @@
     if (change instanceof Snapshot snapshot
         && snapshot.upTo() > state.offset()
         && snapshot.upTo() < offset) {
-      return adopt(state, snapshot);
+      return adoptSnapshot(state, snapshot);
     }
     if (offset > state.offset() + 1) {
       return new FoldResult<>(
           state, Verdict.GAP, "records from offset " + (state.offset() + 1) + " are missing");
     }
-    Configuration next = state.foldedAt(offset);
+    Configuration next = state.withOffset(offset);
     if (change instanceof Snapshot) {
       return new FoldResult<>(next, Verdict.DUPLICATE, "the snapshot says nothing new here");
     }
@@ -62,7 +62,8 @@
     }
     FoldResult<Configuration> result = applyNew(next, offset, change);
     FoldedId entry = new FoldedId(change.id(), offset, result.verdict());
-    return new FoldResult<>(result.state().remembering(entry), result.verdict(), result.sentence());
+    return new FoldResult<>(
+        result.state().withFoldedId(entry), result.verdict(), result.sentence());
   }
 
   /**
@@ -72,13 +73,13 @@
    * @param offset the record's offset
    * @return the state after
    */
-  public static FoldResult<Configuration> passOver(Configuration state, long offset) {
+  public static FoldResult<Configuration> skipUnreadable(Configuration state, long offset) {
     if (offset != state.offset() + 1) {
       Verdict verdict = offset <= state.offset() ? Verdict.DUPLICATE : Verdict.GAP;
       return new FoldResult<>(state, verdict, "offset " + offset + " is not the next one");
     }
     return new FoldResult<>(
-        state.foldedAt(offset), Verdict.INVALID, "the record cannot be read here");
+        state.withOffset(offset), Verdict.INVALID, "the record cannot be read here");
   }
 
   /**
@@ -91,15 +92,15 @@
    * @param snapshot the snapshot
    * @return the state of the snapshot, or the state before if that is as new
    */
-  public static FoldResult<Configuration> adopt(Configuration state, Snapshot snapshot) {
+  public static FoldResult<Configuration> adoptSnapshot(Configuration state, Snapshot snapshot) {
     if (snapshot.upTo() <= state.offset()) {
       return new FoldResult<>(state, Verdict.DUPLICATE, "the state here is as new");
     }
-    if (!ConfigurationSnapshots.isWhole(snapshot)) {
+    if (!ConfigurationSnapshots.isComplete(snapshot)) {
       return new FoldResult<>(state, Verdict.INVALID, "the snapshot is not whole");
     }
     return new FoldResult<>(
-        ConfigurationSnapshots.read(snapshot),
+        ConfigurationSnapshots.fromSnapshot(snapshot),
         Verdict.APPLIED,
         "the state is that of the snapshot up to offset " + snapshot.upTo());
   }
--- a/core/src/main/java/org/hickorypier/core/configuration/ConfigurationSnapshots.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/ConfigurationSnapshots.java
@@ -32,7 +32,7 @@
    * @param state the configuration
    * @return the record
    */
-  public static Snapshot write(String id, Configuration state) {
+  public static Snapshot toSnapshot(String id, Configuration state) {
     List<TeamEntry> teams = new ArrayList<>();
     state.teams().values().stream()
         .sorted(Comparator.comparing(Team::name))
@@ -74,18 +74,18 @@
    * @param snapshot the record
    * @return false if a part is missing or an entry makes no sense
    */
-  static boolean isWhole(Snapshot snapshot) {
+  static boolean isComplete(Snapshot snapshot) {
     return snapshot.teams() != null
         && snapshot.keys() != null
         && snapshot.drains() != null
         && snapshot.ids() != null
         && snapshot.teams().stream().allMatch(entry -> entry != null && entry.name() != null)
-        && snapshot.keys().stream().allMatch(ConfigurationSnapshots::isWhole)
+        && snapshot.keys().stream().allMatch(ConfigurationSnapshots::isComplete)
         && snapshot.drains().stream().allMatch(entry -> entry != null && entry.name() != null)
-        && snapshot.ids().stream().allMatch(ConfigurationSnapshots::isWhole);
+        && snapshot.ids().stream().allMatch(ConfigurationSnapshots::isComplete);
   }
 
-  private static boolean isWhole(KeyEntry entry) {
+  private static boolean isComplete(KeyEntry entry) {
     return entry != null
         && entry.keyId() != null
         && entry.team() != null
@@ -93,14 +93,14 @@
         && entry.hash() != null;
   }
 
-  private static boolean isWhole(FoldedIdEntry entry) {
+  private static boolean isComplete(FoldedIdEntry entry) {
     return entry != null
         && entry.id() != null
         && entry.verdict() >= 0
         && entry.verdict() < Verdict.values().length;
   }
 
-  static Configuration read(Snapshot snapshot) {
+  static Configuration fromSnapshot(Snapshot snapshot) {
     Map<String, Team> teams = new HashMap<>();
     for (TeamEntry entry : snapshot.teams()) {
       teams.put(
@@ -133,6 +133,10 @@
                     new FoldedId(entry.id(), entry.offset(), Verdict.values()[entry.verdict()]))
             .toList();
     return new Configuration(
-        snapshot.upTo(), teams, keys, drains, RecentIds.of(Configuration.REMEMBERED_OFFSETS, ids));
+        snapshot.upTo(),
+        teams,
+        keys,
+        drains,
+        RecentIds.of(Configuration.ID_RETENTION_OFFSETS, ids));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/keys/KeyIssuer.java
+++ b/core/src/main/java/org/hickorypier/core/keys/KeyIssuer.java
@@ -34,14 +34,15 @@
    * @return the key, with what may be kept of it
    */
   public IssuedKey issue() {
-    String keyId = HexFormat.of().formatHex(bytes(KEY_ID_BYTES));
-    String secret = Base64.getUrlEncoder().withoutPadding().encodeToString(bytes(SECRET_BYTES));
-    byte[] salt = bytes(SALT_BYTES);
+    String keyId = HexFormat.of().formatHex(randomBytes(KEY_ID_BYTES));
+    String secret =
+        Base64.getUrlEncoder().withoutPadding().encodeToString(randomBytes(SECRET_BYTES));
+    byte[] salt = randomBytes(SALT_BYTES);
     return new IssuedKey(
         keyId + PresentedKey.SEPARATOR + secret, keyId, salt, SecretHash.of(salt, secret));
   }
 
-  private byte[] bytes(int count) {
+  private byte[] randomBytes(int count) {
     byte[] bytes = new byte[count];
     random.nextBytes(bytes);
     return bytes;
--- a/core/src/main/java/org/hickorypier/core/keys/PresentedKey.java
+++ b/core/src/main/java/org/hickorypier/core/keys/PresentedKey.java
@@ -13,10 +13,10 @@
   static final char SEPARATOR = '.';
 
   // Longer than any issued key. The header is a stranger's to fill; nothing longer is looked at.
-  private static final int LONGEST = 256;
+  private static final int MAX_LENGTH_CHARS = 256;
 
   static Optional<PresentedKey> parse(String presented) {
-    if (presented == null || presented.length() > LONGEST) {
+    if (presented == null || presented.length() > MAX_LENGTH_CHARS) {
       return Optional.empty();
     }
     int separator = presented.indexOf(SEPARATOR);
--- a/core/src/main/java/org/hickorypier/core/model/WorkItem.java
+++ b/core/src/main/java/org/hickorypier/core/model/WorkItem.java
@@ -71,7 +71,7 @@
    * @param millis the time
    * @return the copy
    */
-  public WorkItem firstTriedAt(long millis) {
+  public WorkItem withFirstTriedMillis(long millis) {
     return new WorkItem(
         key,
         workClass,
--- a/core/src/main/java/org/hickorypier/core/submission/AdviceTerms.java
+++ b/core/src/main/java/org/hickorypier/core/submission/AdviceTerms.java
@@ -5,11 +5,11 @@
  *
  * <p>Immutable.
  *
- * @param decideMillis fixed time of one call, in milliseconds
- * @param eachMillis additional time for each worker named, in milliseconds
- * @param validMillis how long a ticket is valid, in milliseconds
+ * @param baseMillis fixed time of one call, in milliseconds
+ * @param perWorkerMillis additional time for each worker named, in milliseconds
+ * @param ticketValidityMillis how long a ticket is valid, in milliseconds
  */
-public record AdviceTerms(double decideMillis, double eachMillis, long validMillis) {
+public record AdviceTerms(double baseMillis, double perWorkerMillis, long ticketValidityMillis) {
 
   /**
    * Returns how long the advisor is busy with one call.
@@ -18,6 +18,6 @@
    * @return milliseconds
    */
   public double callMillis(int workers) {
-    return decideMillis + eachMillis * workers;
+    return baseMillis + perWorkerMillis * workers;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/submission/StepFlags.java
+++ b/core/src/main/java/org/hickorypier/core/submission/StepFlags.java
@@ -10,7 +10,7 @@
  * @param checkpoints the tasks save their progress
  * @param speculative copies may run in parallel
  * @param persistent the tasks run until the submission is cancelled
- * @param fills the tasks use processor time that others leave, and count for none
+ * @param opportunistic the tasks use processor time that others leave, and count for none
  */
 public record StepFlags(
     boolean gang,
@@ -18,8 +18,8 @@
     boolean checkpoints,
     boolean speculative,
     boolean persistent,
-    boolean fills) {
+    boolean opportunistic) {
 
   /** A step of independent tasks without any special treatment. */
-  public static final StepFlags PLAIN = new StepFlags(false, false, false, false, false, false);
+  public static final StepFlags NONE = new StepFlags(false, false, false, false, false, false);
 }
--- a/core/src/main/java/org/hickorypier/core/submission/StepSpec.java
+++ b/core/src/main/java/org/hickorypier/core/submission/StepSpec.java
@@ -9,7 +9,7 @@
  * <p>Immutable.
  *
  * @param count how many tasks it has
- * @param each what one task needs
+ * @param taskResources what one task needs
  * @param estimateMillis the caller's rough estimate of a task's duration, in milliseconds
  * @param dependsOn numbers of the earlier steps that must be done first
  * @param flags how its tasks are to be treated
@@ -22,7 +22,7 @@
  */
 public record StepSpec(
     int count,
-    Resources each,
+    Resources taskResources,
     long estimateMillis,
     List<Integer> dependsOn,
     StepFlags flags,
@@ -43,7 +43,9 @@
    *
    * @return its need, without processors where it only fills what others leave
    */
-  public Resources reserved() {
-    return flags.fills() ? new Resources(0, each.memoryMebibytes(), each.accelerators()) : each;
+  public Resources reservedResources() {
+    return flags.opportunistic()
+        ? new Resources(0, taskResources.memoryMebibytes(), taskResources.accelerators())
+        : taskResources;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/submission/SubmissionCodec.java
+++ b/core/src/main/java/org/hickorypier/core/submission/SubmissionCodec.java
@@ -64,7 +64,7 @@
    * @return the number, or 0 if none was encoded
    * @throws UndecodableException if the bytes are no specification
    */
-  public static long numberOf(byte[] bytes) throws UndecodableException {
+  public static long decodeNumber(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       unpack(unpacker);
       return unpacker.hasNext() ? unpacker.unpackLong() : 0;
@@ -124,7 +124,7 @@
    * @return the customer, or empty on a public queue
    * @throws UndecodableException if the bytes are no specification
    */
-  public static String customerOf(byte[] bytes) throws UndecodableException {
+  public static String decodeCustomer(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       unpacker.unpackString();
       return unpacker.unpackString();
@@ -139,11 +139,11 @@
    * @param progress the progress
    * @return its bytes
    */
-  public static byte[] encodeProgress(Progress progress) {
+  public static byte[] encodeProgress(SubmissionProgress progress) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packInt(progress.state().ordinal()).packLong(progress.endedAtMillis());
-      packer.packArrayHeader(progress.done().size());
-      for (BitSet bits : progress.done()) {
+      packer.packArrayHeader(progress.completedTasks().size());
+      for (BitSet bits : progress.completedTasks()) {
         byte[] bytes = bits.toByteArray();
         packer.packBinaryHeader(bytes.length).writePayload(bytes);
       }
@@ -165,7 +165,7 @@
    * @return the progress
    * @throws UndecodableException if the bytes are no progress
    */
-  public static Progress decodeProgress(byte[] bytes) throws UndecodableException {
+  public static SubmissionProgress decodeProgress(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       SubmissionState state = SubmissionState.values()[unpacker.unpackInt()];
       long endedAt = unpacker.unpackLong();
@@ -179,7 +179,7 @@
       for (int index = 0; index < entries; index++) {
         failed.put(unpacker.unpackInt(), unpackIntegers(unpacker));
       }
-      return new Progress(state, endedAt, done, failed);
+      return new SubmissionProgress(state, endedAt, done, failed);
     } catch (IOException | MessagePackException | IndexOutOfBoundsException error) {
       throw new UndecodableException(bytes.length + " bytes are no progress", error);
     }
@@ -187,12 +187,12 @@
 
   private static void packQueue(MessagePacker packer, QueueTerms queue) throws IOException {
     packer.packString(queue.name()).packString(queue.service()).packInt(queue.priority());
-    packer.packInt(queue.attempts()).packDouble(queue.stretch());
+    packer.packInt(queue.maxAttempts()).packDouble(queue.stretch());
     packer.packLong(queue.objectiveMillis()).packBoolean(queue.advice().isPresent());
     if (queue.advice().isPresent()) {
       AdviceTerms advice = queue.advice().get();
-      packer.packDouble(advice.decideMillis()).packDouble(advice.eachMillis());
-      packer.packLong(advice.validMillis());
+      packer.packDouble(advice.baseMillis()).packDouble(advice.perWorkerMillis());
+      packer.packLong(advice.ticketValidityMillis());
     }
   }
 
@@ -214,14 +214,16 @@
   }
 
   private static void packStep(MessagePacker packer, StepSpec step) throws IOException {
-    packer.packInt(step.count()).packLong(step.each().milliProcessors());
-    packer.packLong(step.each().memoryMebibytes()).packInt(step.each().accelerators());
+    packer.packInt(step.count()).packLong(step.taskResources().milliProcessors());
+    packer
+        .packLong(step.taskResources().memoryMebibytes())
+        .packInt(step.taskResources().accelerators());
     packer.packLong(step.estimateMillis());
     packIntegers(packer, step.dependsOn());
     StepFlags flags = step.flags();
     packer.packBoolean(flags.gang()).packBoolean(flags.sameRack());
     packer.packBoolean(flags.checkpoints()).packBoolean(flags.speculative());
-    packer.packBoolean(flags.persistent()).packBoolean(flags.fills());
+    packer.packBoolean(flags.persistent()).packBoolean(flags.opportunistic());
     packer.packString(step.requires()).packString(step.affinity());
     packer.packInt(step.antiAffinity()).packString(step.image());
     packer.packLong(step.targetMillis()).packInt(step.maxUnavailable());
--- a/core/src/main/java/org/hickorypier/core/submission/SubmissionSpec.java
+++ b/core/src/main/java/org/hickorypier/core/submission/SubmissionSpec.java
@@ -38,7 +38,7 @@
    *
    * @return at least one
    */
-  public int occurrences() {
+  public int occurrenceCount() {
     return Math.max(1, times);
   }
 
@@ -47,7 +47,7 @@
    *
    * @return false if its steps are due at once
    */
-  public boolean scheduled() {
+  public boolean isScheduled() {
     return times > 0;
   }
 
@@ -56,7 +56,7 @@
    *
    * @return milliseconds
    */
-  public long longestChainMillis() {
+  public long criticalPathMillis() {
     long[] ends = new long[steps.size()];
     long longest = 0;
     for (int index = 0; index < ends.length; index++) {
--- a/core/src/main/java/org/hickorypier/core/submission/SubmissionState.java
+++ b/core/src/main/java/org/hickorypier/core/submission/SubmissionState.java
@@ -18,7 +18,7 @@
    *
    * @return true for the three end states
    */
-  public boolean terminal() {
+  public boolean isTerminal() {
     return this == COMPLETED || this == FAILED || this == CANCELLED;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/verification/PromiseChecker.java
+++ b/core/src/main/java/org/hickorypier/core/verification/PromiseChecker.java
@@ -143,7 +143,7 @@
 
   private boolean roomTwiceOver(TaskName task, Collection<String> sound) {
     SubmissionSpec spec = handedIn.get(task.submission());
-    long size = spec.steps().get(task.step()).each().milliProcessors();
+    long size = spec.steps().get(task.step()).taskResources().milliProcessors();
     Resources limit = limits.get(spec.customer());
     if (limit != null
         && 2 * usedByCustomer.getOrDefault(spec.customer(), 0L) >= limit.milliProcessors()) {
@@ -251,7 +251,7 @@
       return;
     }
     TaskName counted = counted(spec, run.key().task());
-    if (failedNoted.getOrDefault(counted, Set.of()).size() >= spec.queue().attempts()) {
+    if (failedNoted.getOrDefault(counted, Set.of()).size() >= spec.queue().maxAttempts()) {
       breach("start after the last attempt", run.key());
     }
   }
@@ -279,7 +279,7 @@
 
   private static long size(SubmissionSpec spec, ObservedRun run) {
     StepSpec step = spec.steps().get(run.key().task().step());
-    return step.each().milliProcessors();
+    return step.taskResources().milliProcessors();
   }
 
   /**
@@ -360,7 +360,7 @@
     if (state != SubmissionState.COMPLETED) {
       return;
     }
-    for (int occurrence = 0; occurrence < spec.occurrences(); occurrence++) {
+    for (int occurrence = 0; occurrence < spec.occurrenceCount(); occurrence++) {
       for (int step = 0; step < spec.steps().size(); step++) {
         if (!allDone(spec, occurrence, step)) {
           broken.add(clock.getAsLong() + ": " + id + " is shown as completed too early");
@@ -376,7 +376,7 @@
             entry ->
                 entry.getKey().submission().equals(spec.id())
                     && !lasts(spec, entry.getKey())
-                    && entry.getValue().size() >= spec.queue().attempts());
+                    && entry.getValue().size() >= spec.queue().maxAttempts());
   }
 
   /**
--- a/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
@@ -96,7 +96,7 @@
         new Resources(processors, 1_000, 0),
         estimate,
         List.of(earlier),
-        StepFlags.PLAIN,
+        StepFlags.NONE,
         "",
         "",
         0,
--- a/core/src/test/java/org/hickorypier/core/cell/CellTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellTest.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.Optional;
 import org.hickorypier.core.model.Resources;
-import org.hickorypier.core.submission.Progress;
 import org.hickorypier.core.submission.QueueTerms;
 import org.hickorypier.core.submission.StepFlags;
 import org.hickorypier.core.submission.StepSpec;
+import org.hickorypier.core.submission.SubmissionProgress;
 import org.hickorypier.core.submission.SubmissionSpec;
 import org.hickorypier.core.submission.SubmissionState;
 import org.junit.jupiter.api.Test;
@@ -65,7 +65,8 @@
   @Test
   void firstChangeOfWhatWasTakenOverIsWritten() {
     SubmissionSpec spec = spec("s", QUEUE, step(2, 1_000, 500, false));
-    Progress nothing = new Progress(SubmissionState.QUEUED, 0, List.of(new BitSet()), Map.of());
+    SubmissionProgress nothing =
+        new SubmissionProgress(SubmissionState.QUEUED, 0, List.of(new BitSet()), Map.of());
     cell.restore(spec, 7, nothing, fixture.now, fixture.now);
     final WorkerView worker = fixture.worker("w");
     RunKey first = new RunKey(new TaskName("s", 0, 0, 0), 1);
@@ -74,7 +75,7 @@
     Submission submission = cell.find("s");
     assertThat(fixture.saved).contains(submission);
     assertThat(submission.worthSaving()).isTrue();
-    assertThat(submission.progress().done().get(0).get(0)).isTrue();
+    assertThat(submission.progress().completedTasks().get(0).get(0)).isTrue();
   }
 
   /**
@@ -285,7 +286,7 @@
     successor.cell.restore(
         spec("old", QUEUE, step(1, 1_000, 500, false)),
         7,
-        new Progress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
+        new SubmissionProgress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
         successor.now,
         successor.now);
     successor.cell.restoreRoster(
@@ -374,7 +375,7 @@
     successor.cell.restore(
         spec("s", QUEUE, step(1, 1_000, 500, false)),
         7,
-        new Progress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
+        new SubmissionProgress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
         successor.now,
         successor.now);
     RunKey one = new RunKey(new TaskName("s", 0, 0, 0), 1);
@@ -421,7 +422,7 @@
     successor.cell.restore(
         spec("old", QUEUE, step(1, 1_000, 500, false)),
         7,
-        new Progress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
+        new SubmissionProgress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
         successor.now,
         successor.now);
     successor.list("dark", 1);
--- a/core/src/test/java/org/hickorypier/core/cell/ComeBackTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/ComeBackTest.java
@@ -17,7 +17,7 @@
 
   private static SubmissionSpec work(long estimate, double stretch, long objective) {
     StepSpec step =
-        new StepSpec(1, Resources.NONE, estimate, List.of(), StepFlags.PLAIN, "", "", 0, "", 0, 0);
+        new StepSpec(1, Resources.NONE, estimate, List.of(), StepFlags.NONE, "", "", 0, "", 0, 0);
     QueueTerms queue = new QueueTerms("q", "service", 0, 3, stretch, objective, Optional.empty());
     return new SubmissionSpec("id", "customer", queue, "", List.of(step), 0, 0, 0, 0);
   }
--- a/core/src/test/java/org/hickorypier/core/cell/PlacerTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/PlacerTest.java
@@ -82,13 +82,13 @@
   void tasksGoToTheirData() {
     worker("far", "r1", 4_000);
     WorkerView near = worker("near", "r2", 16_000);
-    assertThat(choose(with(1, StepFlags.PLAIN, "r2", 0)).values()).containsOnly(near);
+    assertThat(choose(with(1, StepFlags.NONE, "r2", 0)).values()).containsOnly(near);
   }
 
   @Test
   void antiAffinityBoundsTheTasksOnOneWorker() {
     worker("one", "r1", 16_000);
     worker("two", "r1", 16_000);
-    assertThat(choose(with(4, StepFlags.PLAIN, "", 1))).hasSize(2);
+    assertThat(choose(with(4, StepFlags.NONE, "", 1))).hasSize(2);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/StragglersTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/StragglersTest.java
@@ -70,7 +70,7 @@
    */
   @Test
   void taskIsTakenAwayFromSlowWorker() {
-    start(StepFlags.PLAIN);
+    start(StepFlags.NONE);
     final Run slow = fixture.starts.get(0).run();
     watch(1.0 / 6, 500);
     assertThat(fixture.stops).containsExactly(slow.key());
@@ -85,7 +85,7 @@
   /** A worker answers, counts as well, and never gets on with what it was told to start. */
   @Test
   void taskIsTakenAwayFromWorkerThatStandsStill() {
-    start(StepFlags.PLAIN);
+    start(StepFlags.NONE);
     watch(0, 500);
     assertThat(fixture.stops).hasSize(1);
   }
@@ -94,7 +94,7 @@
   @Test
   void nothingIsMovedBeforeTheUsualLengthIsKnown() {
     listWorkers();
-    fixture.submit(spec("s", QUEUE, step(StepFlags.PLAIN)));
+    fixture.submit(spec("s", QUEUE, step(StepFlags.NONE)));
     fixture.confirmAll();
     watch(1.0 / 6, 900);
     assertThat(fixture.stops).isEmpty();
@@ -102,7 +102,7 @@
 
   @Test
   void runsOfSoundWorkersAreLeftAlone() {
-    start(StepFlags.PLAIN);
+    start(StepFlags.NONE);
     watch(1 / 1.5, 900);
     assertThat(fixture.stops).isEmpty();
   }
@@ -121,7 +121,7 @@
     listWorkers();
     learn();
     for (int index = 0; index < 4; index++) {
-      fixture.submit(spec("s" + index, QUEUE, step(StepFlags.PLAIN)));
+      fixture.submit(spec("s" + index, QUEUE, step(StepFlags.NONE)));
     }
     fixture.confirmAll();
     for (int look = 1; look <= 6; look++) {
--- a/core/src/test/java/org/hickorypier/core/cell/model/CellModelTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/CellModelTest.java
@@ -14,46 +14,46 @@
 class CellModelTest {
 
   /** A few seconds of work; more seeds are played by hand with {@code -Dmodel.seeds=N}. */
-  private static final int SEEDS = Integer.getInteger("model.seeds", 300);
+  private static final int SEED_COUNT = Integer.getInteger("model.seeds", 300);
 
-  private static final int FROM = Integer.getInteger("model.from", 0);
+  private static final int FIRST_SEED = Integer.getInteger("model.from", 0);
 
   @Test
-  void promisesHoldOnEachSeededDay() {
-    play(DayKind.PLAIN);
+  void invariantsHoldUnderSeededFaults() {
+    runScenarios(ScenarioKind.UNIFORM_WORK);
   }
 
   /** The same beside batches that make room for urgent work, with slow workers and leaving ones. */
   @Test
-  void promisesHoldWithUnlikeWork() {
-    play(DayKind.UNLIKE_WORK);
+  void invariantsHoldWithMixedPriorities() {
+    runScenarios(ScenarioKind.MIXED_PRIORITIES);
   }
 
   /** Guards against a successor that waits anew for a worker that has left. */
   @Test
-  void lastingTaskRunsAgainThoughItsWorkerLeavesDuringHandovers() {
-    play(DayKind.RELEASE);
+  void persistentTaskIsRestartedWhenItsWorkerLeavesDuringHandover() {
+    runScenarios(ScenarioKind.ROLLING_UPDATE);
   }
 
-  private static void play(DayKind kind) {
+  private static void runScenarios(ScenarioKind kind) {
     List<String> failures = new ArrayList<>();
     long starts = 0;
     long steps = 0;
-    for (int seed = FROM; seed < FROM + SEEDS; seed++) {
-      ModelWorld world = new ModelWorld(seed, kind);
-      for (String broken : world.play()) {
+    for (int seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+      ModelCluster world = new ModelCluster(seed, kind);
+      for (String broken : world.run()) {
         failures.add("seed " + seed + ": " + broken);
         if (Boolean.getBoolean("model.trace")) {
           System.out.println("seed " + seed + ": " + broken);
-          world.story(broken.replaceAll(".*([0-9a-f]{16}).*", "$1")).forEach(System.out::println);
+          world.traceOf(broken.replaceAll(".*([0-9a-f]{16}).*", "$1")).forEach(System.out::println);
         }
       }
       starts += world.promises.starts();
-      steps += world.time.steps;
+      steps += world.time.executedEvents;
     }
     System.out.println(
         "model: "
-            + SEEDS
+            + SEED_COUNT
             + " days, "
             + steps
             + " steps, "
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelWorld.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelCluster.java
@@ -25,42 +25,42 @@
  *
  * <p>All faults end some time before the end; then everything accepted must come to an end state.
  */
-final class ModelWorld {
+final class ModelCluster {
 
-  private static final long FAULTS_END = 25_000;
-  private static final long DAY_END = 75_000;
+  private static final long FAULTS_END_MILLIS = 25_000;
+  private static final long SCENARIO_END_MILLIS = 75_000;
 
   /** The last worker has left and the last cut has ended well before. */
-  private static final long DAY_END_OF_RELEASE = 50_000;
+  private static final long ROLLING_UPDATE_END_MILLIS = 50_000;
 
   private static final int WORKERS = 4;
 
   /** Some drain while the others take over what they had. */
-  private static final int WORKERS_OF_RELEASE = 6;
+  private static final int ROLLING_UPDATE_WORKERS = 6;
 
   private static final int FAULTS = 7;
-  private static final int MOST_FAULTS_OF_RELEASE = 3;
+  private static final int MAX_ROLLING_UPDATE_FAULTS = 3;
 
   /** A link between instances that loses what a former owner tells is cut for so long. */
-  private static final long LEAST_CUT = 4_000;
+  private static final long MIN_LINK_CUT_MILLIS = 4_000;
 
-  private static final long MOST_CUT = 7_000;
-  private static final double PASS_ON_LOST = 0.15;
-  private static final long LOOK = 50;
+  private static final long MAX_LINK_CUT_MILLIS = 7_000;
+  private static final double LOST_FINAL_ROSTER_SHARE = 0.15;
+  private static final long CHECK_INTERVAL_MILLIS = 50;
 
   private static final QueueTerms QUEUE =
       new QueueTerms("queue", "service", 0, 3, 2, 1_000, Optional.empty());
 
   /** Last digits of the ids of submissions that last; those with 7 are cancelled. */
-  private static final Set<Integer> LASTING = Set.of(1, 2, 5, 7, 9);
+  private static final Set<Integer> PERSISTENT_ID_DIGITS = Set.of(1, 2, 5, 7, 9);
 
   /** So little that they leave half of a customer's limit to other work. */
-  private static final long LASTING_PROCESSORS = 500;
+  private static final long PERSISTENT_MILLI_PROCESSORS = 500;
 
-  private static final QueueTerms BATCHES =
+  private static final QueueTerms BATCH_QUEUE =
       new QueueTerms("batches", "service", 2, 3, 2, 1_000, Optional.empty());
 
-  final ModelTime time;
+  final VirtualTime time;
   final PromiseChecker promises;
   final ModelFaults faults = new ModelFaults();
   final ModelJournal journal = new ModelJournal();
@@ -68,18 +68,18 @@
   final List<String> notes = new ArrayList<>();
   private final Map<String, ModelWorker> workersById = new HashMap<>();
   private final Map<String, List<ModelRun>> gangs = new HashMap<>();
-  private final Map<ModelWorker, Long> unlistedFrom = new HashMap<>();
+  private final Map<ModelWorker, Long> unlistedFromMillis = new HashMap<>();
   private final Set<String> accepted = new HashSet<>();
   private final Set<String> cancelled = new HashSet<>();
   private ModelOwner owner;
 
   private final long seed;
-  private final DayKind kind;
+  private final ScenarioKind kind;
 
   /** Nothing unplanned happens: what a former owner tells arrives, too. */
-  private final boolean onlyPlanned;
+  private final boolean plannedOnly;
 
-  private long disruptedUntil;
+  private long disruptedUntilMillis;
 
   /**
    * Creates a day.
@@ -87,36 +87,38 @@
    * @param seed what its course follows from
    * @param kind what it consists of
    */
-  ModelWorld(long seed, DayKind kind) {
+  ModelCluster(long seed, ScenarioKind kind) {
     this.seed = seed;
     this.kind = kind;
-    this.onlyPlanned = kind == DayKind.RELEASE && seed % 2 == 0;
-    this.time = new ModelTime(seed);
-    this.promises = new PromiseChecker(time::now);
-    for (int index = 0; index < (kind == DayKind.RELEASE ? WORKERS_OF_RELEASE : WORKERS); index++) {
+    this.plannedOnly = kind == ScenarioKind.ROLLING_UPDATE && seed % 2 == 0;
+    this.time = new VirtualTime(seed);
+    this.promises = new PromiseChecker(time::nowMillis);
+    for (int index = 0;
+        index < (kind == ScenarioKind.ROLLING_UPDATE ? ROLLING_UPDATE_WORKERS : WORKERS);
+        index++) {
       addWorker();
     }
     promises.limit("small", new Resources(12_000, 0, 0));
     takeOver();
     for (int index = 0; index < 40; index++) {
       String id = "%016x".formatted(index);
-      time.after(time.between(500, FAULTS_END), () -> handIn(id, 0));
+      time.schedule(time.randomBetween(500, FAULTS_END_MILLIS), () -> submit(id, 0));
     }
     for (int index = 0; index < faultCount(); index++) {
-      time.after(time.between(1_000, FAULTS_END - 8_000), this::fault);
+      time.schedule(time.randomBetween(1_000, FAULTS_END_MILLIS - 8_000), this::injectFault);
     }
-    time.after(FAULTS_END, this::calm);
-    if (kind == DayKind.RELEASE) {
-      new ModelRelease(this).plan();
-      look();
+    time.schedule(FAULTS_END_MILLIS, this::endFaults);
+    if (kind == ScenarioKind.ROLLING_UPDATE) {
+      new ModelRollingUpdate(this).schedule();
+      checkPeriodically();
     }
   }
 
   private int faultCount() {
-    if (kind != DayKind.RELEASE) {
+    if (kind != ScenarioKind.ROLLING_UPDATE) {
       return FAULTS;
     }
-    return onlyPlanned ? 0 : 1 + Math.floorMod(seed / 2, MOST_FAULTS_OF_RELEASE);
+    return plannedOnly ? 0 : 1 + Math.floorMod(seed / 2, MAX_ROLLING_UPDATE_FAULTS);
   }
 
   /** A worker that was never there before comes. */
@@ -128,16 +130,16 @@
     return worker;
   }
 
-  private void look() {
-    if (time.now() < disruptedUntil) {
+  private void checkPeriodically() {
+    if (time.nowMillis() < disruptedUntilMillis) {
       promises.disrupted();
     }
     promises.checkLasting(
         workers.stream()
-            .filter(worker -> listed(worker) && !worker.draining)
+            .filter(worker -> isListed(worker) && !worker.draining)
             .map(worker -> worker.id)
             .toList());
-    time.after(LOOK, this::look);
+    time.schedule(CHECK_INTERVAL_MILLIS, this::checkPeriodically);
   }
 
   List<CustomerTerms> customers() {
@@ -147,16 +149,17 @@
   }
 
   /** Plays the day, and returns what was broken. */
-  List<String> play() {
-    time.runUntil(kind == DayKind.RELEASE ? DAY_END_OF_RELEASE : DAY_END);
+  List<String> run() {
+    time.runUntil(
+        kind == ScenarioKind.ROLLING_UPDATE ? ROLLING_UPDATE_END_MILLIS : SCENARIO_END_MILLIS);
     for (String id : accepted) {
       SubmissionStatus status = owner.cell.status(id);
       SubmissionState state = status == null ? null : status.state();
-      boolean ended = state != null && state.terminal();
-      boolean lasts = state != null && !cancelled.contains(id) && lasts(id);
-      if (lasts ? ended : !ended && !lasts(id)) {
+      boolean ended = state != null && state.isTerminal();
+      boolean lasts = state != null && !cancelled.contains(id) && isPersistent(id);
+      if (lasts ? ended : !ended && !isPersistent(id)) {
         promises.lost(id, "" + state);
-        notes.addAll(owner.cell.explain(id, time.now()));
+        notes.addAll(owner.cell.explain(id, time.nowMillis()));
       }
     }
     promises.checkLastingAtWork();
@@ -164,16 +167,16 @@
   }
 
   void note(int epoch, String event, Object[] fields) {
-    notes.add(time.now() + " epoch " + epoch + " " + event + " " + List.of(fields));
+    notes.add(time.nowMillis() + " epoch " + epoch + " " + event + " " + List.of(fields));
   }
 
-  boolean listed(ModelWorker worker) {
-    Long from = unlistedFrom.get(worker);
-    return worker.up && (from == null || time.now() < from);
+  boolean isListed(ModelWorker worker) {
+    Long from = unlistedFromMillis.get(worker);
+    return worker.up && (from == null || time.nowMillis() < from);
   }
 
   /** Returns what the owners noted of a submission, and all faults. */
-  List<String> story(String submission) {
+  List<String> traceOf(String submission) {
     return notes.stream()
         .filter(
             line ->
@@ -184,37 +187,37 @@
         .toList();
   }
 
-  long work(TaskName task, StepSpec step) {
+  long workMillis(TaskName task, StepSpec step) {
     return step.estimateMillis() + (task.hashCode() & 0x1ff);
   }
 
   void deliver(ModelOwner from, String workerId, boolean[] answered, Consumer<ModelWorker> action) {
     ModelWorker worker = worker(workerId);
-    if (from.cut.contains(workerId) || time.chance(faults.lost)) {
+    if (from.unreachableWorkers.contains(workerId) || time.randomlyTrue(faults.lostOrderShare)) {
       return;
     }
-    long delay = time.between(1, 3);
-    if (time.chance(faults.late)) {
-      delay = time.between(2_000, 12_000);
+    long delay = time.randomBetween(1, 3);
+    if (time.randomlyTrue(faults.delayedOrderShare)) {
+      delay = time.randomBetween(2_000, 12_000);
     }
-    long life = worker.born;
-    time.after(
+    long life = worker.incarnation;
+    time.schedule(
         delay,
         () -> {
           // The pages do not say whether an order reaches a later life under the same id; docs/
           // asks.
-          if (worker.up && worker.born == life) {
+          if (worker.up && worker.incarnation == life) {
             action.accept(worker);
           }
         });
   }
 
   void answer(ModelOwner to, String workerId, boolean[] answered, Runnable action) {
-    if (to.cut.contains(workerId) || time.chance(faults.answerLost)) {
+    if (to.unreachableWorkers.contains(workerId) || time.randomlyTrue(faults.lostAnswerShare)) {
       return;
     }
-    time.after(
-        time.between(1, 3),
+    time.schedule(
+        time.randomBetween(1, 3),
         () -> {
           if (!answered[0] && !to.ended) {
             answered[0] = true;
@@ -223,7 +226,7 @@
         });
   }
 
-  void written(Submission submission) {
+  void recordWritten(Submission submission) {
     accepted.add(submission.spec().id());
     promises.accepted(submission.spec().id());
     promises.shown(submission.spec().id(), submission.shown());
@@ -241,30 +244,30 @@
     owner = new ModelOwner(this, journal.epoch);
   }
 
-  private void handIn(String id, int tries) {
-    if (owner.ended || faults.storeDown || owner.storeCut) {
+  private void submit(String id, int tries) {
+    if (owner.ended || faults.storeDown || owner.storeUnreachable) {
       if (tries < 60) {
-        time.after(500, () -> handIn(id, tries + 1));
+        time.schedule(500, () -> submit(id, tries + 1));
       }
       return;
     }
     SubmissionSpec spec = spec(id);
     promises.handedIn(spec);
-    Submission submission = owner.cell.accept(spec, time.now());
+    Submission submission = owner.cell.accept(spec, time.nowMillis());
     if (submission == null) {
       accepted.add(id);
       return;
     }
     ModelOwner by = owner;
-    time.after(
+    time.schedule(
         1_000,
         () -> {
           if (by != owner && !accepted.contains(id)) {
-            handIn(id, tries + 1);
+            submit(id, tries + 1);
           }
         });
     if (id.endsWith("7")) {
-      time.after(time.between(100, 6_000), () -> cancel(submission.spec().id()));
+      time.schedule(time.randomBetween(100, 6_000), () -> cancel(submission.spec().id()));
     }
   }
 
@@ -273,23 +276,23 @@
     if (!owner.ended && submission != null && submission.durable()) {
       cancelled.add(id);
       promises.cancelSent(id);
-      owner.cell.cancel(submission, time.now());
+      owner.cell.cancel(submission, time.nowMillis());
     }
   }
 
   private SubmissionSpec spec(String id) {
-    if (lasts(id)) {
-      return lastingSpec(id);
+    if (isPersistent(id)) {
+      return persistentSpec(id);
     }
     int digit = lastDigit(id);
     boolean gang = digit % 4 == 0;
-    boolean batch = kind == DayKind.UNLIKE_WORK && digit % 4 == 1;
+    boolean batch = kind == ScenarioKind.MIXED_PRIORITIES && digit % 4 == 1;
     StepFlags flags = new StepFlags(gang, false, batch, false, false, false);
     int count = batch ? 4 + digit : 1 + digit % 4;
     StepSpec first = step(count, 1_500 + 500L * (digit % 5), batch ? 3_000 : 600, List.of(), flags);
-    StepSpec second = step(1 + digit % 2, 2_000, 400, List.of(0), StepFlags.PLAIN);
+    StepSpec second = step(1 + digit % 2, 2_000, 400, List.of(0), StepFlags.NONE);
     List<StepSpec> steps = digit % 3 == 0 ? List.of(first, second) : List.of(first);
-    return submission(id, digit, batch ? BATCHES : QUEUE, steps);
+    return submission(id, digit, batch ? BATCH_QUEUE : QUEUE, steps);
   }
 
   private static int lastDigit(String id) {
@@ -297,20 +300,20 @@
   }
 
   /** Tells whether a submission consists of tasks that last. */
-  private boolean lasts(String id) {
-    return kind == DayKind.RELEASE && LASTING.contains(lastDigit(id));
+  private boolean isPersistent(String id) {
+    return kind == ScenarioKind.ROLLING_UPDATE && PERSISTENT_ID_DIGITS.contains(lastDigit(id));
   }
 
-  private SubmissionSpec lastingSpec(String id) {
+  private SubmissionSpec persistentSpec(String id) {
     int count = 1 + Math.floorMod(seed + id.hashCode(), 4);
     StepFlags flags = new StepFlags(false, false, false, false, true, false);
-    StepSpec step = step(count, LASTING_PROCESSORS, 2_000, List.of(), flags);
+    StepSpec step = step(count, PERSISTENT_MILLI_PROCESSORS, 2_000, List.of(), flags);
     return submission(id, lastDigit(id), QUEUE, List.of(step));
   }
 
   private SubmissionSpec submission(String id, int digit, QueueTerms queue, List<StepSpec> steps) {
     String customer = digit % 2 == 0 ? "small" : "large";
-    return new SubmissionSpec(id, customer, queue, "text", steps, 0, 0, 0, time.now());
+    return new SubmissionSpec(id, customer, queue, "text", steps, 0, 0, 0, time.nowMillis());
   }
 
   private static StepSpec step(
@@ -319,44 +322,47 @@
         count, new Resources(processors, 1_000, 0), estimate, after, flags, "", "", 0, "", 0, 0);
   }
 
-  private void fault() {
-    long length = time.between(1_000, 7_000);
+  private void injectFault() {
+    long length = time.randomBetween(1_000, 7_000);
     ModelWorker worker = workers.get(time.random.nextInt(workers.size()));
-    int fault = time.random.nextInt(kind == DayKind.UNLIKE_WORK ? 14 : 11);
-    notes.add(time.now() + " fault " + fault + " " + worker.id + " for " + length);
-    disruptedFor(length);
+    int fault = time.random.nextInt(kind == ScenarioKind.MIXED_PRIORITIES ? 14 : 11);
+    notes.add(time.nowMillis() + " fault " + fault + " " + worker.id + " for " + length);
+    markDisruptedFor(length);
     switch (fault) {
       case 0 -> killOwner(true);
       case 1 -> killOwner(false);
       case 2 -> worker.crash(length);
       case 3 -> {
-        owner.cut.add(worker.id);
+        owner.unreachableWorkers.add(worker.id);
         ModelOwner cutOff = owner;
-        time.after(length, () -> cutOff.cut.remove(worker.id));
-        unlist(worker, length);
+        time.schedule(length, () -> cutOff.unreachableWorkers.remove(worker.id));
+        unlistWorker(worker, length);
       }
-      case 4 -> during(length, () -> faults.late = 0.4, () -> faults.late = 0);
-      case 5 -> during(length, () -> faults.lost = 0.3, () -> faults.lost = 0);
-      case 6 -> during(length, () -> faults.answerLost = 0.3, () -> faults.answerLost = 0);
+      case 4 ->
+          during(length, () -> faults.delayedOrderShare = 0.4, () -> faults.delayedOrderShare = 0);
+      case 5 -> during(length, () -> faults.lostOrderShare = 0.3, () -> faults.lostOrderShare = 0);
+      case 6 ->
+          during(length, () -> faults.lostAnswerShare = 0.3, () -> faults.lostAnswerShare = 0);
       case 7 -> during(length, () -> faults.storeDown = true, () -> faults.storeDown = false);
-      case 8 -> during(length, () -> faults.storeDelay = 200, () -> faults.storeDelay = 0);
+      case 8 ->
+          during(length, () -> faults.storeDelayMillis = 200, () -> faults.storeDelayMillis = 0);
       case 9 -> {
-        worker.failShare = 1;
-        time.after(length, () -> worker.failShare = 0);
+        worker.failureShare = 1;
+        time.schedule(length, () -> worker.failureShare = 0);
       }
       case 11 -> {
-        worker.slowness = 6;
-        time.after(length, () -> worker.slowness = 1);
+        worker.slowdownFactor = 6;
+        time.schedule(length, () -> worker.slowdownFactor = 1);
       }
-      case 12 -> leave(worker, length);
-      default -> splitOwner(worker, length);
+      case 12 -> drainAndRestart(worker, length);
+      default -> partitionOwner(worker, length);
     }
   }
 
   /** The worker drains, leaves while an owner may be lost, and another life of it comes. */
-  private void leave(ModelWorker worker, long length) {
+  private void drainAndRestart(ModelWorker worker, long length) {
     worker.draining = true;
-    time.after(
+    time.schedule(
         2_000 + length,
         () -> {
           worker.draining = false;
@@ -366,18 +372,18 @@
         });
   }
 
-  private void disruptedFor(long millis) {
-    disruptedUntil = Math.max(disruptedUntil, time.now() + millis);
+  private void markDisruptedFor(long millis) {
+    disruptedUntilMillis = Math.max(disruptedUntilMillis, time.nowMillis() + millis);
   }
 
   private void during(long length, Runnable begin, Runnable end) {
     begin.run();
-    time.after(length, end);
+    time.schedule(length, end);
   }
 
-  private void unlist(ModelWorker worker, long length) {
-    unlistedFrom.put(worker, time.now() + 4_500);
-    time.after(length, () -> unlistedFrom.remove(worker));
+  private void unlistWorker(ModelWorker worker, long length) {
+    unlistedFromMillis.put(worker, time.nowMillis() + 4_500);
+    time.schedule(length, () -> unlistedFromMillis.remove(worker));
   }
 
   /** The owner is gone, or goes on beside its successor until somebody fences it. */
@@ -385,9 +391,9 @@
     if (dead) {
       owner.end();
     }
-    long absent = time.between(300, 2_000);
-    disruptedFor(absent);
-    time.after(
+    long absent = time.randomBetween(300, 2_000);
+    markDisruptedFor(absent);
+    time.schedule(
         absent,
         () -> {
           if (!faults.storeDown) {
@@ -400,12 +406,12 @@
 
   /** The owner ends as planned, and its successor takes over at its request. */
   void handOver() {
-    if (owner.ended || owner.storeCut || faults.storeDown) {
+    if (owner.ended || owner.storeUnreachable || faults.storeDown) {
       return;
     }
     ModelOwner former = owner;
     former.end();
-    time.after(time.between(50, 90), () -> takeOverFrom(former));
+    time.schedule(time.randomBetween(50, 90), () -> takeOverFrom(former));
   }
 
   private void takeOverFrom(ModelOwner former) {
@@ -413,63 +419,64 @@
       return;
     }
     if (faults.storeDown) {
-      time.after(100, () -> takeOverFrom(former));
+      time.schedule(100, () -> takeOverFrom(former));
       return;
     }
     takeOver();
     ModelOwner successor = owner;
-    notes.add(time.now() + " planned handover to epoch " + successor.epoch);
-    if (!onlyPlanned && time.chance(PASS_ON_LOST)) {
-      notes.add(time.now() + " fault between instances");
-      disruptedFor(time.between(LEAST_CUT, MOST_CUT));
+    notes.add(time.nowMillis() + " planned handover to epoch " + successor.epoch);
+    if (!plannedOnly && time.randomlyTrue(LOST_FINAL_ROSTER_SHARE)) {
+      notes.add(time.nowMillis() + " fault between instances");
+      markDisruptedFor(time.randomBetween(MIN_LINK_CUT_MILLIS, MAX_LINK_CUT_MILLIS));
     } else {
-      time.after(time.between(20, 80), () -> passOn(former, successor));
+      time.schedule(time.randomBetween(20, 80), () -> sendFinalRoster(former, successor));
     }
   }
 
   /** The former owner tells its successor what it knows. */
-  private void passOn(ModelOwner former, ModelOwner successor) {
-    notes.add(time.now() + " planned word of epoch " + former.epoch + " to " + successor.epoch);
+  private void sendFinalRoster(ModelOwner former, ModelOwner successor) {
+    notes.add(
+        time.nowMillis() + " planned word of epoch " + former.epoch + " to " + successor.epoch);
     if (!successor.ended) {
-      successor.cell.formerOwnerEnded(former.cell.finalRoster(time.now()), time.now());
+      successor.cell.formerOwnerEnded(former.cell.finalRoster(time.nowMillis()), time.nowMillis());
     }
   }
 
   /**
    * The owner loses the store, and its successor does not reach a worker that the owner reaches.
    */
-  private void splitOwner(ModelWorker worker, long length) {
+  private void partitionOwner(ModelWorker worker, long length) {
     ModelOwner before = owner;
-    before.storeCut = true;
-    time.after(length, () -> before.storeCut = false);
-    time.after(
-        time.between(1_500, 2_500),
+    before.storeUnreachable = true;
+    time.schedule(length, () -> before.storeUnreachable = false);
+    time.schedule(
+        time.randomBetween(1_500, 2_500),
         () -> {
           if (faults.storeDown) {
             return;
           }
           takeOver();
-          disruptedFor(length);
+          markDisruptedFor(length);
           ModelOwner successor = owner;
-          successor.cut.add(worker.id);
-          unlist(worker, length);
-          time.after(length, () -> successor.cut.remove(worker.id));
+          successor.unreachableWorkers.add(worker.id);
+          unlistWorker(worker, length);
+          time.schedule(length, () -> successor.unreachableWorkers.remove(worker.id));
         });
   }
 
-  private void calm() {
-    faults.calm();
-    unlistedFrom.clear();
+  private void endFaults() {
+    faults.clear();
+    unlistedFromMillis.clear();
     for (ModelWorker worker : workers) {
-      worker.failShare = 0;
-      worker.slowness = 1;
-      worker.draining &= kind == DayKind.RELEASE;
+      worker.failureShare = 0;
+      worker.slowdownFactor = 1;
+      worker.draining &= kind == ScenarioKind.ROLLING_UPDATE;
       if (!worker.up) {
-        worker.reborn();
+        worker.restart();
       }
     }
-    owner.cut.clear();
-    owner.storeCut = false;
+    owner.unreachableWorkers.clear();
+    owner.storeUnreachable = false;
     if (owner.ended) {
       takeOver();
     }
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelFaults.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelFaults.java
@@ -4,25 +4,25 @@
 final class ModelFaults {
 
   /** Share of orders that get no answer and are carried out 2 to 12 s late. */
-  double late;
+  double delayedOrderShare;
 
   /** Share of orders that are lost. */
-  double lost;
+  double lostOrderShare;
 
   /** Share of answers that are lost. */
-  double answerLost;
+  double lostAnswerShare;
 
   /** Milliseconds that the store takes more than usual. */
-  long storeDelay;
+  long storeDelayMillis;
 
   /** The store answers nobody. */
   boolean storeDown;
 
-  void calm() {
-    late = 0;
-    lost = 0;
-    answerLost = 0;
-    storeDelay = 0;
+  void clear() {
+    delayedOrderShare = 0;
+    lostOrderShare = 0;
+    lostAnswerShare = 0;
+    storeDelayMillis = 0;
     storeDown = false;
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelJournal.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelJournal.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Map;
 import org.hickorypier.core.cell.RosterEntry;
-import org.hickorypier.core.submission.Progress;
+import org.hickorypier.core.submission.SubmissionProgress;
 import org.hickorypier.core.submission.SubmissionSpec;
 
 /** The journal in the store: the newest of each key, and a fence by epoch. */
 final class ModelJournal {
 
   final Map<String, SubmissionSpec> specs = new HashMap<>();
-  final Map<String, Progress> progress = new HashMap<>();
-  final Map<String, Long> numbers = new HashMap<>();
+  final Map<String, SubmissionProgress> progress = new HashMap<>();
+  final Map<String, Long> submissionNumbers = new HashMap<>();
   List<RosterEntry> roster = List.of();
   int epoch;
 
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
@@ -19,132 +19,140 @@
 import org.hickorypier.core.cell.Submission;
 import org.hickorypier.core.cell.WorkerEntry;
 import org.hickorypier.core.cell.WorkerView;
-import org.hickorypier.core.submission.Progress;
 import org.hickorypier.core.submission.StepSpec;
+import org.hickorypier.core.submission.SubmissionProgress;
 import org.hickorypier.core.submission.SubmissionSpec;
 
 /** One owner: the real cell, with the model's journal, network and workers around it. */
 final class ModelOwner implements CellOutput {
 
-  private static final CellTerms TERMS = CellTerms.of(ModelWorker.LONGEST_LEASE, 3_000, 600_000);
-  private static final long ORDER_TIMEOUT = 400;
+  private static final CellTerms TERMS = CellTerms.of(ModelWorker.MAX_LEASE_MILLIS, 3_000, 600_000);
+  private static final long ORDER_TIMEOUT_MILLIS = 400;
 
   final int epoch;
   final Cell cell;
-  private final ModelWorld world;
-  private final ModelTime time;
-  private final Set<Submission> dirty = new LinkedHashSet<>();
-  private List<Runnable> waiting = new ArrayList<>();
+  private final ModelCluster cluster;
+  private final VirtualTime time;
+  private final Set<Submission> unsavedSubmissions = new LinkedHashSet<>();
+  private List<Runnable> afterSaveActions = new ArrayList<>();
   private List<RosterEntry> rosterToWrite;
-  private boolean writing;
-  private long provenAt;
+  private boolean writeInProgress;
+  private long ownershipProvenAtMillis;
   boolean ended;
 
   /** Workers that this owner cannot reach, nor they it. */
-  final Set<String> cut = new HashSet<>();
+  final Set<String> unreachableWorkers = new HashSet<>();
 
   /** This owner cannot reach the store. */
-  boolean storeCut;
+  boolean storeUnreachable;
 
-  private final Map<WorkerView, Boolean> conversations = new HashMap<>();
+  private final Map<WorkerView, Boolean> renewedWorkers = new HashMap<>();
 
-  ModelOwner(ModelWorld world, int epoch) {
-    this.world = world;
+  ModelOwner(ModelCluster world, int epoch) {
+    this.cluster = world;
     this.time = world.time;
     this.epoch = epoch;
-    this.provenAt = time.now();
+    this.ownershipProvenAtMillis = time.nowMillis();
     this.cell =
         new Cell(
             TERMS,
             this,
             (part, event, fields) -> world.note(epoch, event, fields),
             epoch,
-            time.now());
+            time.nowMillis());
     cell.configure(world.customers());
     for (SubmissionSpec spec : world.journal.specs.values()) {
-      Progress progress = world.journal.progress.get(spec.id());
+      SubmissionProgress progress = world.journal.progress.get(spec.id());
       if (progress != null) {
-        cell.restore(spec, world.journal.numbers.get(spec.id()), progress, time.now(), time.now());
+        cell.restore(
+            spec,
+            world.journal.submissionNumbers.get(spec.id()),
+            progress,
+            time.nowMillis(),
+            time.nowMillis());
       }
     }
     cell.restoreRoster(world.journal.roster);
-    loop();
-    listWorkers();
+    runControlLoop();
+    pollWorkerList();
   }
 
-  private boolean mayOrder() {
-    return !ended && time.now() - provenAt <= TERMS.proofMillis();
+  private boolean mayIssueOrders() {
+    return !ended && time.nowMillis() - ownershipProvenAtMillis <= TERMS.proofMillis();
   }
 
-  private void loop() {
+  private void runControlLoop() {
     if (ended) {
       return;
     }
-    if (mayOrder()) {
-      cell.tick(time.now(), time.now());
+    if (mayIssueOrders()) {
+      cell.tick(time.nowMillis(), time.nowMillis());
       if (cell.wantsPass()) {
-        cell.pass(time.now(), time.now());
+        cell.pass(time.nowMillis(), time.nowMillis());
       }
     }
-    if (!writing && (time.now() - provenAt > 1_000 || !dirty.isEmpty() || !waiting.isEmpty())) {
-      write();
+    if (!writeInProgress
+        && (time.nowMillis() - ownershipProvenAtMillis > 1_000
+            || !unsavedSubmissions.isEmpty()
+            || !afterSaveActions.isEmpty())) {
+      startWrite();
     }
-    time.after(time.between(5, 20), this::loop);
+    time.schedule(time.randomBetween(5, 20), this::runControlLoop);
   }
 
-  private void listWorkers() {
+  private void pollWorkerList() {
     if (ended) {
       return;
     }
-    if (!storeCut && !world.faults.storeDown) {
+    if (!storeUnreachable && !cluster.faults.storeDown) {
       Map<String, WorkerEntry> entries = new HashMap<>();
-      for (ModelWorker worker : world.workers) {
-        if (world.listed(worker)) {
+      for (ModelWorker worker : cluster.workers) {
+        if (cluster.isListed(worker)) {
           entries.put(worker.id, worker.entry());
         }
       }
-      cell.listed(entries, time.now());
+      cell.listed(entries, time.nowMillis());
     }
     for (WorkerView worker : cell.workers()) {
-      if (conversations.put(worker, true) == null) {
-        renew(worker);
+      if (renewedWorkers.put(worker, true) == null) {
+        renewLease(worker);
       }
     }
-    time.after(400, this::listWorkers);
+    time.schedule(400, this::pollWorkerList);
   }
 
-  private void renew(WorkerView worker) {
+  private void renewLease(WorkerView worker) {
     if (ended || !cell.knows(worker)) {
       return;
     }
-    if (!mayOrder()) {
-      time.after(250, () -> renew(worker));
+    if (!mayIssueOrders()) {
+      time.schedule(250, () -> renewLease(worker));
       return;
     }
-    long sentAt = time.now();
+    long sentAt = time.nowMillis();
     long deadline = worker.nextDeadline(sentAt, TERMS.leaseMillis());
     long seen = worker.acknowledged(sentAt);
     boolean[] answered = {false};
     long wait = deadline < 0 ? 0 : 1_000;
-    time.after(
+    time.schedule(
         wait + 500,
         () -> {
           if (!answered[0] && !ended) {
             answered[0] = true;
-            cell.holdUnanswered(worker, time.now());
-            time.after(250, () -> renew(worker));
+            cell.holdUnanswered(worker, time.nowMillis());
+            time.schedule(250, () -> renewLease(worker));
           }
         });
-    world.deliver(
+    cluster.deliver(
         this,
         worker.id(),
         answered,
         target -> {
-          waitForNews(target, deadline, seen, time.now() + wait, worker, answered, sentAt);
+          awaitReport(target, deadline, seen, time.nowMillis() + wait, worker, answered, sentAt);
         });
   }
 
-  private void waitForNews(
+  private void awaitReport(
       ModelWorker target,
       long deadline,
       long seen,
@@ -153,17 +161,17 @@
       boolean[] answered,
       long sentAt) {
     HoldReport first = target.hold(epoch, deadline, seen);
-    if (first != null && time.now() < until && !target.hasNews(seen)) {
-      time.after(
+    if (first != null && time.nowMillis() < until && !target.hasUnacknowledgedEnds(seen)) {
+      time.schedule(
           10,
           () -> {
             if (target.up) {
-              waitForNews(target, deadline, seen, until, worker, answered, sentAt);
+              awaitReport(target, deadline, seen, until, worker, answered, sentAt);
             }
           });
       return;
     }
-    world.answer(
+    cluster.answer(
         this,
         worker.id(),
         answered,
@@ -172,17 +180,17 @@
             end();
             return;
           }
-          cell.held(worker, first, sentAt, time.now());
+          cell.held(worker, first, sentAt, time.nowMillis());
           boolean[] begun = {false};
           Runnable next =
               () -> {
                 if (!begun[0]) {
                   begun[0] = true;
-                  renew(worker);
+                  renewLease(worker);
                 }
               };
-          afterSave(() -> time.after(40, next));
-          time.after(400, next);
+          afterSave(() -> time.schedule(40, next));
+          time.schedule(400, next);
         });
   }
 
@@ -190,22 +198,23 @@
   public void start(Run run, long deadline, String ticket) {
     boolean[] answered = {false};
     StepSpec step = run.submission().spec().steps().get(run.key().task().step());
-    time.after(
-        ORDER_TIMEOUT,
+    time.schedule(
+        ORDER_TIMEOUT_MILLIS,
         () -> {
           if (!answered[0] && !ended) {
             answered[0] = true;
-            cell.startAnswered(run, StartOutcome.UNKNOWN, time.now());
+            cell.startAnswered(run, StartOutcome.UNKNOWN, time.nowMillis());
           }
         });
-    world.deliver(
+    cluster.deliver(
         this,
         run.worker().id(),
         answered,
         target -> {
           StartOutcome outcome =
-              target.start(epoch, run.key(), deadline, step, world.work(run.key().task(), step));
-          world.answer(
+              target.start(
+                  epoch, run.key(), deadline, step, cluster.workMillis(run.key().task(), step));
+          cluster.answer(
               this,
               run.worker().id(),
               answered,
@@ -213,7 +222,7 @@
                 if (outcome == StartOutcome.FENCED) {
                   end();
                 } else {
-                  cell.startAnswered(run, outcome, time.now());
+                  cell.startAnswered(run, outcome, time.nowMillis());
                 }
               });
         });
@@ -222,20 +231,20 @@
   @Override
   public void stop(WorkerView worker, RunKey run) {
     boolean[] answered = {false};
-    time.after(ORDER_TIMEOUT, () -> answered[0] = true);
-    world.deliver(
+    time.schedule(ORDER_TIMEOUT_MILLIS, () -> answered[0] = true);
+    cluster.deliver(
         this,
         worker.id(),
         answered,
         target -> {
           boolean taken = target.stop(epoch, run);
-          world.answer(
+          cluster.answer(
               this,
               worker.id(),
               answered,
               () -> {
                 if (taken) {
-                  cell.stopAnswered(worker, run, time.now());
+                  cell.stopAnswered(worker, run, time.nowMillis());
                 } else {
                   end();
                 }
@@ -250,7 +259,7 @@
 
   @Override
   public void save(Submission submission) {
-    dirty.add(submission);
+    unsavedSubmissions.add(submission);
   }
 
   @Override
@@ -260,25 +269,25 @@
 
   @Override
   public void afterSave(Runnable action) {
-    if (!writing && dirty.isEmpty() && rosterToWrite == null) {
+    if (!writeInProgress && unsavedSubmissions.isEmpty() && rosterToWrite == null) {
       action.run();
     } else {
-      waiting.add(action);
+      afterSaveActions.add(action);
     }
   }
 
   @Override
   public void saveRoster(List<RosterEntry> entries, Runnable written) {
     rosterToWrite = List.copyOf(entries);
-    waiting.add(written);
+    afterSaveActions.add(written);
   }
 
-  private void write() {
-    writing = true;
+  private void startWrite() {
+    writeInProgress = true;
     final Map<Submission, Long> versions = new HashMap<>();
     final Map<String, SubmissionSpec> specs = new HashMap<>();
-    final Map<String, Progress> progress = new HashMap<>();
-    for (Submission submission : dirty) {
+    final Map<String, SubmissionProgress> progress = new HashMap<>();
+    for (Submission submission : unsavedSubmissions) {
       versions.put(submission, submission.version());
       specs.put(submission.spec().id(), submission.spec());
       if (submission.worthSaving() || !submission.durable()) {
@@ -286,45 +295,47 @@
       }
     }
     final List<RosterEntry> roster = rosterToWrite;
-    final List<Runnable> actions = waiting;
-    dirty.clear();
+    final List<Runnable> actions = afterSaveActions;
+    unsavedSubmissions.clear();
     rosterToWrite = null;
-    waiting = new ArrayList<>();
-    send(time.now(), versions, specs, progress, roster, actions);
+    afterSaveActions = new ArrayList<>();
+    writeToStore(time.nowMillis(), versions, specs, progress, roster, actions);
   }
 
-  private void send(
+  private void writeToStore(
       long sentAt,
       Map<Submission, Long> versions,
       Map<String, SubmissionSpec> specs,
-      Map<String, Progress> progress,
+      Map<String, SubmissionProgress> progress,
       List<RosterEntry> roster,
       List<Runnable> actions) {
     if (ended) {
       return;
     }
-    if (storeCut || world.faults.storeDown) {
-      time.after(80, () -> send(time.now(), versions, specs, progress, roster, actions));
+    if (storeUnreachable || cluster.faults.storeDown) {
+      time.schedule(
+          80, () -> writeToStore(time.nowMillis(), versions, specs, progress, roster, actions));
       return;
     }
-    time.after(
-        2 + world.faults.storeDelay,
+    time.schedule(
+        2 + cluster.faults.storeDelayMillis,
         () -> {
           boolean taken =
-              world.journal.append(
+              cluster.journal.append(
                   epoch,
                   () -> {
-                    world.journal.specs.putAll(specs);
+                    cluster.journal.specs.putAll(specs);
                     for (Submission submission : versions.keySet()) {
-                      world.journal.numbers.put(submission.spec().id(), submission.number());
+                      cluster.journal.submissionNumbers.put(
+                          submission.spec().id(), submission.number());
                     }
-                    world.journal.progress.putAll(progress);
+                    cluster.journal.progress.putAll(progress);
                     if (roster != null) {
-                      world.journal.roster = roster;
+                      cluster.journal.roster = roster;
                     }
                   });
-          time.after(
-              2 + world.faults.storeDelay,
+          time.schedule(
+              2 + cluster.faults.storeDelayMillis,
               () -> {
                 if (ended) {
                   return;
@@ -333,12 +344,12 @@
                   end();
                   return;
                 }
-                writing = false;
-                provenAt = sentAt;
+                writeInProgress = false;
+                ownershipProvenAtMillis = sentAt;
                 versions.forEach(
                     (submission, version) -> {
                       cell.durable(submission, version);
-                      world.written(submission);
+                      cluster.recordWritten(submission);
                     });
                 actions.forEach(Runnable::run);
               });
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelRun.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelRun.java
@@ -18,7 +18,7 @@
 
   /** Returns the run as the worker's record shows it. */
   ObservedRun observed() {
-    return new ObservedRun(key, worker.id, worker.born);
+    return new ObservedRun(key, worker.id, worker.incarnation);
   }
 
   /** Begins to work. */
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelWorker.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelWorker.java
@@ -21,111 +21,113 @@
 /** A worker as the platform's protocol describes it: fencing, leases, runs, ends, gangs. */
 final class ModelWorker {
 
-  static final long LONGEST_LEASE = 10_000;
-  private static final long STOP_MILLIS = 300;
-  private static final long GANG_MILLIS = 3_000;
+  static final long MAX_LEASE_MILLIS = 10_000;
+  private static final long MAX_STOP_MILLIS = 300;
+  private static final long GANG_TIMEOUT_MILLIS = 3_000;
   static final Resources CAPACITY = new Resources(16_000, 64_000, 0);
 
   final String id;
   private final String address;
-  private final ModelTime time;
+  private final VirtualTime time;
   private final PromiseChecker promises;
   private final Map<String, List<ModelRun>> gangs;
   private final double clockRate;
   private final Map<RunKey, ModelRun> runs = new LinkedHashMap<>();
   private final List<EndedRun> ended = new ArrayList<>();
-  private final Map<TaskName, Integer> closed = new HashMap<>();
-  private long bornAt;
-  long born;
-  private long token;
-  private long lease;
-  private long number;
+  private final Map<TaskName, Integer> closedRunNumbers = new HashMap<>();
+  private long startedAtMillis;
+  long incarnation;
+  private long fencingToken;
+  private long leaseEndMillis;
+  private long lastEndNumber;
   boolean up = true;
-  private long downUntil;
-  double failShare;
+  private long downUntilMillis;
+  double failureShare;
 
   /** So many times as long does what it begins take. */
-  int slowness = 1;
+  int slowdownFactor = 1;
 
   boolean draining;
-  private long drainedAt;
-  private boolean gone;
+  private long drainEndMillis;
+  private boolean left;
 
   ModelWorker(
-      int number, ModelTime time, PromiseChecker promises, Map<String, List<ModelRun>> gangs) {
+      int number, VirtualTime time, PromiseChecker promises, Map<String, List<ModelRun>> gangs) {
     this.id = "w" + number;
     this.address = "10.0.0." + (number + 1) + ":1";
     this.time = time;
     this.promises = promises;
     this.gangs = gangs;
     this.clockRate = 0.98 + time.random.nextDouble() * 0.02;
-    this.born = time.now();
-    this.bornAt = time.now();
+    this.incarnation = time.nowMillis();
+    this.startedAtMillis = time.nowMillis();
   }
 
   WorkerEntry entry() {
-    long remaining = draining ? Math.max(0, drainedAt - time.now()) : 0;
+    long remaining = draining ? Math.max(0, drainEndMillis - time.nowMillis()) : 0;
     return new WorkerEntry(
-        id, "service", address, draining, remaining, CAPACITY, List.of("a", "r1"), born);
+        id, "service", address, draining, remaining, CAPACITY, List.of("a", "r1"), incarnation);
   }
 
-  private long clock() {
-    return (long) ((time.now() - bornAt) * clockRate);
+  private long localClockMillis() {
+    return (long) ((time.nowMillis() - startedAtMillis) * clockRate);
   }
 
   StartOutcome start(long byToken, RunKey key, long deadline, StepSpec step, long workMillis) {
-    expire();
-    if (byToken < token) {
+    expireLease();
+    if (byToken < fencingToken) {
       return StartOutcome.FENCED;
     }
-    token = byToken;
-    lease = Math.max(lease, Math.min(deadline, clock() + LONGEST_LEASE));
-    watchLease();
+    fencingToken = byToken;
+    leaseEndMillis =
+        Math.max(leaseEndMillis, Math.min(deadline, localClockMillis() + MAX_LEASE_MILLIS));
+    scheduleLeaseCheck();
     if (runs.containsKey(key)) {
       return StartOutcome.STARTED;
     }
-    if (key.number() <= closed.getOrDefault(key.task(), 0)) {
+    if (key.number() <= closedRunNumbers.getOrDefault(key.task(), 0)) {
       return StartOutcome.OLD;
     }
-    if (deadline < clock()) {
+    if (deadline < localClockMillis()) {
       return StartOutcome.LATE;
     }
-    ModelRun run = new ModelRun(key, this, step.each(), step.flags().gang() ? step.count() : 1);
+    ModelRun run =
+        new ModelRun(key, this, step.taskResources(), step.flags().gang() ? step.count() : 1);
     runs.put(key, run);
     promises.started(run.observed());
     if (run.gangWidth == 1) {
-      work(run, workMillis, step.flags().persistent());
+      beginWork(run, workMillis, step.flags().persistent());
     } else {
       joinGang(run, workMillis);
     }
     return StartOutcome.STARTED;
   }
 
-  private void work(ModelRun run, long soundMillis, boolean lasts) {
-    long workMillis = slowness * soundMillis;
+  private void beginWork(ModelRun run, long soundMillis, boolean lasts) {
+    long workMillis = slowdownFactor * soundMillis;
     run.working = true;
-    run.workFrom(time.now(), workMillis);
-    boolean fails = time.chance(failShare);
+    run.workFrom(time.nowMillis(), workMillis);
+    boolean fails = time.randomlyTrue(failureShare);
     if (lasts && !fails) {
       return;
     }
-    time.after(
+    time.schedule(
         fails ? workMillis / 2 : workMillis, () -> end(run, fails ? RunEnd.FAILED : RunEnd.DONE));
   }
 
-  private String gangOf(ModelRun run) {
+  private String gangKey(ModelRun run) {
     TaskName task = run.key.task();
     return task.submission() + "." + task.occurrence() + "." + task.step() + "." + run.key.number();
   }
 
   private void joinGang(ModelRun run, long workMillis) {
-    List<ModelRun> gang = gangs.computeIfAbsent(gangOf(run), key -> new ArrayList<>());
+    List<ModelRun> gang = gangs.computeIfAbsent(gangKey(run), key -> new ArrayList<>());
     gang.add(run);
     if (gang.size() == run.gangWidth) {
-      boolean fails = time.chance(failShare);
+      boolean fails = time.randomlyTrue(failureShare);
       gang.forEach(member -> member.working = true);
-      gang.forEach(member -> member.workFrom(time.now(), workMillis));
-      time.after(
+      gang.forEach(member -> member.workFrom(time.nowMillis(), workMillis));
+      time.schedule(
           workMillis,
           () -> {
             if (fails) {
@@ -137,8 +139,8 @@
             }
           });
     } else {
-      time.after(
-          GANG_MILLIS,
+      time.schedule(
+          GANG_TIMEOUT_MILLIS,
           () -> {
             if (!run.working) {
               end(run, RunEnd.ALONE);
@@ -152,8 +154,8 @@
       return;
     }
     runs.remove(run.key);
-    closed.merge(run.key.task(), run.key.number(), Math::max);
-    ended.add(new EndedRun(++number, run.key, how, ""));
+    closedRunNumbers.merge(run.key.task(), run.key.number(), Math::max);
+    ended.add(new EndedRun(++lastEndNumber, run.key, how, ""));
     promises.ended(run.observed(), how);
     breakGang(run, how);
   }
@@ -162,7 +164,7 @@
     if (run.gangWidth == 1 || how == RunEnd.DONE) {
       return;
     }
-    List<ModelRun> gang = gangs.getOrDefault(gangOf(run), new ArrayList<>());
+    List<ModelRun> gang = gangs.getOrDefault(gangKey(run), new ArrayList<>());
     gang.remove(run);
     for (ModelRun member : List.copyOf(gang)) {
       if (member.working) {
@@ -172,90 +174,91 @@
   }
 
   boolean stop(long byToken, RunKey key) {
-    expire();
-    if (byToken < token) {
+    expireLease();
+    if (byToken < fencingToken) {
       return false;
     }
-    token = byToken;
-    closed.merge(key.task(), key.number(), Math::max);
+    fencingToken = byToken;
+    closedRunNumbers.merge(key.task(), key.number(), Math::max);
     ModelRun run = runs.get(key);
     if (run != null && !run.stopping) {
       run.stopping = true;
-      time.after(time.between(0, STOP_MILLIS), () -> end(run, RunEnd.STOPPED));
+      time.schedule(time.randomBetween(0, MAX_STOP_MILLIS), () -> end(run, RunEnd.STOPPED));
     }
     return true;
   }
 
   /** Returns the report, or null if the token is too low. */
   HoldReport hold(long byToken, long deadline, long seen) {
-    expire();
-    if (byToken < token) {
+    expireLease();
+    if (byToken < fencingToken) {
       return null;
     }
-    token = byToken;
+    fencingToken = byToken;
     if (deadline >= 0) {
-      lease = Math.max(lease, Math.min(deadline, clock() + LONGEST_LEASE));
-      watchLease();
+      leaseEndMillis =
+          Math.max(leaseEndMillis, Math.min(deadline, localClockMillis() + MAX_LEASE_MILLIS));
+      scheduleLeaseCheck();
     }
     while (!ended.isEmpty() && ended.get(0).number() <= seen) {
       EndedRun forgotten = ended.remove(0);
-      promises.noted(new ObservedRun(forgotten.run(), id, born), forgotten.how());
+      promises.noted(new ObservedRun(forgotten.run(), id, incarnation), forgotten.how());
     }
     List<RunningTask> running = new ArrayList<>();
     for (ModelRun run : runs.values()) {
-      running.add(new RunningTask(run.key, "", run.percent(time.now())));
+      running.add(new RunningTask(run.key, "", run.percent(time.nowMillis())));
     }
-    return new HoldReport(born, clock(), running, List.copyOf(ended));
+    return new HoldReport(incarnation, localClockMillis(), running, List.copyOf(ended));
   }
 
-  boolean hasNews(long seen) {
+  boolean hasUnacknowledgedEnds(long seen) {
     return !ended.isEmpty() && ended.get(ended.size() - 1).number() > seen;
   }
 
-  private void watchLease() {
-    long left = (long) ((lease - clock()) / clockRate) + 2;
-    time.after(left, this::expire);
+  private void scheduleLeaseCheck() {
+    long left = (long) ((leaseEndMillis - localClockMillis()) / clockRate) + 2;
+    time.schedule(left, this::expireLease);
   }
 
-  private void expire() {
-    if (clock() > lease && !runs.isEmpty()) {
+  private void expireLease() {
+    if (localClockMillis() > leaseEndMillis && !runs.isEmpty()) {
       promises.lapsed(id);
       for (ModelRun run : List.copyOf(runs.values())) {
         end(run, RunEnd.LAPSED);
       }
-    } else if (clock() > lease) {
+    } else if (localClockMillis() > leaseEndMillis) {
       promises.lapsed(id);
     }
   }
 
   /** Crashes; a second crash while it is down only makes it longer. */
   void crash(long millis) {
-    downUntil = Math.max(downUntil, time.now() + millis);
-    time.after(
+    downUntilMillis = Math.max(downUntilMillis, time.nowMillis() + millis);
+    time.schedule(
         millis,
         () -> {
-          if (!up && !gone && time.now() >= downUntil) {
-            reborn();
+          if (!up && !left && time.nowMillis() >= downUntilMillis) {
+            restart();
           }
         });
     up = false;
-    loseRuns();
+    dropRuns();
   }
 
   /** Says that it takes no new tasks and leaves after some time. */
   void drain(long millis) {
     draining = true;
-    drainedAt = time.now() + millis;
+    drainEndMillis = time.nowMillis() + millis;
   }
 
   /** Exits for good, with everything on it. */
   void leave() {
-    gone = true;
+    left = true;
     up = false;
-    loseRuns();
+    dropRuns();
   }
 
-  private void loseRuns() {
+  private void dropRuns() {
     for (ModelRun run : List.copyOf(runs.values())) {
       runs.remove(run.key);
       promises.ended(run.observed(), RunEnd.LAPSED);
@@ -263,14 +266,14 @@
     }
   }
 
-  void reborn() {
+  void restart() {
     up = true;
-    born = time.now();
-    bornAt = time.now();
+    incarnation = time.nowMillis();
+    startedAtMillis = time.nowMillis();
     ended.clear();
-    closed.clear();
-    token = 0;
-    lease = 0;
-    number = 0;
+    closedRunNumbers.clear();
+    fencingToken = 0;
+    leaseEndMillis = 0;
+    lastEndNumber = 0;
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelTime.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/VirtualTime.java
@@ -5,43 +5,43 @@
 import java.util.Random;
 
 /** Fake time with a seeded source of chance: events run one after another, in order of time. */
-final class ModelTime {
+final class VirtualTime {
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
   final Random random;
-  private long now = 1;
-  private long order;
-  long steps;
+  private long nowMillis = 1;
+  private long nextOrder;
+  long executedEvents;
 
-  ModelTime(long seed) {
+  VirtualTime(long seed) {
     this.random = new Random(seed);
   }
 
-  long now() {
-    return now;
+  long nowMillis() {
+    return nowMillis;
   }
 
-  void after(long millis, Runnable action) {
-    events.add(new Event(now + Math.max(0, millis), order++, action));
+  void schedule(long millis, Runnable action) {
+    events.add(new Event(nowMillis + Math.max(0, millis), nextOrder++, action));
   }
 
-  boolean chance(double share) {
+  boolean randomlyTrue(double share) {
     return random.nextDouble() < share;
   }
 
-  long between(long least, long most) {
+  long randomBetween(long least, long most) {
     return least + (long) (random.nextDouble() * (most - least + 1));
   }
 
   void runUntil(long end) {
     while (!events.isEmpty() && events.peek().at <= end) {
       Event next = events.remove();
-      now = next.at;
-      steps++;
+      nowMillis = next.at;
+      executedEvents++;
       next.action.run();
     }
-    now = end;
+    nowMillis = end;
   }
 
   private record Event(long at, long order, Runnable action) {}
--- a/core/src/test/java/org/hickorypier/core/configuration/ConfigurationFoldTest.java
+++ b/core/src/test/java/org/hickorypier/core/configuration/ConfigurationFoldTest.java
@@ -24,7 +24,7 @@
 
 class ConfigurationFoldTest {
 
-  private static final long ANY = ConfigurationRecord.ANY_REVISION;
+  private static final long ANY_REVISION = ConfigurationRecord.ANY_REVISION;
 
   private static Configuration fold(List<ConfigurationRecord> changes) {
     Configuration state = Configuration.EMPTY;
@@ -56,9 +56,13 @@
             List.of(created, team("t2", 1, 5)),
             team("t3", 1, 6),
             Verdict.CONFLICT),
-        Arguments.of("any revision", List.of(created), team("t2", ANY, 6), Verdict.APPLIED),
         Arguments.of(
-            "repeated id", List.of(created, team("t2", ANY, 6)), created, Verdict.DUPLICATE),
+            "any revision", List.of(created), team("t2", ANY_REVISION, 6), Verdict.APPLIED),
+        Arguments.of(
+            "repeated id",
+            List.of(created, team("t2", ANY_REVISION, 6)),
+            created,
+            Verdict.DUPLICATE),
         Arguments.of(
             "repeated conflict",
             List.of(team("early", 1, 7), created),
@@ -88,15 +92,16 @@
         Arguments.of(
             "given back",
             List.of(key("c", 0, ""), withdraw("w", 1)),
-            key("d", ANY, ""),
+            key("d", ANY_REVISION, ""),
             Verdict.CONFLICT),
-        Arguments.of("withdrawal of none", List.of(), withdraw("w", ANY), Verdict.CONFLICT),
+        Arguments.of(
+            "withdrawal of none", List.of(), withdraw("w", ANY_REVISION), Verdict.CONFLICT),
         Arguments.of("drain", List.of(), new PutDrain("d", 0, "w", true), Verdict.APPLIED));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("verdicts")
-  void verdictOfTheLastChange(
+  void lastChangeGetsExpectedVerdict(
       String name, List<ConfigurationRecord> before, ConfigurationRecord last, Verdict verdict) {
     Configuration state = fold(before);
 
@@ -113,14 +118,14 @@
   // was repeated after a lost answer. Callers must still be refused. Also when the instance reads
   // the stream again from an earlier offset, and when a peer passes an old record on.
   @Test
-  void nothingBringsBackWithdrawnKey() {
+  void repeatedGrantDoesNotRestoreWithdrawnKey() {
     List<ConfigurationRecord> changes = List.of(key("c", 0, ""), withdraw("w", 1));
     Configuration state = fold(changes);
 
     for (long offset = 0; offset < 4; offset++) {
       state = ConfigurationFold.apply(state, offset, key("c", 0, "")).state();
     }
-    state = ConfigurationFold.apply(state, 4, key("d", ANY, "")).state();
+    state = ConfigurationFold.apply(state, 4, key("d", ANY_REVISION, "")).state();
     state = ConfigurationFold.apply(state, 5, key("e", 2, "")).state();
 
     assertThat(state.offset()).isEqualTo(5);
@@ -130,7 +135,7 @@
   // A peer passes on a record while those before it have not been read here. Taken at once, a later
   // one of them would be dropped as folded before. It is not taken, and the offset stays.
   @Test
-  void recordAfterMissingOnesIsNotTaken() {
+  void recordAfterGapIsNotApplied() {
     FoldResult<Configuration> result =
         ConfigurationFold.apply(Configuration.EMPTY, 3, team("t", 0, 1));
 
@@ -142,14 +147,15 @@
   // it must reach the state of those that read everything, remembered ids included, else a repeated
   // change would be new to it alone.
   @Property(tries = 200, seed = "4")
-  void snapshotAndTailReachTheSameState(@ForAll Random random) throws Exception {
+  void snapshotAndTailGiveSameStateAsFullReplay(@ForAll Random random) throws Exception {
     List<ConfigurationRecord> changes = randomChanges(random, 60);
     int cut = random.nextInt(changes.size());
     Configuration all = fold(changes);
     MessagePackCodec<ConfigurationRecord> codec = new MessagePackCodec<>(ConfigurationRecord.class);
     ConfigurationRecord snapshot =
         codec.decode(
-            codec.encode(ConfigurationSnapshots.write("s", fold(changes.subList(0, cut + 1)))));
+            codec.encode(
+                ConfigurationSnapshots.toSnapshot("s", fold(changes.subList(0, cut + 1)))));
 
     Configuration late =
         ConfigurationFold.apply(Configuration.EMPTY, changes.size(), snapshot).state();
@@ -165,15 +171,15 @@
   // from a stream read again. An instance that takes what it can at each step ends in the one
   // state.
   @Property(tries = 200, seed = "5")
-  void anyOrderOfArrivalReachesTheSameState(@ForAll Random random) {
+  void anyArrivalOrderGivesSameState(@ForAll Random random) {
     List<ConfigurationRecord> changes = randomChanges(random, 40);
     Configuration state = Configuration.EMPTY;
     while (state.offset() < changes.size() - 1) {
       int offset = random.nextInt(changes.size());
       long before = state.offset();
       if (random.nextInt(5) == 0) {
-        Snapshot old = ConfigurationSnapshots.write("s", fold(changes.subList(0, offset)));
-        state = ConfigurationFold.adopt(state, old).state();
+        Snapshot old = ConfigurationSnapshots.toSnapshot("s", fold(changes.subList(0, offset)));
+        state = ConfigurationFold.adoptSnapshot(state, old).state();
       } else {
         state = ConfigurationFold.apply(state, offset, changes.get(offset)).state();
       }
@@ -184,7 +190,7 @@
   }
 
   @Test
-  void brokenSnapshotIsNotTaken() {
+  void invalidSnapshotIsNotAdopted() {
     Snapshot broken = new Snapshot("s", 5, null, List.of(), List.of(), List.of());
     Snapshot fromTheFuture = new Snapshot("s", 9, List.of(), List.of(), List.of(), List.of());
 
@@ -195,17 +201,17 @@
   }
 
   @Test
-  void idsAndEndedDrainsAreForgottenInTheEnd() {
+  void oldIdsAndEndedDrainsAreEvicted() {
     List<ConfigurationRecord> changes = new ArrayList<>();
-    changes.add(new PutDrain("first", ANY, "old", false));
-    for (int index = 0; index < Configuration.REMEMBERED_OFFSETS + 10; index++) {
-      changes.add(new PutDrain("c" + index, ANY, "worker-" + index % 50, index % 2 == 0));
+    changes.add(new PutDrain("first", ANY_REVISION, "old", false));
+    for (int index = 0; index < Configuration.ID_RETENTION_OFFSETS + 10; index++) {
+      changes.add(new PutDrain("c" + index, ANY_REVISION, "worker-" + index % 50, index % 2 == 0));
     }
 
     Configuration state = fold(changes);
 
-    assertThat(state.verdictOf("first")).isEmpty();
-    assertThat(state.ids().entries()).hasSize((int) Configuration.REMEMBERED_OFFSETS + 1);
+    assertThat(state.findFoldedId("first")).isEmpty();
+    assertThat(state.ids().entries()).hasSize((int) Configuration.ID_RETENTION_OFFSETS + 1);
     assertThat(state.drains()).doesNotContainKey("old").hasSize(50);
   }
 
--- a/core/src/test/java/org/hickorypier/core/keys/KeyVerifierTest.java
+++ b/core/src/test/java/org/hickorypier/core/keys/KeyVerifierTest.java
@@ -22,8 +22,8 @@
   private final Configuration configuration =
       fold(
           new PutTeam("1", 0, "labels", 1, 1),
-          give("2", labels, "labels"),
-          give("3", operator, ""));
+          giveKey("2", labels, "labels"),
+          giveKey("3", operator, ""));
 
   private Configuration fold(ConfigurationRecord... changes) {
     Configuration state = Configuration.EMPTY;
@@ -33,12 +33,12 @@
     return state;
   }
 
-  private static GiveKey give(String id, IssuedKey key, String team) {
+  private static GiveKey giveKey(String id, IssuedKey key, String team) {
     return new GiveKey(id, 0, key.keyId(), team, key.salt(), key.hash());
   }
 
   @Test
-  void keysOpenTheirTeamAndNoOther() {
+  void validKeysAreMappedToTheirTeam() {
     KeyCheck ofTeam = KeyVerifier.check(configuration, labels.presented());
     KeyCheck ofOperator = KeyVerifier.check(configuration, operator.presented());
 
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void secretOfAnotherKeyOpensNothing() {
+  void secretOfAnotherKeyIsRejected() {
     String crossed =
         labels.keyId() + operator.presented().substring(operator.presented().indexOf('.'));
 
@@ -58,7 +58,7 @@
   @ParameterizedTest
   @NullSource
   @ValueSource(strings = {"", ".", "k.", ".s", "nothing", "0011223344556677.secret"})
-  void malformedKeysOpenNothing(String presented) {
+  void malformedKeysAreRejected(String presented) {
     KeyCheck check = KeyVerifier.check(configuration, presented);
 
     assertThat(check.status()).isEqualTo(KeyStatus.UNKNOWN);
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void withdrawnKeyIsDeadWithTheConfigurationThatSaysSo() {
+  void withdrawnKeyIsRejectedOnceTheWithdrawalIsFolded() {
     Configuration after =
         ConfigurationFold.apply(
                 configuration, configuration.offset() + 1, new WithdrawKey("4", 1, labels.keyId()))
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void secretsDoNotShowInText() {
+  void toStringOmitsTheSecret() {
     String secret = labels.presented().substring(labels.presented().indexOf('.') + 1);
 
     assertThat(labels.toString()).doesNotContain(secret);
--- a/core/src/test/java/org/hickorypier/core/model/ResourcesTest.java
+++ b/core/src/test/java/org/hickorypier/core/model/ResourcesTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void negativeAmountIsRefusedWithItsValues() {
+  void negativeAmountIsRejectedWithItsValues() {
     assertThatThrownBy(() -> new Resources(-1, 0, 0))
         .isInstanceOf(IllegalArgumentException.class)
         .hasMessageContaining("-1, 0, 0");
--- a/core/src/test/java/org/hickorypier/core/scheduling/ComeBackTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/ComeBackTest.java
@@ -77,7 +77,7 @@
     long now = load.now();
     WorkItem item =
         Work.request("north", turn.key.requestId(), now, now + DEADLINE_MILLIS)
-            .firstTriedAt(firstTries.get(turn.key));
+            .withFirstTriedMillis(firstTries.get(turn.key));
     int before = load.refusals().size();
     load.submit(item);
     boolean refused = load.refusals().size() > before;
--- a/core/src/test/java/org/hickorypier/core/submission/SubmissionCodecTest.java
+++ b/core/src/test/java/org/hickorypier/core/submission/SubmissionCodecTest.java
@@ -52,16 +52,16 @@
           1_700_000_000_001L);
 
   @Test
-  void specificationComesBackAsItWas() throws UndecodableException {
+  void specificationSurvivesRoundTrip() throws UndecodableException {
     assertThat(SubmissionCodec.decode(SubmissionCodec.encode(SPEC))).isEqualTo(SPEC);
   }
 
   @Test
-  void progressComesBackAsItWas() throws UndecodableException {
+  void progressSurvivesRoundTrip() throws UndecodableException {
     BitSet done = new BitSet();
     done.set(3);
-    Progress progress =
-        new Progress(
+    SubmissionProgress progress =
+        new SubmissionProgress(
             SubmissionState.FAILED, 17, List.of(done, new BitSet()), Map.of(2, List.of(1, 1_001)));
 
     assertThat(SubmissionCodec.decodeProgress(SubmissionCodec.encodeProgress(progress)))
@@ -70,7 +70,7 @@
 
   /** A record that another program spoilt must cost one submission, not the takeover. */
   @Test
-  void eachTruncatedRecordIsRefused() {
+  void truncatedSpecificationIsUndecodable() {
     byte[] whole = SubmissionCodec.encode(SPEC);
     for (int length = 0; length < whole.length; length++) {
       byte[] cut = Arrays.copyOf(whole, length);
@@ -80,15 +80,15 @@
   }
 
   @Test
-  void chainFollowsTheDependencies() {
-    assertThat(SPEC.longestChainMillis()).isEqualTo(7_900);
+  void criticalPathFollowsDependencies() {
+    assertThat(SPEC.criticalPathMillis()).isEqualTo(7_900);
   }
 
   @Test
-  void numberGoesWithTheSpecification() throws UndecodableException {
+  void numberIsEncodedWithSpecification() throws UndecodableException {
     byte[] numbered = SubmissionCodec.encode(SPEC, 4_711);
-    assertThat(SubmissionCodec.numberOf(numbered)).isEqualTo(4_711);
+    assertThat(SubmissionCodec.decodeNumber(numbered)).isEqualTo(4_711);
     assertThat(SubmissionCodec.decode(numbered)).isEqualTo(SPEC);
-    assertThat(SubmissionCodec.numberOf(SubmissionCodec.encode(SPEC))).isZero();
+    assertThat(SubmissionCodec.decodeNumber(SubmissionCodec.encode(SPEC))).isZero();
   }
 }
--- a/core/src/test/java/org/hickorypier/core/verification/PromiseCheckerTest.java
+++ b/core/src/test/java/org/hickorypier/core/verification/PromiseCheckerTest.java
@@ -36,7 +36,7 @@
 
   private static StepSpec step(List<Integer> dependsOn) {
     Resources each = new Resources(3_000, 100, 0);
-    return new StepSpec(2, each, 100, dependsOn, StepFlags.PLAIN, "", "", 0, "", 0, 0);
+    return new StepSpec(2, each, 100, dependsOn, StepFlags.NONE, "", "", 0, "", 0, 0);
   }
 
   private static ObservedRun run(int step, int index, int number, String worker) {
--- a/daemon/src/main/java/org/hickorypier/daemon/configuration/ConfigurationService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/configuration/ConfigurationService.java
@@ -83,7 +83,7 @@
   }
 
   private FoldedId folded(String id, long offset) {
-    return current.verdictOf(id).orElseGet(() -> new FoldedId(id, offset, Verdict.APPLIED));
+    return current.findFoldedId(id).orElseGet(() -> new FoldedId(id, offset, Verdict.APPLIED));
   }
 
   /**
@@ -94,7 +94,7 @@
    */
   public Uni<Long> publishSnapshot(String instance) {
     String id = "snapshot/" + instance + "/" + current.offset();
-    return appender.append(ConfigurationSnapshots.write(id, current));
+    return appender.append(ConfigurationSnapshots.toSnapshot(id, current));
   }
 
   @Override
@@ -129,7 +129,7 @@
     try {
       ConfigurationRecord change = CODEC.decode(push.data());
       if (change instanceof Snapshot snapshot) {
-        take(ConfigurationFold.adopt(current, snapshot).state());
+        take(ConfigurationFold.adoptSnapshot(current, snapshot).state());
         appender.settleFrom(this::foldedAt);
       } else {
         onRecord(push.offset(), change);
@@ -158,13 +158,13 @@
     if (records.size() == current.offset() - itsOffset) {
       return records;
     }
-    Snapshot snapshot = ConfigurationSnapshots.write("push/" + current.offset(), current);
+    Snapshot snapshot = ConfigurationSnapshots.toSnapshot("push/" + current.offset(), current);
     return List.of(new ConfigurationPush(current.offset(), CODEC.encode(snapshot)));
   }
 
   private OptionalLong foldedAt(String id) {
     return current
-        .verdictOf(id)
+        .findFoldedId(id)
         .map(found -> OptionalLong.of(found.offset()))
         .orElseGet(OptionalLong::empty);
   }
@@ -183,7 +183,7 @@
         "configuration: offset {0} cannot be read, passed over: {1}",
         offset,
         reason.getMessage());
-    take(ConfigurationFold.passOver(current, offset).state());
+    take(ConfigurationFold.skipUnreadable(current, offset).state());
   }
 
   private void take(Configuration next) {
--- a/daemon/src/main/java/org/hickorypier/daemon/job/JobRunner.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/job/JobRunner.java
@@ -119,7 +119,7 @@
     WorkKey attemptKey = key.workKey();
     OpenJob job = openJob(entry);
     if (job.submitted.add(attemptKey)) {
-      WorkItem item = item(entry, key, deadlineMillis).firstTriedAt(firstTriedMillis);
+      WorkItem item = item(entry, key, deadlineMillis).withFirstTriedMillis(firstTriedMillis);
       Submission submission = new Submission(item, payload);
       work.submit(
           submission,
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Estate.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Estate.java
@@ -7,16 +7,16 @@
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.core.cell.RosterCodec;
 import org.hickorypier.core.cell.RosterEntry;
-import org.hickorypier.core.submission.Progress;
 import org.hickorypier.core.submission.SubmissionCodec;
+import org.hickorypier.core.submission.SubmissionProgress;
 import org.hickorypier.core.submission.SubmissionState;
 import org.hickorypier.wire.UndecodableException;
 
 /** What an owner finds in the journal. Belongs to the control thread. */
 final class Estate {
 
-  private static final Progress NOTHING_DONE =
-      new Progress(SubmissionState.QUEUED, 0, List.of(), Map.of());
+  private static final SubmissionProgress NOTHING_DONE =
+      new SubmissionProgress(SubmissionState.QUEUED, 0, List.of(), Map.of());
 
   private final Map<String, byte[]> values;
   private final EventLog log;
@@ -70,14 +70,19 @@
   private void restore(Cell cell, String id, byte[] spec, long now, long wallMillis)
       throws UndecodableException {
     byte[] value = values.get(JournalKeys.progress(id));
-    Progress progress = value == null ? NOTHING_DONE : SubmissionCodec.decodeProgress(value);
-    if (progress.state().terminal() && progress.endedAtMillis() > 0) {
-      String customer = SubmissionCodec.customerOf(spec);
+    SubmissionProgress progress =
+        value == null ? NOTHING_DONE : SubmissionCodec.decodeProgress(value);
+    if (progress.state().isTerminal() && progress.endedAtMillis() > 0) {
+      String customer = SubmissionCodec.decodeCustomer(spec);
       cell.restoreEnded(
           id, new EndedSubmission(customer, progress.state(), progress.endedAtMillis(), spec));
     } else {
       cell.restore(
-          SubmissionCodec.decode(spec), SubmissionCodec.numberOf(spec), progress, now, wallMillis);
+          SubmissionCodec.decode(spec),
+          SubmissionCodec.decodeNumber(spec),
+          progress,
+          now,
+          wallMillis);
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/Submission.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/Submission.java
@@ -39,7 +39,7 @@
    * @return the copy
    */
   public Submission firstTriedAt(long millis) {
-    return new Submission(item.firstTriedAt(millis), payload, mayHaveRun);
+    return new Submission(item.withFirstTriedMillis(millis), payload, mayHaveRun);
   }
 
   /**
--- a/daemon/src/test/java/org/hickorypier/daemon/link/LinkCodecTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/link/LinkCodecTest.java
@@ -30,7 +30,7 @@
           new QueueTerms("q", "service", 0, 1, 1, 0, Optional.empty()),
           "text",
           List.of(
-              new StepSpec(1, Resources.NONE, 1, List.of(), StepFlags.PLAIN, "", "", 0, "", 0, 0)),
+              new StepSpec(1, Resources.NONE, 1, List.of(), StepFlags.NONE, "", "", 0, "", 0, 0)),
           0,
           0,
           0,
--- a/daemon/src/test/java/org/hickorypier/daemon/log/SnapshotPublisherTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/log/SnapshotPublisherTest.java
@@ -46,7 +46,7 @@
                   stream
                       .appender()
                       .append(
-                          ConfigurationSnapshots.write(
+                          ConfigurationSnapshots.toSnapshot(
                               "s" + number + "-" + state.offset(), state)));
       stream.follower().subscribe(publisher);
       stream.follower().subscribe(stream.appender());
@@ -77,7 +77,7 @@
 
     @Override
     public void onUnreadable(long offset, byte[] data, UndecodableException reason) {
-      state = ConfigurationFold.passOver(state, offset).state();
+      state = ConfigurationFold.skipUnreadable(state, offset).state();
     }
   }
 
--- a/daemon/src/test/java/org/hickorypier/daemon/operator/FakeChangeLog.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/operator/FakeChangeLog.java
@@ -41,7 +41,7 @@
     }
     state = ConfigurationFold.apply(state, records.size(), change).state();
     records.add(change);
-    FoldedId folded = state.verdictOf(change.id()).orElseThrow();
+    FoldedId folded = state.findFoldedId(change.id()).orElseThrow();
     return mode == Mode.WORKS ? Uni.createFrom().item(folded) : Uni.createFrom().nothing();
   }
 
--- a/measure/src/main/java/org/hickorypier/measure/soak/LastingTaskCheck.java
+++ b/measure/src/main/java/org/hickorypier/measure/soak/LastingTaskCheck.java
@@ -168,7 +168,7 @@
     return live(task.submission())
         && now >= gap.since + OWED_AFTER_MILLIS
         && now >= disturbedUntil + CALM_MILLIS
-        && places(spec(task).each()) >= PLACES_WANTED;
+        && places(spec(task).taskResources()) >= PLACES_WANTED;
   }
 
   private boolean live(String id) {
@@ -185,8 +185,8 @@
       long processors = worker.getValue().milliProcessors();
       long memory = worker.getValue().memoryMebibytes();
       for (ObservedRun run : runsOnWorker.getOrDefault(worker.getKey(), Set.of())) {
-        processors -= spec(run.key().task()).each().milliProcessors();
-        memory -= spec(run.key().task()).each().memoryMebibytes();
+        processors -= spec(run.key().task()).taskResources().milliProcessors();
+        memory -= spec(run.key().task()).taskResources().memoryMebibytes();
       }
       places +=
           Math.max(
--- a/measure/src/main/java/org/hickorypier/measure/soak/SoakCallers.java
+++ b/measure/src/main/java/org/hickorypier/measure/soak/SoakCallers.java
@@ -165,7 +165,7 @@
   private StepSpec step(List<Integer> dependsOn) {
     Resources each = new Resources(1_000 + 500L * random.nextInt(7), 1_000, 0);
     return new StepSpec(
-        1 + random.nextInt(4), each, 500, dependsOn, StepFlags.PLAIN, "", "", 0, "", 0, 0);
+        1 + random.nextInt(4), each, 500, dependsOn, StepFlags.NONE, "", "", 0, "", 0, 0);
   }
 
   private void attempt(SubmissionSpec spec, int triesLeft, boolean allRefused) {
@@ -226,7 +226,7 @@
               if (state != null) {
                 checker.shown(spec.id(), state);
               }
-              if (state != null && state.terminal()) {
+              if (state != null && state.isTerminal()) {
                 open.remove(spec.id());
               } else {
                 vertx.setTimer(ASK_MILLIS, timer -> ask(spec, acceptedAt));
@@ -298,8 +298,8 @@
       JsonObject each =
           new JsonObject()
               .put("Count", step.count())
-              .put("Cpu", step.each().milliProcessors())
-              .put("MemMb", step.each().memoryMebibytes())
+              .put("Cpu", step.taskResources().milliProcessors())
+              .put("MemMb", step.taskResources().memoryMebibytes())
               .put("EstimateMs", step.estimateMillis())
               .put("DependsOn", new JsonArray(step.dependsOn()));
       if (step.flags().persistent()) {
--- a/standins/src/main/java/org/hickorypier/standins/operator/StandInOperator.java
+++ b/standins/src/main/java/org/hickorypier/standins/operator/StandInOperator.java
@@ -66,7 +66,7 @@
         .put("Prefix", prefix)
         .put("Service", queue.service())
         .put("Priority", queue.priority())
-        .put("Attempts", queue.attempts())
+        .put("Attempts", queue.maxAttempts())
         .put("Stretch", queue.stretch())
         .put("SloMs", queue.objectiveMillis());
   }
