--- a/core/src/main/java/org/hickorypier/core/submission/AdviceTerms.java
+++ b/core/src/main/java/org/hickorypier/core/submission/AdviceTerms.java
@@ -1,21 +1,21 @@
 package org.hickorypier.core.submission;
 
 /**
- * How long the advisor of a queue takes, and how long its tickets last.
+ * Timing of the advisor of a queue: the duration of a call and the validity of its tickets.
  *
  * <p>Immutable.
  *
- * @param baseMillis fixed time of one call, in milliseconds
- * @param perWorkerMillis additional time for each worker named, in milliseconds
+ * @param baseMillis fixed part of the duration of a call, in milliseconds
+ * @param perWorkerMillis additional duration for each worker named in the call, in milliseconds
  * @param ticketValidityMillis how long a ticket is valid, in milliseconds
  */
 public record AdviceTerms(double baseMillis, double perWorkerMillis, long ticketValidityMillis) {
 
   /**
-   * Returns how long the advisor is busy with one call.
+   * Returns how long the advisor is busy with a call.
    *
-   * @param workers how many workers the call names
-   * @return milliseconds
+   * @param workers number of workers that the call names
+   * @return the duration in milliseconds
    */
   public double callMillis(int workers) {
     return baseMillis + perWorkerMillis * workers;
--- a/core/src/main/java/org/hickorypier/core/submission/QueueTerms.java
+++ b/core/src/main/java/org/hickorypier/core/submission/QueueTerms.java
@@ -3,17 +3,18 @@
 import java.util.Optional;
 
 /**
- * What the configuration says of one queue, as far as scheduling needs it.
+ * The scheduling settings of one queue.
  *
  * <p>Immutable.
  *
  * @param name the queue's name
  * @param service the service whose workers run its tasks
- * @param priority 0 comes first
- * @param maxAttempts how many failed runs of one task make its submission fail
- * @param stretch the factor of the objective over the longest chain of work
- * @param objectiveMillis added to the objective, in milliseconds
- * @param advice the terms of the advisor, or empty if any worker of the service will do
+ * @param priority the priority; 0 is the highest
+ * @param maxAttempts number of failed runs of one task that fails its submission
+ * @param stretch factor by which the objective multiplies the duration of the critical path
+ * @param objectiveMillis constant that is added to the objective, in milliseconds
+ * @param advice the timing of the advisor, or empty if the tasks may run on any worker of the
+ *     service
  */
 public record QueueTerms(
     String name,
--- a/core/src/main/java/org/hickorypier/core/submission/StepFlags.java
+++ b/core/src/main/java/org/hickorypier/core/submission/StepFlags.java
@@ -1,16 +1,16 @@
 package org.hickorypier.core.submission;
 
 /**
- * How the tasks of a step are to be treated.
+ * Scheduling options of the tasks of a step.
  *
  * <p>Immutable.
  *
- * @param gang the tasks work only together
- * @param sameRack a gang that is slow when spread over racks
- * @param checkpoints the tasks save their progress
- * @param speculative copies may run in parallel
+ * @param gang the tasks only work while all of them run
+ * @param sameRack the gang runs slowly when it is spread over several racks
+ * @param checkpoints the tasks save checkpoints of their progress
+ * @param speculative speculative copies of a task may run in parallel
  * @param persistent the tasks run until the submission is cancelled
- * @param opportunistic the tasks use processor time that others leave, and count for none
+ * @param opportunistic the tasks use idle processor time only, and reserve no processors
  */
 public record StepFlags(
     boolean gang,
@@ -20,6 +20,6 @@
     boolean persistent,
     boolean opportunistic) {
 
-  /** A step of independent tasks without any special treatment. */
+  /** Independent tasks without any option. */
   public static final StepFlags NONE = new StepFlags(false, false, false, false, false, false);
 }
--- a/core/src/main/java/org/hickorypier/core/submission/StepSpec.java
+++ b/core/src/main/java/org/hickorypier/core/submission/StepSpec.java
@@ -4,21 +4,22 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * One step of a submission: a number of equal tasks.
+ * One step of a submission: a number of identical tasks.
  *
  * <p>Immutable.
  *
- * @param count how many tasks it has
- * @param taskResources what one task needs
+ * @param count number of tasks
+ * @param taskResources resource demand of one task
  * @param estimateMillis the caller's rough estimate of a task's duration, in milliseconds
- * @param dependsOn numbers of the earlier steps that must be done first
- * @param flags how its tasks are to be treated
+ * @param dependsOn indexes of the earlier steps that must complete first
+ * @param flags scheduling options of the tasks
  * @param requires the label that a worker must have, or empty
- * @param affinity the rack where its data is, or empty
- * @param antiAffinity at most so many of its tasks on one worker; 0 for no bound
- * @param image names what the tasks run, or empty
- * @param targetMillis bound of a serving task's response times, in milliseconds; 0 for none
- * @param maxUnavailable how many of a lasting step's tasks the system may interrupt at once
+ * @param affinity the rack that holds the data of the step, or empty
+ * @param antiAffinity maximum number of tasks of the step on one worker; 0 for no limit
+ * @param image name of the image that the tasks run, or empty
+ * @param targetMillis upper bound of a serving task's response times, in milliseconds; 0 for none
+ * @param maxUnavailable maximum number of tasks of a persistent step that the scheduler may
+ *     interrupt at once
  */
 public record StepSpec(
     int count,
@@ -33,15 +34,15 @@
     long targetMillis,
     int maxUnavailable) {
 
-  /** Copies the list, so that the record stays as it is. */
+  /** Copies the list, so that the record is immutable. */
   public StepSpec {
     dependsOn = List.copyOf(dependsOn);
   }
 
   /**
-   * Returns what a running task takes of a worker's capacity.
+   * Returns the capacity that a running task reserves on its worker.
    *
-   * @return its need, without processors where it only fills what others leave
+   * @return the resource demand of a task, without processors if the task is opportunistic
    */
   public Resources reservedResources() {
     return flags.opportunistic()
--- a/core/src/main/java/org/hickorypier/core/submission/SubmissionCodec.java
+++ b/core/src/main/java/org/hickorypier/core/submission/SubmissionCodec.java
@@ -16,10 +16,10 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The MessagePack form of submissions and their progress, in the store and between instances.
+ * Encodes submissions and their progress in MessagePack, for the store and between instances.
  *
- * <p>Written by hand, field after field: binding by reflection costs more than a whole start at a
- * cold process. Stateless.
+ * <p>Each field is packed explicitly, because binding by reflection takes longer than the whole
+ * startup of a cold process. Thread-safe: it holds no state.
  */
 public final class SubmissionCodec {
 
@@ -36,16 +36,16 @@
       pack(packer, spec);
       return packer.toByteArray();
     } catch (IOException error) {
-      throw new IllegalStateException("packing into memory failed", error);
+      throw new IllegalStateException("cannot encode into a memory buffer", error);
     }
   }
 
   /**
-   * Encodes a specification with the number under which its owner took it.
+   * Encodes a specification with the number that its owner assigned on acceptance.
    *
    * @param spec the specification
    * @param number the number
-   * @return its bytes, which {@link #decode} reads as well
+   * @return its bytes, which {@link #decode} also accepts
    */
   public static byte[] encode(SubmissionSpec spec, long number) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
@@ -53,23 +53,24 @@
       packer.packLong(number);
       return packer.toByteArray();
     } catch (IOException error) {
-      throw new IllegalStateException("packing into memory failed", error);
+      throw new IllegalStateException("cannot encode into a memory buffer", error);
     }
   }
 
   /**
-   * Reads the number under which an owner took a submission.
+   * Decodes the number that an owner assigned to a submission.
    *
    * @param bytes the specification's bytes
    * @return the number, or 0 if none was encoded
-   * @throws UndecodableException if the bytes are no specification
+   * @throws UndecodableException if the bytes do not start with a valid specification
    */
   public static long decodeNumber(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       unpack(unpacker);
       return unpacker.hasNext() ? unpacker.unpackLong() : 0;
     } catch (IOException | MessagePackException error) {
-      throw new UndecodableException(bytes.length + " bytes are no submission", error);
+      throw new UndecodableException(
+          bytes.length + " bytes cannot be decoded as a submission", error);
     }
   }
 
@@ -89,13 +90,14 @@
    *
    * @param bytes its bytes
    * @return the specification
-   * @throws UndecodableException if the bytes are no specification
+   * @throws UndecodableException if the bytes do not start with a valid specification
    */
   public static SubmissionSpec decode(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       return unpack(unpacker);
     } catch (IOException | MessagePackException error) {
-      throw new UndecodableException(bytes.length + " bytes are no submission", error);
+      throw new UndecodableException(
+          bytes.length + " bytes cannot be decoded as a submission", error);
     }
   }
 
@@ -118,18 +120,19 @@
   }
 
   /**
-   * Reads only the customer of a specification.
+   * Decodes only the customer of a specification.
    *
    * @param bytes the specification's bytes
    * @return the customer, or empty on a public queue
-   * @throws UndecodableException if the bytes are no specification
+   * @throws UndecodableException if the customer cannot be decoded
    */
   public static String decodeCustomer(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       unpacker.unpackString();
       return unpacker.unpackString();
     } catch (IOException | MessagePackException error) {
-      throw new UndecodableException(bytes.length + " bytes are no submission", error);
+      throw new UndecodableException(
+          bytes.length + " bytes cannot be decoded as a submission", error);
     }
   }
 
@@ -154,7 +157,7 @@
       }
       return packer.toByteArray();
     } catch (IOException error) {
-      throw new IllegalStateException("packing into memory failed", error);
+      throw new IllegalStateException("cannot encode into a memory buffer", error);
     }
   }
 
@@ -163,7 +166,7 @@
    *
    * @param bytes its bytes
    * @return the progress
-   * @throws UndecodableException if the bytes are no progress
+   * @throws UndecodableException if the bytes are not valid progress
    */
   public static SubmissionProgress decodeProgress(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
@@ -181,7 +184,7 @@
       }
       return new SubmissionProgress(state, endedAt, done, failed);
     } catch (IOException | MessagePackException | IndexOutOfBoundsException error) {
-      throw new UndecodableException(bytes.length + " bytes are no progress", error);
+      throw new UndecodableException(bytes.length + " bytes cannot be decoded as progress", error);
     }
   }
 
--- a/core/src/main/java/org/hickorypier/core/submission/SubmissionProgress.java
+++ b/core/src/main/java/org/hickorypier/core/submission/SubmissionProgress.java
@@ -5,16 +5,17 @@
 import java.util.Map;
 
 /**
- * What must outlast the owner of a submission beside what its caller handed in.
+ * Durable progress of a submission, which a new owner needs in addition to its specification.
  *
- * <p>Immutable by convention: the bit sets are copies that nobody changes.
+ * <p>Immutable by convention: the bit sets are copies that are never modified.
  *
- * @param state the state, as far as it is an end state; {@link SubmissionState#QUEUED} or {@link
- *     SubmissionState#RUNNING} otherwise
- * @param endedAtMillis time of day of the end state, milliseconds since 1970; 0 before
- * @param completedTasks the tasks that have ended well, by occurrence and step in one list
- * @param failedRuns numbers of the failed runs of a task, by the task's place in the submission; a
- *     gang counts as one task, under its first member
+ * @param state the terminal state, or {@link SubmissionState#QUEUED} or {@link
+ *     SubmissionState#RUNNING} if the submission has not ended
+ * @param endedAtMillis time of the terminal state, in milliseconds since the Unix epoch; 0 before
+ * @param completedTasks the tasks that completed, one bit set per step, in order of occurrence and
+ *     step
+ * @param failedRuns numbers of the failed runs of each task, keyed by the task's position in the
+ *     submission; a gang counts as one task, under its first member
  */
 public record SubmissionProgress(
     SubmissionState state,
--- a/core/src/main/java/org/hickorypier/core/submission/SubmissionSpec.java
+++ b/core/src/main/java/org/hickorypier/core/submission/SubmissionSpec.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * A submission as its caller handed it in, with the queue's terms at that moment.
+ * A submission as accepted from its caller, with the settings of its queue at that time.
  *
- * <p>Immutable; two submissions with one id are the same submission.
+ * <p>Immutable. Two specifications with the same id denote the same submission.
  *
  * @param id the caller's id, 16 hexadecimal digits
- * @param customer the customer whose key came with it, or empty on a public queue
- * @param queue the terms of its queue when it was accepted
- * @param text what the workers are told to run
+ * @param customer the customer whose API key was presented, or empty on a public queue
+ * @param queue the settings of its queue when it was accepted
+ * @param text the text that tells the workers what to run
  * @param steps the steps, in order
- * @param times how often the steps run on a schedule; 0 for once, without one
- * @param startAtMillis when the first occurrence is due, milliseconds since 1970
+ * @param times number of scheduled occurrences; 0 if the steps run once, without a schedule
+ * @param startAtMillis when the first occurrence is due, in milliseconds since the Unix epoch
  * @param intervalMillis time between two occurrences, in milliseconds
- * @param acceptedAtMillis time of day when a front took it, milliseconds since 1970
+ * @param acceptedAtMillis when a front end accepted it, in milliseconds since the Unix epoch
  */
 public record SubmissionSpec(
     String id,
@@ -28,13 +28,13 @@
     long intervalMillis,
     long acceptedAtMillis) {
 
-  /** Copies the list, so that the record stays as it is. */
+  /** Copies the list, so that the record is immutable. */
   public SubmissionSpec {
     steps = List.copyOf(steps);
   }
 
   /**
-   * Returns how many occurrences there are.
+   * Returns the number of occurrences.
    *
    * @return at least one
    */
@@ -45,16 +45,16 @@
   /**
    * Tells whether the submission runs on a schedule.
    *
-   * @return false if its steps are due at once
+   * @return false if its steps are due immediately
    */
   public boolean isScheduled() {
     return times > 0;
   }
 
   /**
-   * Returns the longest chain of estimated work over the steps' dependencies.
+   * Returns the estimated duration of the critical path through the steps' dependencies.
    *
-   * @return milliseconds
+   * @return the duration in milliseconds
    */
   public long criticalPathMillis() {
     long[] ends = new long[steps.size()];
--- a/core/src/main/java/org/hickorypier/core/submission/SubmissionState.java
+++ b/core/src/main/java/org/hickorypier/core/submission/SubmissionState.java
@@ -1,22 +1,22 @@
 package org.hickorypier.core.submission;
 
-/** What callers are told of a submission. */
+/** The state of a submission as reported to callers. */
 public enum SubmissionState {
   /** Accepted; no task has started. */
   QUEUED,
-  /** Some task has started. */
+  /** At least one task has started. */
   RUNNING,
-  /** All tasks have ended well. */
+  /** All tasks completed. */
   COMPLETED,
-  /** A task failed as often as the queue allows. */
+  /** A task used up the attempts that the queue allows. */
   FAILED,
   /** Its caller cancelled it. */
   CANCELLED;
 
   /**
-   * Tells whether the state never changes again.
+   * Tells whether the state is final.
    *
-   * @return true for the three end states
+   * @return true for the three terminal states
    */
   public boolean isTerminal() {
     return this == COMPLETED || this == FAILED || this == CANCELLED;
--- a/core/src/main/java/org/hickorypier/core/submission/package-info.java
+++ b/core/src/main/java/org/hickorypier/core/submission/package-info.java
@@ -1,2 +1,2 @@
-/** Immutable data of submissions: what callers hand in, and the terms of the queue they use. */
+/** Immutable data of submissions: specification, progress and the settings of their queue. */
 package org.hickorypier.core.submission;
--- a/core/src/test/java/org/hickorypier/core/submission/SubmissionCodecTest.java
+++ b/core/src/test/java/org/hickorypier/core/submission/SubmissionCodecTest.java
@@ -68,13 +68,16 @@
         .isEqualTo(progress);
   }
 
-  /** A record that another program spoilt must cost one submission, not the takeover. */
+  /**
+   * Guards against a takeover that fails because another program corrupted a record in the store:
+   * the record must be reported as undecodable, which costs only its own submission.
+   */
   @Test
   void truncatedSpecificationIsUndecodable() {
     byte[] whole = SubmissionCodec.encode(SPEC);
     for (int length = 0; length < whole.length; length++) {
-      byte[] cut = Arrays.copyOf(whole, length);
-      assertThatThrownBy(() -> SubmissionCodec.decode(cut))
+      byte[] truncated = Arrays.copyOf(whole, length);
+      assertThatThrownBy(() -> SubmissionCodec.decode(truncated))
           .isInstanceOf(UndecodableException.class);
     }
   }
