--- a/core/src/main/java/org/hickorypier/core/keys/KeyIssuer.java
+++ b/core/src/main/java/org/hickorypier/core/keys/KeyIssuer.java
@@ -5,14 +5,14 @@
 import java.util.HexFormat;
 
 /**
- * Makes keys of the form {@code keyId.secret}.
+ * Generates keys of the form {@code keyId.secret}.
  *
- * <p>Thread safe, as {@link SecureRandom} is.
+ * <p>Thread-safe, because {@link SecureRandom} is.
  */
 public final class KeyIssuer {
 
-  // 64 bits: ids are drawn at random by any instance, and a million of them collide with a chance
-  // below one in ten million. A collision is no harm: the fold refuses the second key.
+  // 64 bits. Every instance draws ids at random, and the probability of a collision among a million
+  // ids is below one in ten million. A collision is harmless: the fold rejects the second key.
   private static final int KEY_ID_BYTES = 8;
   private static final int SECRET_BYTES = 32;
   private static final int SALT_BYTES = 16;
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Makes a key.
+   * Generates a key.
    *
-   * @return the key, with what may be kept of it
+   * @return the key, with the salt and hash to store
    */
   public IssuedKey issue() {
     String keyId = HexFormat.of().formatHex(randomBytes(KEY_ID_BYTES));
--- a/core/src/main/java/org/hickorypier/core/keys/KeyStatus.java
+++ b/core/src/main/java/org/hickorypier/core/keys/KeyStatus.java
@@ -1,11 +1,11 @@
 package org.hickorypier.core.keys;
 
-/** Whether a presented key opens anything. */
+/** The status of a presented key. */
 public enum KeyStatus {
-  /** It is a key in force. */
+  /** The key is in force. */
   VALID,
-  /** It is no key that was ever given, or its secret part is wrong. */
+  /** The key was never issued, or its secret part is wrong. */
   UNKNOWN,
-  /** It was withdrawn. */
+  /** The key was withdrawn. */
   WITHDRAWN
 }
--- a/core/src/main/java/org/hickorypier/core/keys/KeyVerifier.java
+++ b/core/src/main/java/org/hickorypier/core/keys/KeyVerifier.java
@@ -8,8 +8,8 @@
 /**
  * Checks presented keys against a configuration.
  *
- * <p>Thread safe: it holds no state. It keeps no cache, so a withdrawn key is dead with the first
- * configuration that says so.
+ * <p>Thread-safe: it holds no state. It has no cache, so a withdrawn key is rejected as soon as the
+ * configuration contains its withdrawal.
  */
 public final class KeyVerifier {
 
@@ -18,14 +18,14 @@
   private KeyVerifier() {}
 
   /**
-   * Checks a key.
+   * Checks a presented key.
    *
-   * <p>A withdrawn key is answered by its id alone: its hash is no longer kept. That tells a
-   * stranger no more than that the id, which is public, was once in use.
+   * <p>A withdrawn key is recognised by its id alone, because its hash is no longer stored. This
+   * reveals to an unauthenticated caller only that the id, which is public, was once in use.
    *
    * @param configuration the configuration in force
-   * @param presented what the caller presented, or null
-   * @return what the key opens
+   * @param presented the key as the caller presented it, or null
+   * @return the status of the key, and its team if it is valid
    */
   public static KeyCheck check(Configuration configuration, String presented) {
     Optional<PresentedKey> parsed = PresentedKey.parse(presented);
@@ -39,8 +39,8 @@
     if (key.withdrawn()) {
       return new KeyCheck(KeyStatus.WITHDRAWN, key.keyId(), "");
     }
-    // A comparison that ends at the first difference tells by its time how many bytes were right.
-    // MessageDigest.isEqual takes the same time for all.
+    // A comparison that stops at the first difference leaks through its duration how many bytes
+    // match. MessageDigest.isEqual runs in constant time.
     byte[] hash = SecretHash.of(key.salt(), parsed.get().secret());
     if (!MessageDigest.isEqual(hash, key.hash())) {
       return UNKNOWN;
--- a/core/src/main/java/org/hickorypier/core/keys/PresentedKey.java
+++ b/core/src/main/java/org/hickorypier/core/keys/PresentedKey.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * A key as presented, split in its parts.
+ * A presented key, split into its public and secret parts.
  *
  * @param keyId the public part
  * @param secret the secret part
@@ -12,7 +12,8 @@
 
   static final char SEPARATOR = '.';
 
-  // Longer than any issued key. The header is a stranger's to fill; nothing longer is looked at.
+  // Exceeds the length of any issued key. Unauthenticated callers control the header, so a longer
+  // value is rejected without parsing.
   private static final int MAX_LENGTH_CHARS = 256;
 
   static Optional<PresentedKey> parse(String presented) {
--- a/core/src/main/java/org/hickorypier/core/keys/SecretHash.java
+++ b/core/src/main/java/org/hickorypier/core/keys/SecretHash.java
@@ -5,13 +5,15 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * The salted hash of a key's secret part, SHA-256 over salt and secret.
+ * Computes the salted hash of a key's secret part: SHA-256 over salt and secret.
  *
- * <p>A slow hash such as PBKDF2 is for secrets that people choose, of some 30 bits, which can be
- * guessed offline from a stolen hash. The secrets here are 256 random bits, so one fast hash leaves
- * nothing to guess, and it costs about a microsecond for each request where PBKDF2 would cost
- * milliseconds of processor at some thousand requests a second. The salt keeps equal hashes from
- * showing in the log if a secret is ever given twice.
+ * <p>A slow hash such as PBKDF2 protects passwords that people choose, which have some 30 bits of
+ * entropy and can be guessed offline from a stolen hash. These secrets are 256 random bits, so a
+ * fast hash is sufficient. It takes about a microsecond per request, where PBKDF2 would take
+ * milliseconds of processor time at some thousand requests a second. The salt prevents equal hashes
+ * in the log if a secret is ever issued twice.
+ *
+ * <p>Thread-safe: it holds no state.
  */
 final class SecretHash {
 
@@ -25,7 +27,8 @@
       digest.update(salt);
       return digest.digest(secret.getBytes(StandardCharsets.UTF_8));
     } catch (NoSuchAlgorithmException error) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, error);
+      throw new IllegalStateException(
+          "the Java platform lacks the required algorithm " + ALGORITHM, error);
     }
   }
 }
--- a/core/src/main/java/org/hickorypier/core/keys/package-info.java
+++ b/core/src/main/java/org/hickorypier/core/keys/package-info.java
@@ -1,2 +1,2 @@
-/** Making and checking the keys that callers and operators present. */
+/** Issues and verifies the keys that callers and operators present. */
 package org.hickorypier.core.keys;
--- a/core/src/test/java/org/hickorypier/core/keys/KeyVerifierTest.java
+++ b/core/src/test/java/org/hickorypier/core/keys/KeyVerifierTest.java
@@ -49,10 +49,10 @@
 
   @Test
   void secretOfAnotherKeyIsRejected() {
-    String crossed =
+    String mixedKey =
         labels.keyId() + operator.presented().substring(operator.presented().indexOf('.'));
 
-    assertThat(KeyVerifier.check(configuration, crossed).status()).isEqualTo(KeyStatus.UNKNOWN);
+    assertThat(KeyVerifier.check(configuration, mixedKey).status()).isEqualTo(KeyStatus.UNKNOWN);
   }
 
   @ParameterizedTest
