--- a/core/src/main/java/org/hickorypier/core/model/RefusalReason.java
+++ b/core/src/main/java/org/hickorypier/core/model/RefusalReason.java
@@ -1,14 +1,14 @@
 package org.hickorypier.core.model;
 
-/** Why a piece of work is not taken, or is given up on while it waits. */
+/** Why work is not accepted, or is abandoned while it is queued. */
 public enum RefusalReason {
-  /** A task is larger than any worker; trying again is of no use. */
+  /** A task is larger than any worker; a retry cannot succeed. */
   NEVER_FITS,
   /** The team's queue for this class is full. */
   QUEUE_FULL,
-  /** The estimated wait goes past the deadline. */
+  /** The estimated wait exceeds the deadline. */
   DEADLINE_TOO_NEAR,
-  /** It waited and its deadline passed before a place came free. */
+  /** The deadline passed in the queue before capacity became available. */
   DEADLINE_PASSED,
   /** The team's upper limit is zero. */
   OVER_LIMIT,
@@ -16,14 +16,14 @@
   SHUTTING_DOWN,
   /** The instance cannot prove that its configuration is recent. */
   NOT_READY,
-  /** The platform's log does not answer, so that work cannot be run at most once. */
+  /** The log service does not answer, so at-most-once execution cannot be guaranteed. */
   LOG_SILENT,
-  /** The team's key was withdrawn while the work waited. */
+  /** The team's key was withdrawn while the work was queued. */
   KEY_WITHDRAWN,
   /** The caller or an operator cancelled it. */
   CANCELLED,
   /** Its tasks failed on several workers. */
   FAILS_EVERYWHERE,
-  /** The instance that its home sent it to has no room now; it goes back and waits at home. */
+  /** The instance that its home forwarded it to has no capacity; it returns to its home's queue. */
   NO_ROOM
 }
--- a/core/src/main/java/org/hickorypier/core/model/Resources.java
+++ b/core/src/main/java/org/hickorypier/core/model/Resources.java
@@ -1,17 +1,17 @@
 package org.hickorypier.core.model;
 
 /**
- * An amount of the three resources that a worker offers and a task declares.
+ * Amounts of the three resources that a worker offers and a task declares.
  *
- * <p>Immutable, so safe to share between threads. Amounts are never negative.
+ * <p>Immutable and thread-safe. Amounts are never negative.
  *
  * @param milliProcessors thousandths of a processor
  * @param memoryMebibytes memory in MiB
- * @param accelerators whole accelerators
+ * @param accelerators number of whole accelerators
  */
 public record Resources(long milliProcessors, long memoryMebibytes, int accelerators) {
 
-  /** No resources at all. */
+  /** Zero of each resource. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
   /** Checks that no amount is negative. */
@@ -28,7 +28,7 @@
   }
 
   /**
-   * Returns the sum of both amounts.
+   * Returns the sum of two amounts.
    *
    * @param other the amount to add
    * @return the sum
@@ -41,10 +41,11 @@
   }
 
   /**
-   * Returns this amount less the other.
+   * Returns this amount minus the other.
    *
-   * @param other the amount to take away; must fit into this one
+   * @param other the amount to subtract; must fit into this one
    * @return the difference
+   * @throws IllegalArgumentException if the other amount does not fit into this one
    */
   public Resources minus(Resources other) {
     return new Resources(
@@ -56,20 +57,20 @@
   /**
    * Tells whether this amount fits into the other in every dimension.
    *
-   * @param room the room to fit into
-   * @return true if no dimension exceeds the room
+   * @param capacity the capacity to fit into
+   * @return true if no dimension exceeds the capacity
    */
-  public boolean fitsInto(Resources room) {
-    return milliProcessors <= room.milliProcessors
-        && memoryMebibytes <= room.memoryMebibytes
-        && accelerators <= room.accelerators;
+  public boolean fitsInto(Resources capacity) {
+    return milliProcessors <= capacity.milliProcessors
+        && memoryMebibytes <= capacity.memoryMebibytes
+        && accelerators <= capacity.accelerators;
   }
 
   /**
-   * Returns the largest of the three fractions of a total, the dominant share.
+   * Returns the dominant share: the largest of the three fractions of a total.
    *
-   * @param total the total to divide by; a dimension of zero counts as unused
-   * @return a fraction, 0 if nothing is used
+   * @param total the total capacity; a dimension of zero counts as unused
+   * @return the fraction, 0 if nothing is used
    */
   public double dominantShare(Resources total) {
     double processors = fraction(milliProcessors, total.milliProcessors);
--- a/core/src/main/java/org/hickorypier/core/model/WorkClass.java
+++ b/core/src/main/java/org/hickorypier/core/model/WorkClass.java
@@ -2,15 +2,15 @@
 
 /** The classes of work, each with its own policy for queueing and placement. */
 public enum WorkClass {
-  /** A short request that goes before all others; it must start within seconds. */
+  /** A short request with precedence over all other work; it must start within seconds. */
   URGENT,
   /** A synchronous request whose caller waits for the answer. */
   REQUEST,
   /** A long-running service, spread over racks and data centres. */
   SERVICE,
-  /** A job whose tasks all start together or not at all. */
+  /** A job whose tasks start together or not at all. */
   GANG,
-  /** A job of independent tasks, packed tightly. */
+  /** A job of independent tasks, packed densely. */
   BATCH;
 
   /**
--- a/core/src/main/java/org/hickorypier/core/model/WorkItem.java
+++ b/core/src/main/java/org/hickorypier/core/model/WorkItem.java
@@ -1,21 +1,21 @@
 package org.hickorypier.core.model;
 
 /**
- * One request or job as the decisions see it, without its payload.
+ * One request or job as the scheduling decisions use it, without its payload.
  *
- * <p>Immutable. Times are milliseconds of the instance's own monotonic clock.
+ * <p>Immutable. Times are in milliseconds of the instance's monotonic clock.
  *
  * @param key the identity of the work
- * @param workClass the class, which picks the policy
- * @param name the caller's name for this sort of work, under which sizes are learned
- * @param resources what each task declares
+ * @param workClass the class, which selects the policy
+ * @param name the caller's name for this kind of work, under which its sizes are learned
+ * @param resources the resources that each task declares
  * @param tasks the number of tasks, at least 1; more than 1 only for gangs, batches and services
- * @param idempotent whether the work may run again after an attempt with unknown fate
- * @param submittedMillis when the instance took the work in
- * @param deadlineMillis the latest start that is still of use to the caller
+ * @param idempotent whether the work may run again after an attempt with unknown outcome
+ * @param submittedMillis when the instance accepted the work
+ * @param deadlineMillis the latest start that is useful to the caller
  * @param expectedRunMillis the declared run time of a task
- * @param firstTriedMillis when its caller first asked for it, as far as known; work is taken in
- *     this order, so that a caller who has to come back does not stand behind everybody else again
+ * @param firstTriedMillis when its caller first requested it, as far as known; queues are ordered
+ *     by this time, so that a caller that has to retry does not go to the end of the queue
  */
 public record WorkItem(
     WorkKey key,
@@ -30,15 +30,15 @@
     long firstTriedMillis) {
 
   /**
-   * Creates an item whose caller asks for the first time.
+   * Creates an item for the first request of its caller.
    *
    * @param key the identity of the work
    * @param workClass the class
-   * @param name the caller's name for this sort of work
-   * @param resources what each task declares
+   * @param name the caller's name for this kind of work
+   * @param resources the resources that each task declares
    * @param tasks the number of tasks
    * @param idempotent whether the work may run again
-   * @param submittedMillis when the instance took the work in
+   * @param submittedMillis when the instance accepted the work
    * @param deadlineMillis the latest start
    * @param expectedRunMillis the declared run time of a task
    */
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Returns the same item with another time of its first try.
+   * Returns a copy with another time of the first request.
    *
-   * @param millis the time
+   * @param millis the time in milliseconds
    * @return the copy
    */
   public WorkItem withFirstTriedMillis(long millis) {
--- a/core/src/main/java/org/hickorypier/core/model/WorkKey.java
+++ b/core/src/main/java/org/hickorypier/core/model/WorkKey.java
@@ -1,9 +1,10 @@
 package org.hickorypier.core.model;
 
 /**
- * The identity of a request or job: the caller's request id within its team.
+ * Identifies a request or job by the caller's request id within its team.
  *
- * <p>Immutable. Two submissions with the same key are the same work, wherever they enter.
+ * <p>Immutable. Two submissions with the same key are the same work, whichever instance receives
+ * them.
  *
  * @param team the team's name
  * @param requestId the id that the caller chose
--- a/core/src/main/java/org/hickorypier/core/model/WorkerDescription.java
+++ b/core/src/main/java/org/hickorypier/core/model/WorkerDescription.java
@@ -1,15 +1,15 @@
 package org.hickorypier.core.model;
 
 /**
- * What a worker offers and where it stands.
+ * The capacity and location of a worker.
  *
  * <p>Immutable.
  *
  * @param name the worker's name
- * @param dataCentre the data centre it stands in
- * @param rack the rack it stands in
+ * @param dataCentre the data centre of the worker
+ * @param rack the rack of the worker
  * @param capacity its processors, memory and accelerators
- * @param slots how many tasks it runs at once at the most
+ * @param slots maximum number of tasks that it runs at once
  */
 public record WorkerDescription(
     String name, String dataCentre, String rack, Resources capacity, int slots) {}
