--- a/core/src/main/java/org/hickorypier/core/configuration/Configuration.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/Configuration.java
@@ -7,16 +7,16 @@
 import org.hickorypier.core.fold.RecentIds;
 
 /**
- * The configuration as folded up to an offset.
+ * The configuration state that results from folding the stream up to an offset.
  *
- * <p>Immutable and thread safe. Two instances that folded up to the same offset hold equal
- * configurations. Changes come from {@link ConfigurationFold} alone.
+ * <p>Immutable and thread-safe. Two instances that folded up to the same offset hold equal
+ * configurations. Only {@link ConfigurationFold} derives new states.
  *
  * @param offset the last offset folded, -1 if none
  * @param teams the teams by name
- * @param keys the keys by public part, the withdrawn ones too
+ * @param keys the keys by public part, including withdrawn keys
  * @param drains the drains by name of instance or worker
- * @param ids the ids folded of late
+ * @param ids the ids of recently folded changes
  */
 public record Configuration(
     long offset,
@@ -26,8 +26,8 @@
     RecentIds ids) {
 
   /**
-   * For how many offsets an id is remembered. At the target of 3,000 changes a day this is 16
-   * hours; a repeat comes within seconds of an outage's end.
+   * Number of offsets for which the id of a change is retained. At the target of 3,000 changes a
+   * day this is 16 hours, and an append is repeated within seconds of the end of an outage.
    */
   static final long ID_RETENTION_OFFSETS = 2_048;
 
@@ -43,20 +43,20 @@
   }
 
   /**
-   * Returns what became of a change.
+   * Returns the offset and verdict of a recently folded change.
    *
    * @param id the id of the change
-   * @return offset and verdict, or empty if it was not folded, or too long ago
+   * @return the offset and verdict, or empty if the change was not folded or is no longer retained
    */
   public Optional<FoldedId> findFoldedId(String id) {
     return ids.find(id);
   }
 
   /**
-   * Tells whether an instance or worker is drained.
+   * Tells whether an instance or worker is draining.
    *
    * @param name its name
-   * @return true if it takes no new work
+   * @return true if it accepts no new work
    */
   public boolean isDraining(String name) {
     Drain drain = drains.get(name);
@@ -75,7 +75,7 @@
     return new Configuration(offset, teams, next, drains, ids);
   }
 
-  /** Also drops drains that ended long ago, so that replaced workers leave nothing behind. */
+  /** Also evicts drains that ended long ago, so that replaced workers leave no entries. */
   Configuration with(Drain drain) {
     Map<String, Drain> next = new HashMap<>(drains);
     next.values()
--- a/core/src/main/java/org/hickorypier/core/configuration/ConfigurationFold.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/ConfigurationFold.java
@@ -11,15 +11,16 @@
 import org.hickorypier.wire.record.ConfigurationRecord.WithdrawKey;
 
 /**
- * Folds the configuration stream.
+ * Folds the records of the configuration stream into a {@link Configuration}.
  *
- * <p>A pure function, so thread safe: the same records at the same offsets give the same state and
- * the same verdicts everywhere. It never throws for what a record contains.
+ * <p>Thread-safe: it is a pure function, so the same records at the same offsets give the same
+ * state and the same verdicts on every instance. It never throws because of the contents of a
+ * record.
  *
- * <p>Load: 3,000 changes a day. Harm prevented: operators who race each other, repeated appends and
- * records passed on by peers out of order must neither undo a later change nor differ between
- * instances. Offsets are folded strictly one after the other, so a record from a peer is taken only
- * when all before it have been.
+ * <p>The expected load is 3,000 changes a day. Concurrent changes by operators, repeated appends
+ * and records that peers forward out of order must neither undo a later change nor make instances
+ * diverge. Offsets are folded in strict sequence, so a record from a peer is applied only after all
+ * records before it.
  */
 public final class ConfigurationFold {
 
@@ -28,16 +29,16 @@
   /**
    * Folds one record.
    *
-   * @param state the state before
+   * @param state the state before the record
    * @param offset the record's offset
    * @param change the record
-   * @return the state after; for a snapshot taken into use, its offset is that of the snapshot's
-   *     contents, and folding goes on at the offset after that
+   * @return the state after the record; after an adopted snapshot its offset is the last offset
+   *     that the snapshot covers, and folding continues at the next offset
    */
   public static FoldResult<Configuration> apply(
       Configuration state, long offset, ConfigurationRecord change) {
     if (offset <= state.offset()) {
-      return new FoldResult<>(state, Verdict.DUPLICATE, "offset " + offset + " was folded before");
+      return new FoldResult<>(state, Verdict.DUPLICATE, "offset " + offset + " was already folded");
     }
     if (change instanceof Snapshot snapshot
         && snapshot.upTo() > state.offset()
@@ -50,7 +51,7 @@
     }
     Configuration next = state.withOffset(offset);
     if (change instanceof Snapshot) {
-      return new FoldResult<>(next, Verdict.DUPLICATE, "the snapshot says nothing new here");
+      return new FoldResult<>(next, Verdict.DUPLICATE, "the snapshot is not newer than the state");
     }
     if (change.id() == null || change.id().isBlank()) {
       return new FoldResult<>(next, Verdict.INVALID, "the change has no id");
@@ -58,7 +59,7 @@
     FoldedId earlier = state.ids().find(change.id()).orElse(null);
     if (earlier != null) {
       return new FoldResult<>(
-          next, Verdict.DUPLICATE, "the change was folded at offset " + earlier.offset());
+          next, Verdict.DUPLICATE, "the change was already folded at offset " + earlier.offset());
     }
     FoldResult<Configuration> result = applyNew(next, offset, change);
     FoldedId entry = new FoldedId(change.id(), offset, result.verdict());
@@ -67,37 +68,39 @@
   }
 
   /**
-   * Passes over a record that this program cannot read. Nothing else changes.
+   * Skips a record that this version cannot decode. Only the offset of the state changes.
    *
-   * @param state the state before
+   * @param state the state before the record
    * @param offset the record's offset
-   * @return the state after
+   * @return the state after the record
    */
   public static FoldResult<Configuration> skipUnreadable(Configuration state, long offset) {
     if (offset != state.offset() + 1) {
       Verdict verdict = offset <= state.offset() ? Verdict.DUPLICATE : Verdict.GAP;
-      return new FoldResult<>(state, verdict, "offset " + offset + " is not the next one");
+      return new FoldResult<>(state, verdict, "offset " + offset + " is not the next offset");
     }
     return new FoldResult<>(
-        state.withOffset(offset), Verdict.INVALID, "the record cannot be read here");
+        state.withOffset(offset), Verdict.INVALID, "this version cannot decode the record");
   }
 
   /**
-   * Takes a snapshot, from the log or from a peer, if it is newer than the state.
+   * Adopts a snapshot from the log or from a peer if it is newer than the state.
    *
-   * <p>A restarted or lagging peer may offer an old state. Taken, it would bring back a withdrawn
-   * key. The offset tells: a state with a higher one contains all that a lower one does.
+   * <p>A restarted or lagging peer may offer an old state, which would restore a withdrawn key if
+   * it were adopted. Offsets order the states: a state contains every change of a state with a
+   * lower offset.
    *
-   * @param state the state before
+   * @param state the current state
    * @param snapshot the snapshot
-   * @return the state of the snapshot, or the state before if that is as new
+   * @return the state of the snapshot, or the current state if it is at least as new
    */
   public static FoldResult<Configuration> adoptSnapshot(Configuration state, Snapshot snapshot) {
     if (snapshot.upTo() <= state.offset()) {
-      return new FoldResult<>(state, Verdict.DUPLICATE, "the state here is as new");
+      return new FoldResult<>(
+          state, Verdict.DUPLICATE, "the state is at least as new as the snapshot");
     }
     if (!ConfigurationSnapshots.isComplete(snapshot)) {
-      return new FoldResult<>(state, Verdict.INVALID, "the snapshot is not whole");
+      return new FoldResult<>(state, Verdict.INVALID, "the snapshot is incomplete or malformed");
     }
     return new FoldResult<>(
         ConfigurationSnapshots.fromSnapshot(snapshot),
@@ -140,11 +143,11 @@
         || give.team() == null
         || isEmpty(give.salt())
         || isEmpty(give.hash())) {
-      return invalid(state, "a key needs an id, a team or the empty one, a salt and a hash");
+      return invalid(state, "a key needs an id, a team (empty for operators), a salt and a hash");
     }
     Key key = state.keys().get(give.keyId());
     if (key != null && key.withdrawn()) {
-      return conflict(state, "key " + give.keyId() + " was withdrawn and never comes back");
+      return conflict(state, "key " + give.keyId() + " was withdrawn and cannot be given again");
     }
     long revision = key == null ? 0 : key.revision();
     if (isStale(give, revision)) {
@@ -164,7 +167,7 @@
     }
     if (key.withdrawn()) {
       return new FoldResult<>(
-          state, Verdict.APPLIED, "key " + withdraw.keyId() + " was withdrawn already");
+          state, Verdict.APPLIED, "key " + withdraw.keyId() + " was already withdrawn");
     }
     if (isStale(withdraw, key.revision())) {
       return stale(state, "key " + withdraw.keyId(), withdraw, key.revision());
--- a/core/src/main/java/org/hickorypier/core/configuration/ConfigurationSnapshots.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/ConfigurationSnapshots.java
@@ -16,17 +16,19 @@
 import org.hickorypier.wire.record.FoldedIdEntry;
 
 /**
- * Turns a configuration into a snapshot record and back. Thread safe: it holds no state.
+ * Converts a configuration to a snapshot record and back.
  *
- * <p>The remembered ids are part of it. Without them an instance that started from a snapshot would
- * take a repeated change for a new one and differ from all the others.
+ * <p>A snapshot contains the retained change ids. Without them an instance that started from a
+ * snapshot would apply a repeated change again and diverge from all other instances.
+ *
+ * <p>Thread-safe: it holds no state.
  */
 public final class ConfigurationSnapshots {
 
   private ConfigurationSnapshots() {}
 
   /**
-   * Writes a snapshot.
+   * Creates the snapshot of a configuration.
    *
    * @param id the id of the record
    * @param state the configuration
@@ -69,10 +71,10 @@
   }
 
   /**
-   * Tells whether a snapshot has all its parts.
+   * Tells whether a snapshot is complete and its entries are valid.
    *
    * @param snapshot the record
-   * @return false if a part is missing or an entry makes no sense
+   * @return false if a part is missing or an entry is invalid
    */
   static boolean isComplete(Snapshot snapshot) {
     return snapshot.teams() != null
--- a/core/src/main/java/org/hickorypier/core/configuration/Key.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/Key.java
@@ -4,22 +4,22 @@
 import java.util.Objects;
 
 /**
- * A key as configured; the secret itself is not known.
+ * A configured key, without its secret.
  *
- * <p>Immutable: the byte strings are copied on the way in and out. Once withdrawn, a key never
- * comes back, and its salt and hash are empty.
+ * <p>Immutable: the byte arrays are copied on construction and on access. A withdrawn key is never
+ * reinstated, and its salt and hash are empty.
  *
  * @param keyId the public part
- * @param revision counts its changes, from 1
- * @param team the team's name, empty for an operator's key
- * @param salt the salt
+ * @param revision number of changes to the key, from 1
+ * @param team the name of the team; empty for an operator's key
+ * @param salt the salt of the hash
  * @param hash the salted hash of the secret part
- * @param withdrawn whether it was withdrawn
+ * @param withdrawn whether the key was withdrawn
  */
 public record Key(
     String keyId, long revision, String team, byte[] salt, byte[] hash, boolean withdrawn) {
 
-  /** Copies the byte strings. */
+  /** Copies the byte arrays. */
   public Key {
     salt = salt.clone();
     hash = hash.clone();
--- a/core/src/main/java/org/hickorypier/core/configuration/Team.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/Team.java
@@ -1,13 +1,13 @@
 package org.hickorypier.core.configuration;
 
 /**
- * A team as configured.
+ * The configuration of a team.
  *
  * <p>Immutable.
  *
- * @param name its name
- * @param revision counts its changes, from 1
- * @param share its weight when the cell is full
- * @param upperLimit the most tasks it may run across the fleet
+ * @param name the name of the team
+ * @param revision number of changes to the team, from 1
+ * @param share the weight of the team when the cell is at capacity
+ * @param upperLimit maximum number of tasks that the team may run across all workers
  */
 public record Team(String name, long revision, double share, int upperLimit) {}
--- a/core/src/main/java/org/hickorypier/core/configuration/package-info.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration as folded from its stream. */
+/** The configuration, folded from the records of its stream. */
 package org.hickorypier.core.configuration;
--- a/core/src/test/java/org/hickorypier/core/configuration/ConfigurationFoldTest.java
+++ b/core/src/test/java/org/hickorypier/core/configuration/ConfigurationFoldTest.java
@@ -50,9 +50,9 @@
     PutTeam created = team("t1", 0, 4);
     return Stream.of(
         Arguments.of("new team", List.of(), created, Verdict.APPLIED),
-        Arguments.of("two create it", List.of(created), team("t2", 0, 9), Verdict.CONFLICT),
+        Arguments.of("concurrent creation", List.of(created), team("t2", 0, 9), Verdict.CONFLICT),
         Arguments.of(
-            "second of a race",
+            "second of two concurrent changes",
             List.of(created, team("t2", 1, 5)),
             team("t3", 1, 6),
             Verdict.CONFLICT),
@@ -71,7 +71,7 @@
         Arguments.of(
             "not a number", List.of(), new PutTeam("t", 0, "x", Double.NaN, 1), Verdict.INVALID),
         Arguments.of("no id", List.of(), team(null, 0, 1), Verdict.INVALID),
-        Arguments.of("key of no team", List.of(), key("c", 0, "labels"), Verdict.CONFLICT),
+        Arguments.of("key of unknown team", List.of(), key("c", 0, "labels"), Verdict.CONFLICT),
         Arguments.of("operator's key", List.of(), key("c", 0, ""), Verdict.APPLIED),
         Arguments.of(
             "key without hash",
@@ -90,12 +90,12 @@
             withdraw("v", 1),
             Verdict.APPLIED),
         Arguments.of(
-            "given back",
+            "key given again after withdrawal",
             List.of(key("c", 0, ""), withdraw("w", 1)),
             key("d", ANY_REVISION, ""),
             Verdict.CONFLICT),
         Arguments.of(
-            "withdrawal of none", List.of(), withdraw("w", ANY_REVISION), Verdict.CONFLICT),
+            "withdrawal of unknown key", List.of(), withdraw("w", ANY_REVISION), Verdict.CONFLICT),
         Arguments.of("drain", List.of(), new PutDrain("d", 0, "w", true), Verdict.APPLIED));
   }
 
@@ -114,9 +114,9 @@
     }
   }
 
-  // A withdrawal is in force, and then the log hands out its key's grant again: the grant's append
-  // was repeated after a lost answer. Callers must still be refused. Also when the instance reads
-  // the stream again from an earlier offset, and when a peer passes an old record on.
+  // Guards against a withdrawn key that becomes valid again. A grant reappears in the log after the
+  // withdrawal if its append is repeated after a lost answer. An instance may also read the stream
+  // again from an earlier offset, and a peer may forward an old record.
   @Test
   void repeatedGrantDoesNotRestoreWithdrawnKey() {
     List<ConfigurationRecord> changes = List.of(key("c", 0, ""), withdraw("w", 1));
@@ -132,8 +132,9 @@
     assertThat(state.keys().get("k1").withdrawn()).isTrue();
   }
 
-  // A peer passes on a record while those before it have not been read here. Taken at once, a later
-  // one of them would be dropped as folded before. It is not taken, and the offset stays.
+  // Guards against lost records. A peer forwards a record before this instance has read the records
+  // that precede it. If it were applied, those would be dropped as duplicates later. It is not
+  // applied, and the offset does not change.
   @Test
   void recordAfterGapIsNotApplied() {
     FoldResult<Configuration> result =
@@ -143,33 +144,34 @@
     assertThat(result.state()).isEqualTo(Configuration.EMPTY);
   }
 
-  // An instance starts after the first records have expired. From a snapshot and the tail after it
-  // it must reach the state of those that read everything, remembered ids included, else a repeated
-  // change would be new to it alone.
+  // Guards against divergence of an instance that starts after the first records have expired. A
+  // snapshot and the records after it must give the same state as all records. This includes the
+  // retained ids, because otherwise only this instance would apply a repeated change again.
   @Property(tries = 200, seed = "4")
   void snapshotAndTailGiveSameStateAsFullReplay(@ForAll Random random) throws Exception {
     List<ConfigurationRecord> changes = randomChanges(random, 60);
-    int cut = random.nextInt(changes.size());
+    int snapshotOffset = random.nextInt(changes.size());
     Configuration all = fold(changes);
     MessagePackCodec<ConfigurationRecord> codec = new MessagePackCodec<>(ConfigurationRecord.class);
     ConfigurationRecord snapshot =
         codec.decode(
             codec.encode(
-                ConfigurationSnapshots.toSnapshot("s", fold(changes.subList(0, cut + 1)))));
+                ConfigurationSnapshots.toSnapshot(
+                    "s", fold(changes.subList(0, snapshotOffset + 1)))));
 
-    Configuration late =
+    Configuration restored =
         ConfigurationFold.apply(Configuration.EMPTY, changes.size(), snapshot).state();
-    assertThat(late.offset()).isEqualTo(cut);
-    for (int offset = cut + 1; offset < changes.size(); offset++) {
-      late = ConfigurationFold.apply(late, offset, changes.get(offset)).state();
+    assertThat(restored.offset()).isEqualTo(snapshotOffset);
+    for (int offset = snapshotOffset + 1; offset < changes.size(); offset++) {
+      restored = ConfigurationFold.apply(restored, offset, changes.get(offset)).state();
     }
 
-    assertThat(late).isEqualTo(all);
+    assertThat(restored).isEqualTo(all);
   }
 
-  // Records arrive twice, out of order, and with old snapshots between: from the log, from peers,
-  // from a stream read again. An instance that takes what it can at each step ends in the one
-  // state.
+  // Guards against divergence by order of arrival. Records arrive repeatedly, out of order and
+  // mixed with old snapshots: from the log, from peers and from a stream that is read again. An
+  // instance that applies what it can at each step ends in the same state.
   @Property(tries = 200, seed = "5")
   void anyArrivalOrderGivesSameState(@ForAll Random random) {
     List<ConfigurationRecord> changes = randomChanges(random, 40);
@@ -191,12 +193,12 @@
 
   @Test
   void invalidSnapshotIsNotAdopted() {
-    Snapshot broken = new Snapshot("s", 5, null, List.of(), List.of(), List.of());
-    Snapshot fromTheFuture = new Snapshot("s", 9, List.of(), List.of(), List.of(), List.of());
+    Snapshot incomplete = new Snapshot("s", 5, null, List.of(), List.of(), List.of());
+    Snapshot aheadOfItsOffset = new Snapshot("s", 9, List.of(), List.of(), List.of(), List.of());
 
-    assertThat(ConfigurationFold.apply(Configuration.EMPTY, 6, broken).state())
+    assertThat(ConfigurationFold.apply(Configuration.EMPTY, 6, incomplete).state())
         .isEqualTo(Configuration.EMPTY);
-    assertThat(ConfigurationFold.apply(Configuration.EMPTY, 6, fromTheFuture).state())
+    assertThat(ConfigurationFold.apply(Configuration.EMPTY, 6, aheadOfItsOffset).state())
         .isEqualTo(Configuration.EMPTY);
   }
 
