--- a/core/src/test/java/org/hickorypier/core/cell/model/CellModelTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/CellModelTest.java
@@ -7,13 +7,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Callers hand in work while owners are killed, doubled and cut off, workers crash, are cut off and
- * fail, and orders, answers and writes are lost or late. Whatever happens in which order: no task
- * runs twice, nothing exceeds a worker or a limit, and what was accepted comes to an end.
+ * Runs the cell in a deterministic simulation with seeded faults. Callers submit work while owners
+ * are killed, duplicated and partitioned, workers crash, are partitioned and fail tasks, and
+ * orders, responses and writes are lost or delayed. In every order of events, no task runs twice,
+ * no capacity or limit is exceeded, and all accepted work reaches a terminal state.
  */
 class CellModelTest {
 
-  /** A few seconds of work; more seeds are played by hand with {@code -Dmodel.seeds=N}. */
+  /** The default takes a few seconds; {@code -Dmodel.seeds=N} sets another number of seeds. */
   private static final int SEED_COUNT = Integer.getInteger("model.seeds", 300);
 
   private static final int FIRST_SEED = Integer.getInteger("model.from", 0);
@@ -23,13 +24,16 @@
     runScenarios(ScenarioKind.UNIFORM_WORK);
   }
 
-  /** The same beside batches that make room for urgent work, with slow workers and leaving ones. */
+  /** Adds batches that yield capacity to urgent work, slow workers, and workers that leave. */
   @Test
   void invariantsHoldWithMixedPriorities() {
     runScenarios(ScenarioKind.MIXED_PRIORITIES);
   }
 
-  /** Guards against a successor that waits anew for a worker that has left. */
+  /**
+   * Guards against a new owner that starts to wait again for a worker that left during a handover,
+   * so that the worker's persistent tasks are not restarted in time.
+   */
   @Test
   void persistentTaskIsRestartedWhenItsWorkerLeavesDuringHandover() {
     runScenarios(ScenarioKind.ROLLING_UPDATE);
@@ -37,30 +41,32 @@
 
   private static void runScenarios(ScenarioKind kind) {
     List<String> failures = new ArrayList<>();
-    long starts = 0;
-    long steps = 0;
+    long runStarts = 0;
+    long events = 0;
     for (int seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
-      ModelCluster world = new ModelCluster(seed, kind);
-      for (String broken : world.run()) {
-        failures.add("seed " + seed + ": " + broken);
+      ModelCluster cluster = new ModelCluster(seed, kind);
+      for (String violation : cluster.run()) {
+        failures.add("seed " + seed + ": " + violation);
         if (Boolean.getBoolean("model.trace")) {
-          System.out.println("seed " + seed + ": " + broken);
-          world.traceOf(broken.replaceAll(".*([0-9a-f]{16}).*", "$1")).forEach(System.out::println);
+          System.out.println("seed " + seed + ": " + violation);
+          cluster
+              .traceOf(violation.replaceAll(".*([0-9a-f]{16}).*", "$1"))
+              .forEach(System.out::println);
         }
       }
-      starts += world.promises.starts();
-      steps += world.time.executedEvents;
+      runStarts += cluster.promises.starts();
+      events += cluster.time.executedEvents;
     }
     System.out.println(
         "model: "
             + SEED_COUNT
-            + " days, "
-            + steps
-            + " steps, "
-            + starts
+            + " scenarios, "
+            + events
+            + " events, "
+            + runStarts
             + " starts, "
             + failures.size()
-            + " breaches");
+            + " violations");
     assertThat(failures).isEmpty();
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelCluster.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelCluster.java
@@ -21,27 +21,28 @@
 import org.hickorypier.core.verification.PromiseChecker;
 
 /**
- * A small cluster under seeded faults: owners that come and go, workers, a journal, callers.
+ * A simulated cluster with seeded faults: successive owners, workers, a journal and callers.
  *
- * <p>All faults end some time before the end; then everything accepted must come to an end state.
+ * <p>All faults end some time before the scenario does, so that all accepted work must reach a
+ * terminal state by its end.
  */
 final class ModelCluster {
 
   private static final long FAULTS_END_MILLIS = 25_000;
   private static final long SCENARIO_END_MILLIS = 75_000;
 
-  /** The last worker has left and the last cut has ended well before. */
+  /** Late enough that the last worker has left and the last link cut has ended well before. */
   private static final long ROLLING_UPDATE_END_MILLIS = 50_000;
 
   private static final int WORKERS = 4;
 
-  /** Some drain while the others take over what they had. */
+  /** More than {@link #WORKERS}, since some drain while the others take over their tasks. */
   private static final int ROLLING_UPDATE_WORKERS = 6;
 
   private static final int FAULTS = 7;
   private static final int MAX_ROLLING_UPDATE_FAULTS = 3;
 
-  /** A link between instances that loses what a former owner tells is cut for so long. */
+  /** Shortest cut of a link between instances that loses the final roster of a former owner. */
   private static final long MIN_LINK_CUT_MILLIS = 4_000;
 
   private static final long MAX_LINK_CUT_MILLIS = 7_000;
@@ -51,10 +52,10 @@
   private static final QueueTerms QUEUE =
       new QueueTerms("queue", "service", 0, 3, 2, 1_000, Optional.empty());
 
-  /** Last digits of the ids of submissions that last; those with 7 are cancelled. */
+  /** Last digits of the ids of persistent submissions; those that end with 7 are cancelled. */
   private static final Set<Integer> PERSISTENT_ID_DIGITS = Set.of(1, 2, 5, 7, 9);
 
-  /** So little that they leave half of a customer's limit to other work. */
+  /** Small enough that persistent tasks leave half of a customer's limit to other work. */
   private static final long PERSISTENT_MILLI_PROCESSORS = 500;
 
   private static final QueueTerms BATCH_QUEUE =
@@ -76,16 +77,16 @@
   private final long seed;
   private final ScenarioKind kind;
 
-  /** Nothing unplanned happens: what a former owner tells arrives, too. */
+  /** Whether nothing unplanned happens, so that the final roster of each former owner arrives. */
   private final boolean plannedOnly;
 
   private long disruptedUntilMillis;
 
   /**
-   * Creates a day.
+   * Creates a scenario.
    *
-   * @param seed what its course follows from
-   * @param kind what it consists of
+   * @param seed the seed that determines all events
+   * @param kind the kind of scenario
    */
   ModelCluster(long seed, ScenarioKind kind) {
     this.seed = seed;
@@ -121,7 +122,7 @@
     return plannedOnly ? 0 : 1 + Math.floorMod(seed / 2, MAX_ROLLING_UPDATE_FAULTS);
   }
 
-  /** A worker that was never there before comes. */
+  /** Adds a worker with an id that was never used before. */
   ModelWorker addWorker() {
     ModelWorker worker = new ModelWorker(workersById.size(), time, promises, gangs);
     workersById.put(worker.id, worker);
@@ -148,7 +149,7 @@
         new CustomerTerms("small", 100, new Resources(12_000, 0, 0)));
   }
 
-  /** Plays the day, and returns what was broken. */
+  /** Runs the scenario and returns the violations. */
   List<String> run() {
     time.runUntil(
         kind == ScenarioKind.ROLLING_UPDATE ? ROLLING_UPDATE_END_MILLIS : SCENARIO_END_MILLIS);
@@ -156,8 +157,8 @@
       SubmissionStatus status = owner.cell.status(id);
       SubmissionState state = status == null ? null : status.state();
       boolean ended = state != null && state.isTerminal();
-      boolean lasts = state != null && !cancelled.contains(id) && isPersistent(id);
-      if (lasts ? ended : !ended && !isPersistent(id)) {
+      boolean persistent = state != null && !cancelled.contains(id) && isPersistent(id);
+      if (persistent ? ended : !ended && !isPersistent(id)) {
         promises.lost(id, "" + state);
         notes.addAll(owner.cell.explain(id, time.nowMillis()));
       }
@@ -175,7 +176,7 @@
     return worker.up && (from == null || time.nowMillis() < from);
   }
 
-  /** Returns what the owners noted of a submission, and all faults. */
+  /** Returns the notes on a submission, on workers, and on all faults and planned events. */
   List<String> traceOf(String submission) {
     return notes.stream()
         .filter(
@@ -200,13 +201,13 @@
     if (time.randomlyTrue(faults.delayedOrderShare)) {
       delay = time.randomBetween(2_000, 12_000);
     }
-    long life = worker.incarnation;
+    long incarnation = worker.incarnation;
     time.schedule(
         delay,
         () -> {
-          // The pages do not say whether an order reaches a later life under the same id; docs/
-          // asks.
-          if (worker.up && worker.incarnation == life) {
+          // The platform does not specify whether an order reaches a later incarnation with the
+          // same id; docs/ lists this as an open question.
+          if (worker.up && worker.incarnation == incarnation) {
             action.accept(worker);
           }
         });
@@ -244,10 +245,10 @@
     owner = new ModelOwner(this, journal.epoch);
   }
 
-  private void submit(String id, int tries) {
+  private void submit(String id, int attempts) {
     if (owner.ended || faults.storeDown || owner.storeUnreachable) {
-      if (tries < 60) {
-        time.schedule(500, () -> submit(id, tries + 1));
+      if (attempts < 60) {
+        time.schedule(500, () -> submit(id, attempts + 1));
       }
       return;
     }
@@ -258,12 +259,12 @@
       accepted.add(id);
       return;
     }
-    ModelOwner by = owner;
+    ModelOwner acceptedBy = owner;
     time.schedule(
         1_000,
         () -> {
-          if (by != owner && !accepted.contains(id)) {
-            submit(id, tries + 1);
+          if (acceptedBy != owner && !accepted.contains(id)) {
+            submit(id, attempts + 1);
           }
         });
     if (id.endsWith("7")) {
@@ -299,7 +300,7 @@
     return Integer.parseInt(id.substring(15), 16);
   }
 
-  /** Tells whether a submission consists of tasks that last. */
+  /** Tells whether a submission consists of persistent tasks. */
   private boolean isPersistent(String id) {
     return kind == ScenarioKind.ROLLING_UPDATE && PERSISTENT_ID_DIGITS.contains(lastDigit(id));
   }
@@ -323,47 +324,57 @@
   }
 
   private void injectFault() {
-    long length = time.randomBetween(1_000, 7_000);
+    long durationMillis = time.randomBetween(1_000, 7_000);
     ModelWorker worker = workers.get(time.random.nextInt(workers.size()));
     int fault = time.random.nextInt(kind == ScenarioKind.MIXED_PRIORITIES ? 14 : 11);
-    notes.add(time.nowMillis() + " fault " + fault + " " + worker.id + " for " + length);
-    markDisruptedFor(length);
+    notes.add(time.nowMillis() + " fault " + fault + " " + worker.id + " for " + durationMillis);
+    markDisruptedFor(durationMillis);
     switch (fault) {
       case 0 -> killOwner(true);
       case 1 -> killOwner(false);
-      case 2 -> worker.crash(length);
+      case 2 -> worker.crash(durationMillis);
       case 3 -> {
         owner.unreachableWorkers.add(worker.id);
-        ModelOwner cutOff = owner;
-        time.schedule(length, () -> cutOff.unreachableWorkers.remove(worker.id));
-        unlistWorker(worker, length);
+        ModelOwner partitioned = owner;
+        time.schedule(durationMillis, () -> partitioned.unreachableWorkers.remove(worker.id));
+        unlistWorker(worker, durationMillis);
       }
       case 4 ->
-          during(length, () -> faults.delayedOrderShare = 0.4, () -> faults.delayedOrderShare = 0);
-      case 5 -> during(length, () -> faults.lostOrderShare = 0.3, () -> faults.lostOrderShare = 0);
+          during(
+              durationMillis,
+              () -> faults.delayedOrderShare = 0.4,
+              () -> faults.delayedOrderShare = 0);
+      case 5 ->
+          during(
+              durationMillis, () -> faults.lostOrderShare = 0.3, () -> faults.lostOrderShare = 0);
       case 6 ->
-          during(length, () -> faults.lostAnswerShare = 0.3, () -> faults.lostAnswerShare = 0);
-      case 7 -> during(length, () -> faults.storeDown = true, () -> faults.storeDown = false);
+          during(
+              durationMillis, () -> faults.lostAnswerShare = 0.3, () -> faults.lostAnswerShare = 0);
+      case 7 ->
+          during(durationMillis, () -> faults.storeDown = true, () -> faults.storeDown = false);
       case 8 ->
-          during(length, () -> faults.storeDelayMillis = 200, () -> faults.storeDelayMillis = 0);
+          during(
+              durationMillis,
+              () -> faults.storeDelayMillis = 200,
+              () -> faults.storeDelayMillis = 0);
       case 9 -> {
         worker.failureShare = 1;
-        time.schedule(length, () -> worker.failureShare = 0);
+        time.schedule(durationMillis, () -> worker.failureShare = 0);
       }
       case 11 -> {
         worker.slowdownFactor = 6;
-        time.schedule(length, () -> worker.slowdownFactor = 1);
+        time.schedule(durationMillis, () -> worker.slowdownFactor = 1);
       }
-      case 12 -> drainAndRestart(worker, length);
-      default -> partitionOwner(worker, length);
+      case 12 -> drainAndRestart(worker, durationMillis);
+      default -> partitionOwner(worker, durationMillis);
     }
   }
 
-  /** The worker drains, leaves while an owner may be lost, and another life of it comes. */
-  private void drainAndRestart(ModelWorker worker, long length) {
+  /** Drains the worker, which leaves while the owner may be lost, and starts a new incarnation. */
+  private void drainAndRestart(ModelWorker worker, long durationMillis) {
     worker.draining = true;
     time.schedule(
-        2_000 + length,
+        2_000 + durationMillis,
         () -> {
           worker.draining = false;
           if (worker.up) {
@@ -376,25 +387,25 @@
     disruptedUntilMillis = Math.max(disruptedUntilMillis, time.nowMillis() + millis);
   }
 
-  private void during(long length, Runnable begin, Runnable end) {
+  private void during(long durationMillis, Runnable begin, Runnable end) {
     begin.run();
-    time.schedule(length, end);
+    time.schedule(durationMillis, end);
   }
 
-  private void unlistWorker(ModelWorker worker, long length) {
+  private void unlistWorker(ModelWorker worker, long durationMillis) {
     unlistedFromMillis.put(worker, time.nowMillis() + 4_500);
-    time.schedule(length, () -> unlistedFromMillis.remove(worker));
+    time.schedule(durationMillis, () -> unlistedFromMillis.remove(worker));
   }
 
-  /** The owner is gone, or goes on beside its successor until somebody fences it. */
+  /** Kills the owner, or lets it run beside its successor until it is fenced. */
   private void killOwner(boolean dead) {
     if (dead) {
       owner.end();
     }
-    long absent = time.randomBetween(300, 2_000);
-    markDisruptedFor(absent);
+    long gapMillis = time.randomBetween(300, 2_000);
+    markDisruptedFor(gapMillis);
     time.schedule(
-        absent,
+        gapMillis,
         () -> {
           if (!faults.storeDown) {
             takeOver();
@@ -404,7 +415,7 @@
         });
   }
 
-  /** The owner ends as planned, and its successor takes over at its request. */
+  /** Ends the owner as planned; its successor takes over at its request. */
   void handOver() {
     if (owner.ended || owner.storeUnreachable || faults.storeDown) {
       return;
@@ -433,7 +444,7 @@
     }
   }
 
-  /** The former owner tells its successor what it knows. */
+  /** Sends the former owner's final roster to its successor. */
   private void sendFinalRoster(ModelOwner former, ModelOwner successor) {
     notes.add(
         time.nowMillis() + " planned word of epoch " + former.epoch + " to " + successor.epoch);
@@ -443,12 +454,12 @@
   }
 
   /**
-   * The owner loses the store, and its successor does not reach a worker that the owner reaches.
+   * Partitions the owner from the store, and its successor from a worker that the owner reaches.
    */
-  private void partitionOwner(ModelWorker worker, long length) {
-    ModelOwner before = owner;
-    before.storeUnreachable = true;
-    time.schedule(length, () -> before.storeUnreachable = false);
+  private void partitionOwner(ModelWorker worker, long durationMillis) {
+    ModelOwner former = owner;
+    former.storeUnreachable = true;
+    time.schedule(durationMillis, () -> former.storeUnreachable = false);
     time.schedule(
         time.randomBetween(1_500, 2_500),
         () -> {
@@ -456,11 +467,11 @@
             return;
           }
           takeOver();
-          markDisruptedFor(length);
+          markDisruptedFor(durationMillis);
           ModelOwner successor = owner;
           successor.unreachableWorkers.add(worker.id);
-          unlistWorker(worker, length);
-          time.schedule(length, () -> successor.unreachableWorkers.remove(worker.id));
+          unlistWorker(worker, durationMillis);
+          time.schedule(durationMillis, () -> successor.unreachableWorkers.remove(worker.id));
         });
   }
 
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelFaults.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelFaults.java
@@ -1,21 +1,19 @@
 package org.hickorypier.core.cell.model;
 
-/** What goes wrong on the way between owners, store and workers, switched on and off in time. */
+/** The faults currently injected between owners, store and workers. */
 final class ModelFaults {
 
-  /** Share of orders that get no answer and are carried out 2 to 12 s late. */
+  /** Share of orders that are executed 2 to 12 s late, so that the owner gets no response. */
   double delayedOrderShare;
 
-  /** Share of orders that are lost. */
   double lostOrderShare;
 
-  /** Share of answers that are lost. */
   double lostAnswerShare;
 
-  /** Milliseconds that the store takes more than usual. */
+  /** Additional latency of the store in each direction, in milliseconds. */
   long storeDelayMillis;
 
-  /** The store answers nobody. */
+  /** Whether the store is unreachable for all owners. */
   boolean storeDown;
 
   void clear() {
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelJournal.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelJournal.java
@@ -7,7 +7,7 @@
 import org.hickorypier.core.submission.SubmissionProgress;
 import org.hickorypier.core.submission.SubmissionSpec;
 
-/** The journal in the store: the newest of each key, and a fence by epoch. */
+/** The journal in the store: the latest record of each key, with fencing by epoch. */
 final class ModelJournal {
 
   final Map<String, SubmissionSpec> specs = new HashMap<>();
@@ -16,9 +16,9 @@
   List<RosterEntry> roster = List.of();
   int epoch;
 
-  /** Returns false if a successor has fenced the writer. */
-  boolean append(int byEpoch, Runnable change) {
-    if (byEpoch < epoch) {
+  /** Applies the change, or returns false if the writer is fenced by a later epoch. */
+  boolean append(int writerEpoch, Runnable change) {
+    if (writerEpoch < epoch) {
       return false;
     }
     change.run();
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
@@ -23,7 +23,9 @@
 import org.hickorypier.core.submission.SubmissionProgress;
 import org.hickorypier.core.submission.SubmissionSpec;
 
-/** One owner: the real cell, with the model's journal, network and workers around it. */
+/**
+ * One owner: a real {@link Cell} that is connected to the simulated journal, network and workers.
+ */
 final class ModelOwner implements CellOutput {
 
   private static final CellTerms TERMS = CellTerms.of(ModelWorker.MAX_LEASE_MILLIS, 3_000, 600_000);
@@ -40,39 +42,39 @@
   private long ownershipProvenAtMillis;
   boolean ended;
 
-  /** Workers that this owner cannot reach, nor they it. */
+  /** Ids of the workers that are partitioned from this owner, in both directions. */
   final Set<String> unreachableWorkers = new HashSet<>();
 
-  /** This owner cannot reach the store. */
+  /** Whether this owner is partitioned from the store. */
   boolean storeUnreachable;
 
   private final Map<WorkerView, Boolean> renewedWorkers = new HashMap<>();
 
-  ModelOwner(ModelCluster world, int epoch) {
-    this.cluster = world;
-    this.time = world.time;
+  ModelOwner(ModelCluster cluster, int epoch) {
+    this.cluster = cluster;
+    this.time = cluster.time;
     this.epoch = epoch;
     this.ownershipProvenAtMillis = time.nowMillis();
     this.cell =
         new Cell(
             TERMS,
             this,
-            (part, event, fields) -> world.note(epoch, event, fields),
+            (part, event, fields) -> cluster.note(epoch, event, fields),
             epoch,
             time.nowMillis());
-    cell.configure(world.customers());
-    for (SubmissionSpec spec : world.journal.specs.values()) {
-      SubmissionProgress progress = world.journal.progress.get(spec.id());
+    cell.configure(cluster.customers());
+    for (SubmissionSpec spec : cluster.journal.specs.values()) {
+      SubmissionProgress progress = cluster.journal.progress.get(spec.id());
       if (progress != null) {
         cell.restore(
             spec,
-            world.journal.submissionNumbers.get(spec.id()),
+            cluster.journal.submissionNumbers.get(spec.id()),
             progress,
             time.nowMillis(),
             time.nowMillis());
       }
     }
-    cell.restoreRoster(world.journal.roster);
+    cell.restoreRoster(cluster.journal.roster);
     runControlLoop();
     pollWorkerList();
   }
@@ -160,8 +162,8 @@
       WorkerView worker,
       boolean[] answered,
       long sentAt) {
-    HoldReport first = target.hold(epoch, deadline, seen);
-    if (first != null && time.nowMillis() < until && !target.hasUnacknowledgedEnds(seen)) {
+    HoldReport report = target.hold(epoch, deadline, seen);
+    if (report != null && time.nowMillis() < until && !target.hasUnacknowledgedEnds(seen)) {
       time.schedule(
           10,
           () -> {
@@ -176,16 +178,16 @@
         worker.id(),
         answered,
         () -> {
-          if (first == null) {
+          if (report == null) {
             end();
             return;
           }
-          cell.held(worker, first, sentAt, time.nowMillis());
-          boolean[] begun = {false};
+          cell.held(worker, report, sentAt, time.nowMillis());
+          boolean[] renewalStarted = {false};
           Runnable next =
               () -> {
-                if (!begun[0]) {
-                  begun[0] = true;
+                if (!renewalStarted[0]) {
+                  renewalStarted[0] = true;
                   renewLease(worker);
                 }
               };
@@ -237,13 +239,13 @@
         worker.id(),
         answered,
         target -> {
-          boolean taken = target.stop(epoch, run);
+          boolean accepted = target.stop(epoch, run);
           cluster.answer(
               this,
               worker.id(),
               answered,
               () -> {
-                if (taken) {
+                if (accepted) {
                   cell.stopAnswered(worker, run, time.nowMillis());
                 } else {
                   end();
@@ -264,7 +266,7 @@
 
   @Override
   public void drop(String id) {
-    // The model's days are shorter than the time that end states are kept.
+    // A scenario is shorter than the retention time of terminal states.
   }
 
   @Override
@@ -320,7 +322,7 @@
     time.schedule(
         2 + cluster.faults.storeDelayMillis,
         () -> {
-          boolean taken =
+          boolean accepted =
               cluster.journal.append(
                   epoch,
                   () -> {
@@ -340,7 +342,7 @@
                 if (ended) {
                   return;
                 }
-                if (!taken) {
+                if (!accepted) {
                   end();
                   return;
                 }
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelRollingUpdate.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelRollingUpdate.java
@@ -4,14 +4,14 @@
 import java.util.Deque;
 
 /**
- * Planned work: the workers are replaced one after the other, and the owner is handed over in
- * spells.
+ * A rolling update: the workers are replaced one after the other, and ownership is handed over
+ * repeatedly in several periods.
  */
 final class ModelRollingUpdate {
 
   private static final long BEGIN_MILLIS = 4_000;
 
-  /** No handover is under way any more when the faults end. */
+  /** The last handover completes before the faults end. */
   private static final long END_MILLIS = 24_000;
 
   private static final int HANDOVER_PERIODS = 2;
@@ -21,22 +21,22 @@
   private final VirtualTime time;
   private final Deque<ModelWorker> toReplace = new ArrayDeque<>();
 
-  ModelRollingUpdate(ModelCluster world) {
-    this.cluster = world;
-    this.time = world.time;
-    this.toReplace.addAll(world.workers);
+  ModelRollingUpdate(ModelCluster cluster) {
+    this.cluster = cluster;
+    this.time = cluster.time;
+    this.toReplace.addAll(cluster.workers);
   }
 
   void schedule() {
     time.schedule(time.randomBetween(BEGIN_MILLIS, 2 * BEGIN_MILLIS), this::replaceNext);
-    for (int spell = 0; spell < HANDOVER_PERIODS; spell++) {
+    for (int period = 0; period < HANDOVER_PERIODS; period++) {
       long from =
           BEGIN_MILLIS
-              + spell * HANDOVER_PERIOD_MILLIS
+              + period * HANDOVER_PERIOD_MILLIS
               + time.randomBetween(0, HANDOVER_PERIOD_MILLIS / 2);
       long until =
           Math.min(
-              BEGIN_MILLIS + (spell + 1) * HANDOVER_PERIOD_MILLIS,
+              BEGIN_MILLIS + (period + 1) * HANDOVER_PERIOD_MILLIS,
               from + time.randomBetween(4_000, 9_000));
       time.schedule(from, () -> repeatHandoverUntil(until));
     }
@@ -47,10 +47,10 @@
       return;
     }
     ModelWorker next = toReplace.remove();
-    long left = time.randomBetween(5_500, 6_500);
-    next.drain(left);
-    cluster.notes.add(time.nowMillis() + " planned end of " + next.id + " in " + left);
-    time.schedule(left, () -> replace(next));
+    long remainingMillis = time.randomBetween(5_500, 6_500);
+    next.drain(remainingMillis);
+    cluster.notes.add(time.nowMillis() + " planned end of " + next.id + " in " + remainingMillis);
+    time.schedule(remainingMillis, () -> replace(next));
     time.schedule(time.randomBetween(1_500, 3_000), this::replaceNext);
   }
 
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelRun.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelRun.java
@@ -4,7 +4,7 @@
 import org.hickorypier.core.model.Resources;
 import org.hickorypier.core.verification.ObservedRun;
 
-/** A run on a worker of the model. */
+/** A run of a task on a {@link ModelWorker}. */
 final class ModelRun {
 
   final RunKey key;
@@ -13,23 +13,22 @@
   final int gangWidth;
   boolean stopping;
   boolean working;
-  private long workFrom;
+  private long workStartMillis;
   private long workMillis = 1;
 
-  /** Returns the run as the worker's record shows it. */
+  /** Returns the run as an observer of the worker sees it. */
   ObservedRun observed() {
     return new ObservedRun(key, worker.id, worker.incarnation);
   }
 
-  /** Begins to work. */
-  void workFrom(long now, long millis) {
-    workFrom = now;
+  void beginWork(long now, long millis) {
+    workStartMillis = now;
     workMillis = Math.max(1, millis);
   }
 
-  /** Tells how far it is. */
+  /** Returns the progress in percent, at most 99 while the run works. */
   int percent(long now) {
-    return working ? (int) Math.min(99, 100 * (now - workFrom) / workMillis) : 0;
+    return working ? (int) Math.min(99, 100 * (now - workStartMillis) / workMillis) : 0;
   }
 
   ModelRun(RunKey key, ModelWorker worker, Resources size, int gangWidth) {
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelWorker.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelWorker.java
@@ -18,7 +18,7 @@
 import org.hickorypier.core.verification.ObservedRun;
 import org.hickorypier.core.verification.PromiseChecker;
 
-/** A worker as the platform's protocol describes it: fencing, leases, runs, ends, gangs. */
+/** A worker that implements the platform's protocol: fencing, leases, runs, ends and gangs. */
 final class ModelWorker {
 
   static final long MAX_LEASE_MILLIS = 10_000;
@@ -44,7 +44,7 @@
   private long downUntilMillis;
   double failureShare;
 
-  /** So many times as long does what it begins take. */
+  /** Factor by which the duration of newly started work is multiplied. */
   int slowdownFactor = 1;
 
   boolean draining;
@@ -52,9 +52,9 @@
   private boolean left;
 
   ModelWorker(
-      int number, VirtualTime time, PromiseChecker promises, Map<String, List<ModelRun>> gangs) {
-    this.id = "w" + number;
-    this.address = "10.0.0." + (number + 1) + ":1";
+      int index, VirtualTime time, PromiseChecker promises, Map<String, List<ModelRun>> gangs) {
+    this.id = "w" + index;
+    this.address = "10.0.0." + (index + 1) + ":1";
     this.time = time;
     this.promises = promises;
     this.gangs = gangs;
@@ -73,12 +73,12 @@
     return (long) ((time.nowMillis() - startedAtMillis) * clockRate);
   }
 
-  StartOutcome start(long byToken, RunKey key, long deadline, StepSpec step, long workMillis) {
+  StartOutcome start(long callerToken, RunKey key, long deadline, StepSpec step, long workMillis) {
     expireLease();
-    if (byToken < fencingToken) {
+    if (callerToken < fencingToken) {
       return StartOutcome.FENCED;
     }
-    fencingToken = byToken;
+    fencingToken = callerToken;
     leaseEndMillis =
         Math.max(leaseEndMillis, Math.min(deadline, localClockMillis() + MAX_LEASE_MILLIS));
     scheduleLeaseCheck();
@@ -103,12 +103,12 @@
     return StartOutcome.STARTED;
   }
 
-  private void beginWork(ModelRun run, long soundMillis, boolean lasts) {
-    long workMillis = slowdownFactor * soundMillis;
+  private void beginWork(ModelRun run, long normalMillis, boolean persistent) {
+    long workMillis = slowdownFactor * normalMillis;
     run.working = true;
-    run.workFrom(time.nowMillis(), workMillis);
+    run.beginWork(time.nowMillis(), workMillis);
     boolean fails = time.randomlyTrue(failureShare);
-    if (lasts && !fails) {
+    if (persistent && !fails) {
       return;
     }
     time.schedule(
@@ -126,7 +126,7 @@
     if (gang.size() == run.gangWidth) {
       boolean fails = time.randomlyTrue(failureShare);
       gang.forEach(member -> member.working = true);
-      gang.forEach(member -> member.workFrom(time.nowMillis(), workMillis));
+      gang.forEach(member -> member.beginWork(time.nowMillis(), workMillis));
       time.schedule(
           workMillis,
           () -> {
@@ -149,19 +149,19 @@
     }
   }
 
-  void end(ModelRun run, RunEnd how) {
-    if (runs.get(run.key) != run || run.stopping && how != RunEnd.STOPPED && how != RunEnd.LAPSED) {
+  void end(ModelRun run, RunEnd end) {
+    if (runs.get(run.key) != run || run.stopping && end != RunEnd.STOPPED && end != RunEnd.LAPSED) {
       return;
     }
     runs.remove(run.key);
     closedRunNumbers.merge(run.key.task(), run.key.number(), Math::max);
-    ended.add(new EndedRun(++lastEndNumber, run.key, how, ""));
-    promises.ended(run.observed(), how);
-    breakGang(run, how);
+    ended.add(new EndedRun(++lastEndNumber, run.key, end, ""));
+    promises.ended(run.observed(), end);
+    breakGang(run, end);
   }
 
-  private void breakGang(ModelRun run, RunEnd how) {
-    if (run.gangWidth == 1 || how == RunEnd.DONE) {
+  private void breakGang(ModelRun run, RunEnd end) {
+    if (run.gangWidth == 1 || end == RunEnd.DONE) {
       return;
     }
     List<ModelRun> gang = gangs.getOrDefault(gangKey(run), new ArrayList<>());
@@ -173,12 +173,12 @@
     }
   }
 
-  boolean stop(long byToken, RunKey key) {
+  boolean stop(long callerToken, RunKey key) {
     expireLease();
-    if (byToken < fencingToken) {
+    if (callerToken < fencingToken) {
       return false;
     }
-    fencingToken = byToken;
+    fencingToken = callerToken;
     closedRunNumbers.merge(key.task(), key.number(), Math::max);
     ModelRun run = runs.get(key);
     if (run != null && !run.stopping) {
@@ -188,21 +188,22 @@
     return true;
   }
 
-  /** Returns the report, or null if the token is too low. */
-  HoldReport hold(long byToken, long deadline, long seen) {
+  /** Returns the report, or null if the fencing token is too low. */
+  HoldReport hold(long callerToken, long deadline, long acknowledged) {
     expireLease();
-    if (byToken < fencingToken) {
+    if (callerToken < fencingToken) {
       return null;
     }
-    fencingToken = byToken;
+    fencingToken = callerToken;
     if (deadline >= 0) {
       leaseEndMillis =
           Math.max(leaseEndMillis, Math.min(deadline, localClockMillis() + MAX_LEASE_MILLIS));
       scheduleLeaseCheck();
     }
-    while (!ended.isEmpty() && ended.get(0).number() <= seen) {
-      EndedRun forgotten = ended.remove(0);
-      promises.noted(new ObservedRun(forgotten.run(), id, incarnation), forgotten.how());
+    while (!ended.isEmpty() && ended.get(0).number() <= acknowledged) {
+      EndedRun acknowledgedEnd = ended.remove(0);
+      promises.noted(
+          new ObservedRun(acknowledgedEnd.run(), id, incarnation), acknowledgedEnd.how());
     }
     List<RunningTask> running = new ArrayList<>();
     for (ModelRun run : runs.values()) {
@@ -211,13 +212,13 @@
     return new HoldReport(incarnation, localClockMillis(), running, List.copyOf(ended));
   }
 
-  boolean hasUnacknowledgedEnds(long seen) {
-    return !ended.isEmpty() && ended.get(ended.size() - 1).number() > seen;
+  boolean hasUnacknowledgedEnds(long acknowledged) {
+    return !ended.isEmpty() && ended.get(ended.size() - 1).number() > acknowledged;
   }
 
   private void scheduleLeaseCheck() {
-    long left = (long) ((leaseEndMillis - localClockMillis()) / clockRate) + 2;
-    time.schedule(left, this::expireLease);
+    long remainingMillis = (long) ((leaseEndMillis - localClockMillis()) / clockRate) + 2;
+    time.schedule(remainingMillis, this::expireLease);
   }
 
   private void expireLease() {
@@ -231,7 +232,7 @@
     }
   }
 
-  /** Crashes; a second crash while it is down only makes it longer. */
+  /** Crashes; a crash while the worker is down only extends the outage. */
   void crash(long millis) {
     downUntilMillis = Math.max(downUntilMillis, time.nowMillis() + millis);
     time.schedule(
@@ -245,13 +246,13 @@
     dropRuns();
   }
 
-  /** Says that it takes no new tasks and leaves after some time. */
+  /** Announces that the worker accepts no new tasks and leaves after the given time. */
   void drain(long millis) {
     draining = true;
     drainEndMillis = time.nowMillis() + millis;
   }
 
-  /** Exits for good, with everything on it. */
+  /** Leaves permanently and loses all its runs. */
   void leave() {
     left = true;
     up = false;
--- a/core/src/test/java/org/hickorypier/core/cell/model/ScenarioKind.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ScenarioKind.java
@@ -1,14 +1,14 @@
 package org.hickorypier.core.cell.model;
 
-/** What a day of the model consists of, beside its seeded faults. */
+/** The kinds of scenario that the model runs; each has its own work and planned events. */
 enum ScenarioKind {
 
-  /** Short work of one urgency, on workers that stay. */
+  /** Short tasks of a single priority, on workers that do not leave. */
   UNIFORM_WORK,
 
-  /** Batches beside urgent work, on workers that turn slow or leave for a while. */
+  /** Batches and urgent work, on workers that become slow or leave temporarily. */
   MIXED_PRIORITIES,
 
-  /** Tasks that last beside short work; workers are replaced and the owner is handed over. */
+  /** Persistent and short tasks, while workers are replaced and ownership is handed over. */
   ROLLING_UPDATE
 }
--- a/core/src/test/java/org/hickorypier/core/cell/model/VirtualTime.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/VirtualTime.java
@@ -4,7 +4,11 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-/** Fake time with a seeded source of chance: events run one after another, in order of time. */
+/**
+ * Virtual time of a discrete-event simulation, with a seeded random source.
+ *
+ * <p>Events run one after the other, ordered by time and then by the order of scheduling.
+ */
 final class VirtualTime {
 
   private final PriorityQueue<Event> events =
@@ -22,26 +26,26 @@
     return nowMillis;
   }
 
-  void schedule(long millis, Runnable action) {
-    events.add(new Event(nowMillis + Math.max(0, millis), nextOrder++, action));
+  void schedule(long delayMillis, Runnable action) {
+    events.add(new Event(nowMillis + Math.max(0, delayMillis), nextOrder++, action));
   }
 
-  boolean randomlyTrue(double share) {
-    return random.nextDouble() < share;
+  boolean randomlyTrue(double probability) {
+    return random.nextDouble() < probability;
   }
 
-  long randomBetween(long least, long most) {
-    return least + (long) (random.nextDouble() * (most - least + 1));
+  long randomBetween(long min, long max) {
+    return min + (long) (random.nextDouble() * (max - min + 1));
   }
 
-  void runUntil(long end) {
-    while (!events.isEmpty() && events.peek().at <= end) {
+  void runUntil(long endMillis) {
+    while (!events.isEmpty() && events.peek().at <= endMillis) {
       Event next = events.remove();
       nowMillis = next.at;
       executedEvents++;
       next.action.run();
     }
-    nowMillis = end;
+    nowMillis = endMillis;
   }
 
   private record Event(long at, long order, Runnable action) {}
