--- a/core/src/main/java/org/hickorypier/core/cell/RunController.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunController.java
@@ -52,7 +52,7 @@
   }
 
   void orderStart(Task task, WorkerView worker, int number, String ticket, long now) {
-    Resources size = task.step.spec.reserved();
+    Resources size = task.step.spec.reservedResources();
     String customer = task.step.submission.spec().customer();
     Run run = new Run(new RunKey(task.name(), number), task, worker, size, customer);
     run.orderedAt = now;
--- a/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
@@ -92,7 +92,7 @@
    */
   private static boolean isComparable(Run run) {
     StepFlags flags = run.task.step.spec.flags();
-    return !flags.gang() && !flags.fills() && !flags.persistent() && !run.resumed;
+    return !flags.gang() && !flags.opportunistic() && !flags.persistent() && !run.resumed;
   }
 
   private void completeTask(Task task, long now) {
@@ -158,7 +158,7 @@
     record.failedRuns.add(ended.run().number());
     record.avoided = worker;
     cell.changed(submission);
-    boolean exhausted = record.failedRuns.size() >= submission.spec().queue().attempts();
+    boolean exhausted = record.failedRuns.size() >= submission.spec().queue().maxAttempts();
     if (exhausted && !task.step.spec.flags().persistent()) {
       submission.state = SubmissionState.FAILED;
       cell.submissionEvent(
--- a/core/src/main/java/org/hickorypier/core/configuration/ConfigurationSnapshots.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/ConfigurationSnapshots.java
@@ -16,23 +16,25 @@
 import org.hickorypier.wire.record.FoldedIdEntry;
 
 /**
- * Turns a configuration into a snapshot record and back. Thread safe: it holds no state.
+ * Converts a configuration to a snapshot record and back.
  *
- * <p>The remembered ids are part of it. Without them an instance that started from a snapshot would
- * take a repeated change for a new one and differ from all the others.
+ * <p>A snapshot contains the retained change ids. Without them an instance that started from a
+ * snapshot would apply a repeated change again and diverge from all other instances.
+ *
+ * <p>Thread-safe: it holds no state.
  */
 public final class ConfigurationSnapshots {
 
   private ConfigurationSnapshots() {}
 
   /**
-   * Writes a snapshot.
+   * Creates the snapshot of a configuration.
    *
    * @param id the id of the record
    * @param state the configuration
    * @return the record
    */
-  public static Snapshot write(String id, Configuration state) {
+  public static Snapshot toSnapshot(String id, Configuration state) {
     List<TeamEntry> teams = new ArrayList<>();
     state.teams().values().stream()
         .sorted(Comparator.comparing(Team::name))
@@ -69,23 +71,23 @@
   }
 
   /**
-   * Tells whether a snapshot has all its parts.
+   * Tells whether a snapshot is complete and its entries are valid.
    *
    * @param snapshot the record
-   * @return false if a part is missing or an entry makes no sense
+   * @return false if a part is missing or an entry is invalid
    */
-  static boolean isWhole(Snapshot snapshot) {
+  static boolean isComplete(Snapshot snapshot) {
     return snapshot.teams() != null
         && snapshot.keys() != null
         && snapshot.drains() != null
         && snapshot.ids() != null
         && snapshot.teams().stream().allMatch(entry -> entry != null && entry.name() != null)
-        && snapshot.keys().stream().allMatch(ConfigurationSnapshots::isWhole)
+        && snapshot.keys().stream().allMatch(ConfigurationSnapshots::isComplete)
         && snapshot.drains().stream().allMatch(entry -> entry != null && entry.name() != null)
-        && snapshot.ids().stream().allMatch(ConfigurationSnapshots::isWhole);
+        && snapshot.ids().stream().allMatch(ConfigurationSnapshots::isComplete);
   }
 
-  private static boolean isWhole(KeyEntry entry) {
+  private static boolean isComplete(KeyEntry entry) {
     return entry != null
         && entry.keyId() != null
         && entry.team() != null
@@ -93,14 +95,14 @@
         && entry.hash() != null;
   }
 
-  private static boolean isWhole(FoldedIdEntry entry) {
+  private static boolean isComplete(FoldedIdEntry entry) {
     return entry != null
         && entry.id() != null
         && entry.verdict() >= 0
         && entry.verdict() < Verdict.values().length;
   }
 
-  static Configuration read(Snapshot snapshot) {
+  static Configuration fromSnapshot(Snapshot snapshot) {
     Map<String, Team> teams = new HashMap<>();
     for (TeamEntry entry : snapshot.teams()) {
       teams.put(
@@ -133,6 +135,10 @@
                     new FoldedId(entry.id(), entry.offset(), Verdict.values()[entry.verdict()]))
             .toList();
     return new Configuration(
-        snapshot.upTo(), teams, keys, drains, RecentIds.of(Configuration.REMEMBERED_OFFSETS, ids));
+        snapshot.upTo(),
+        teams,
+        keys,
+        drains,
+        RecentIds.of(Configuration.ID_RETENTION_OFFSETS, ids));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/submission/AdviceTerms.java
+++ b/core/src/main/java/org/hickorypier/core/submission/AdviceTerms.java
@@ -1,23 +1,23 @@
 package org.hickorypier.core.submission;
 
 /**
- * How long the advisor of a queue takes, and how long its tickets last.
+ * Timing of the advisor of a queue: the duration of a call and the validity of its tickets.
  *
  * <p>Immutable.
  *
- * @param decideMillis fixed time of one call, in milliseconds
- * @param eachMillis additional time for each worker named, in milliseconds
- * @param validMillis how long a ticket is valid, in milliseconds
+ * @param baseMillis fixed part of the duration of a call, in milliseconds
+ * @param perWorkerMillis additional duration for each worker named in the call, in milliseconds
+ * @param ticketValidityMillis how long a ticket is valid, in milliseconds
  */
-public record AdviceTerms(double decideMillis, double eachMillis, long validMillis) {
+public record AdviceTerms(double baseMillis, double perWorkerMillis, long ticketValidityMillis) {
 
   /**
-   * Returns how long the advisor is busy with one call.
+   * Returns how long the advisor is busy with a call.
    *
-   * @param workers how many workers the call names
-   * @return milliseconds
+   * @param workers number of workers that the call names
+   * @return the duration in milliseconds
    */
   public double callMillis(int workers) {
-    return decideMillis + eachMillis * workers;
+    return baseMillis + perWorkerMillis * workers;
   }
 }
--- /dev/null
+++ b/core/src/main/java/org/hickorypier/core/submission/SubmissionProgress.java
@@ -0,0 +1,24 @@
+package org.hickorypier.core.submission;
+
+import java.util.BitSet;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Durable progress of a submission, which a new owner needs in addition to its specification.
+ *
+ * <p>Immutable by convention: the bit sets are copies that are never modified.
+ *
+ * @param state the terminal state, or {@link SubmissionState#QUEUED} or {@link
+ *     SubmissionState#RUNNING} if the submission has not ended
+ * @param endedAtMillis time of the terminal state, in milliseconds since the Unix epoch; 0 before
+ * @param completedTasks the tasks that completed, one bit set per step, in order of occurrence and
+ *     step
+ * @param failedRuns numbers of the failed runs of each task, keyed by the task's position in the
+ *     submission; a gang counts as one task, under its first member
+ */
+public record SubmissionProgress(
+    SubmissionState state,
+    long endedAtMillis,
+    List<BitSet> completedTasks,
+    Map<Integer, List<Integer>> failedRuns) {}
--- a/core/src/test/java/org/hickorypier/core/cell/StragglerDetectorTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/StragglerDetectorTest.java
@@ -70,7 +70,7 @@
    */
   @Test
   void taskIsMovedAwayFromSlowWorker() {
-    start(StepFlags.PLAIN);
+    start(StepFlags.NONE);
     final Run slow = fixture.starts.get(0).run();
     reportProgress(1.0 / 6, 500);
     assertThat(fixture.stops).containsExactly(slow.key());
@@ -88,7 +88,7 @@
    */
   @Test
   void taskIsMovedAwayFromStalledWorker() {
-    start(StepFlags.PLAIN);
+    start(StepFlags.NONE);
     reportProgress(0, 500);
     assertThat(fixture.stops).hasSize(1);
   }
@@ -97,7 +97,7 @@
   @Test
   void noTaskIsMovedBeforeExpectedRunTimeIsKnown() {
     listWorkers();
-    fixture.submit(spec("s", QUEUE, step(StepFlags.PLAIN)));
+    fixture.submit(spec("s", QUEUE, step(StepFlags.NONE)));
     fixture.confirmAll();
     reportProgress(1.0 / 6, 900);
     assertThat(fixture.stops).isEmpty();
@@ -105,7 +105,7 @@
 
   @Test
   void runsOfHealthyWorkersAreNotMoved() {
-    start(StepFlags.PLAIN);
+    start(StepFlags.NONE);
     reportProgress(1 / 1.5, 900);
     assertThat(fixture.stops).isEmpty();
   }
@@ -129,7 +129,7 @@
     listWorkers();
     completeEarlierTasks();
     for (int index = 0; index < 4; index++) {
-      fixture.submit(spec("s" + index, QUEUE, step(StepFlags.PLAIN)));
+      fixture.submit(spec("s" + index, QUEUE, step(StepFlags.NONE)));
     }
     fixture.confirmAll();
     for (int percent = 1; percent <= 6; percent++) {
--- /dev/null
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelCluster.java
@@ -0,0 +1,495 @@
+package org.hickorypier.core.cell.model;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.Submission;
+import org.hickorypier.core.cell.SubmissionStatus;
+import org.hickorypier.core.cell.TaskName;
+import org.hickorypier.core.model.Resources;
+import org.hickorypier.core.submission.QueueTerms;
+import org.hickorypier.core.submission.StepFlags;
+import org.hickorypier.core.submission.StepSpec;
+import org.hickorypier.core.submission.SubmissionSpec;
+import org.hickorypier.core.submission.SubmissionState;
+import org.hickorypier.core.verification.PromiseChecker;
+
+/**
+ * A simulated cluster with seeded faults: successive owners, workers, a journal and callers.
+ *
+ * <p>All faults end some time before the scenario does, so that all accepted work must reach a
+ * terminal state by its end.
+ */
+final class ModelCluster {
+
+  private static final long FAULTS_END_MILLIS = 25_000;
+  private static final long SCENARIO_END_MILLIS = 75_000;
+
+  /** Late enough that the last worker has left and the last link cut has ended well before. */
+  private static final long ROLLING_UPDATE_END_MILLIS = 50_000;
+
+  private static final int WORKERS = 4;
+
+  /** More than {@link #WORKERS}, since some drain while the others take over their tasks. */
+  private static final int ROLLING_UPDATE_WORKERS = 6;
+
+  private static final int FAULTS = 7;
+  private static final int MAX_ROLLING_UPDATE_FAULTS = 3;
+
+  /** Shortest cut of a link between instances that loses the final roster of a former owner. */
+  private static final long MIN_LINK_CUT_MILLIS = 4_000;
+
+  private static final long MAX_LINK_CUT_MILLIS = 7_000;
+  private static final double LOST_FINAL_ROSTER_SHARE = 0.15;
+  private static final long CHECK_INTERVAL_MILLIS = 50;
+
+  private static final QueueTerms QUEUE =
+      new QueueTerms("queue", "service", 0, 3, 2, 1_000, Optional.empty());
+
+  /** Last digits of the ids of persistent submissions; those that end with 7 are cancelled. */
+  private static final Set<Integer> PERSISTENT_ID_DIGITS = Set.of(1, 2, 5, 7, 9);
+
+  /** Small enough that persistent tasks leave half of a customer's limit to other work. */
+  private static final long PERSISTENT_MILLI_PROCESSORS = 500;
+
+  private static final QueueTerms BATCH_QUEUE =
+      new QueueTerms("batches", "service", 2, 3, 2, 1_000, Optional.empty());
+
+  final VirtualTime time;
+  final PromiseChecker promises;
+  final ModelFaults faults = new ModelFaults();
+  final ModelJournal journal = new ModelJournal();
+  final List<ModelWorker> workers = new ArrayList<>();
+  final List<String> notes = new ArrayList<>();
+  private final Map<String, ModelWorker> workersById = new HashMap<>();
+  private final Map<String, List<ModelRun>> gangs = new HashMap<>();
+  private final Map<ModelWorker, Long> unlistedFromMillis = new HashMap<>();
+  private final Set<String> accepted = new HashSet<>();
+  private final Set<String> cancelled = new HashSet<>();
+  private ModelOwner owner;
+
+  private final long seed;
+  private final ScenarioKind kind;
+
+  /** Whether nothing unplanned happens, so that the final roster of each former owner arrives. */
+  private final boolean plannedOnly;
+
+  private long disruptedUntilMillis;
+
+  /**
+   * Creates a scenario.
+   *
+   * @param seed the seed that determines all events
+   * @param kind the kind of scenario
+   */
+  ModelCluster(long seed, ScenarioKind kind) {
+    this.seed = seed;
+    this.kind = kind;
+    this.plannedOnly = kind == ScenarioKind.ROLLING_UPDATE && seed % 2 == 0;
+    this.time = new VirtualTime(seed);
+    this.promises = new PromiseChecker(time::nowMillis);
+    for (int index = 0;
+        index < (kind == ScenarioKind.ROLLING_UPDATE ? ROLLING_UPDATE_WORKERS : WORKERS);
+        index++) {
+      addWorker();
+    }
+    promises.limit("small", new Resources(12_000, 0, 0));
+    takeOver();
+    for (int index = 0; index < 40; index++) {
+      String id = "%016x".formatted(index);
+      time.schedule(time.randomBetween(500, FAULTS_END_MILLIS), () -> submit(id, 0));
+    }
+    for (int index = 0; index < faultCount(); index++) {
+      time.schedule(time.randomBetween(1_000, FAULTS_END_MILLIS - 8_000), this::injectFault);
+    }
+    time.schedule(FAULTS_END_MILLIS, this::endFaults);
+    if (kind == ScenarioKind.ROLLING_UPDATE) {
+      new ModelRollingUpdate(this).schedule();
+      checkPeriodically();
+    }
+  }
+
+  private int faultCount() {
+    if (kind != ScenarioKind.ROLLING_UPDATE) {
+      return FAULTS;
+    }
+    return plannedOnly ? 0 : 1 + Math.floorMod(seed / 2, MAX_ROLLING_UPDATE_FAULTS);
+  }
+
+  /** Adds a worker with an id that was never used before. */
+  ModelWorker addWorker() {
+    ModelWorker worker = new ModelWorker(workersById.size(), time, promises, gangs);
+    workersById.put(worker.id, worker);
+    workers.add(worker);
+    promises.capacity(worker.id, ModelWorker.CAPACITY);
+    return worker;
+  }
+
+  private void checkPeriodically() {
+    if (time.nowMillis() < disruptedUntilMillis) {
+      promises.disrupted();
+    }
+    promises.checkLasting(
+        workers.stream()
+            .filter(worker -> isListed(worker) && !worker.draining)
+            .map(worker -> worker.id)
+            .toList());
+    time.schedule(CHECK_INTERVAL_MILLIS, this::checkPeriodically);
+  }
+
+  List<CustomerTerms> customers() {
+    return List.of(
+        new CustomerTerms("large", 100, Resources.NONE),
+        new CustomerTerms("small", 100, new Resources(12_000, 0, 0)));
+  }
+
+  /** Runs the scenario and returns the violations. */
+  List<String> run() {
+    time.runUntil(
+        kind == ScenarioKind.ROLLING_UPDATE ? ROLLING_UPDATE_END_MILLIS : SCENARIO_END_MILLIS);
+    for (String id : accepted) {
+      SubmissionStatus status = owner.cell.status(id);
+      SubmissionState state = status == null ? null : status.state();
+      boolean ended = state != null && state.isTerminal();
+      boolean persistent = state != null && !cancelled.contains(id) && isPersistent(id);
+      if (persistent ? ended : !ended && !isPersistent(id)) {
+        promises.lost(id, "" + state);
+        notes.addAll(owner.cell.explain(id, time.nowMillis()));
+      }
+    }
+    promises.checkLastingAtWork();
+    return promises.broken();
+  }
+
+  void note(int epoch, String event, Object[] fields) {
+    notes.add(time.nowMillis() + " epoch " + epoch + " " + event + " " + List.of(fields));
+  }
+
+  boolean isListed(ModelWorker worker) {
+    Long from = unlistedFromMillis.get(worker);
+    return worker.up && (from == null || time.nowMillis() < from);
+  }
+
+  /** Returns the notes on a submission, on workers, and on all faults and planned events. */
+  List<String> traceOf(String submission) {
+    return notes.stream()
+        .filter(
+            line ->
+                line.contains(submission)
+                    || line.contains(" fault ")
+                    || line.contains(" planned ")
+                    || line.contains("worker-"))
+        .toList();
+  }
+
+  long workMillis(TaskName task, StepSpec step) {
+    return step.estimateMillis() + (task.hashCode() & 0x1ff);
+  }
+
+  void deliver(ModelOwner from, String workerId, boolean[] answered, Consumer<ModelWorker> action) {
+    ModelWorker worker = worker(workerId);
+    if (from.unreachableWorkers.contains(workerId) || time.randomlyTrue(faults.lostOrderShare)) {
+      return;
+    }
+    long delay = time.randomBetween(1, 3);
+    if (time.randomlyTrue(faults.delayedOrderShare)) {
+      delay = time.randomBetween(2_000, 12_000);
+    }
+    long incarnation = worker.incarnation;
+    time.schedule(
+        delay,
+        () -> {
+          // The platform does not specify whether an order reaches a later incarnation with the
+          // same id; docs/ lists this as an open question.
+          if (worker.up && worker.incarnation == incarnation) {
+            action.accept(worker);
+          }
+        });
+  }
+
+  void answer(ModelOwner to, String workerId, boolean[] answered, Runnable action) {
+    if (to.unreachableWorkers.contains(workerId) || time.randomlyTrue(faults.lostAnswerShare)) {
+      return;
+    }
+    time.schedule(
+        time.randomBetween(1, 3),
+        () -> {
+          if (!answered[0] && !to.ended) {
+            answered[0] = true;
+            action.run();
+          }
+        });
+  }
+
+  void recordWritten(Submission submission) {
+    accepted.add(submission.spec().id());
+    promises.accepted(submission.spec().id());
+    promises.shown(submission.spec().id(), submission.shown());
+    if (submission.shown() == SubmissionState.CANCELLED) {
+      promises.cancelAcknowledged(submission.spec().id());
+    }
+  }
+
+  private ModelWorker worker(String id) {
+    return workersById.get(id);
+  }
+
+  private void takeOver() {
+    journal.epoch++;
+    owner = new ModelOwner(this, journal.epoch);
+  }
+
+  private void submit(String id, int attempts) {
+    if (owner.ended || faults.storeDown || owner.storeUnreachable) {
+      if (attempts < 60) {
+        time.schedule(500, () -> submit(id, attempts + 1));
+      }
+      return;
+    }
+    SubmissionSpec spec = spec(id);
+    promises.handedIn(spec);
+    Submission submission = owner.cell.accept(spec, time.nowMillis());
+    if (submission == null) {
+      accepted.add(id);
+      return;
+    }
+    ModelOwner acceptedBy = owner;
+    time.schedule(
+        1_000,
+        () -> {
+          if (acceptedBy != owner && !accepted.contains(id)) {
+            submit(id, attempts + 1);
+          }
+        });
+    if (id.endsWith("7")) {
+      time.schedule(time.randomBetween(100, 6_000), () -> cancel(submission.spec().id()));
+    }
+  }
+
+  private void cancel(String id) {
+    Submission submission = owner.cell.find(id);
+    if (!owner.ended && submission != null && submission.durable()) {
+      cancelled.add(id);
+      promises.cancelSent(id);
+      owner.cell.cancel(submission, time.nowMillis());
+    }
+  }
+
+  private SubmissionSpec spec(String id) {
+    if (isPersistent(id)) {
+      return persistentSpec(id);
+    }
+    int digit = lastDigit(id);
+    boolean gang = digit % 4 == 0;
+    boolean batch = kind == ScenarioKind.MIXED_PRIORITIES && digit % 4 == 1;
+    StepFlags flags = new StepFlags(gang, false, batch, false, false, false);
+    int count = batch ? 4 + digit : 1 + digit % 4;
+    StepSpec first = step(count, 1_500 + 500L * (digit % 5), batch ? 3_000 : 600, List.of(), flags);
+    StepSpec second = step(1 + digit % 2, 2_000, 400, List.of(0), StepFlags.NONE);
+    List<StepSpec> steps = digit % 3 == 0 ? List.of(first, second) : List.of(first);
+    return submission(id, digit, batch ? BATCH_QUEUE : QUEUE, steps);
+  }
+
+  private static int lastDigit(String id) {
+    return Integer.parseInt(id.substring(15), 16);
+  }
+
+  /** Tells whether a submission consists of persistent tasks. */
+  private boolean isPersistent(String id) {
+    return kind == ScenarioKind.ROLLING_UPDATE && PERSISTENT_ID_DIGITS.contains(lastDigit(id));
+  }
+
+  private SubmissionSpec persistentSpec(String id) {
+    int count = 1 + Math.floorMod(seed + id.hashCode(), 4);
+    StepFlags flags = new StepFlags(false, false, false, false, true, false);
+    StepSpec step = step(count, PERSISTENT_MILLI_PROCESSORS, 2_000, List.of(), flags);
+    return submission(id, lastDigit(id), QUEUE, List.of(step));
+  }
+
+  private SubmissionSpec submission(String id, int digit, QueueTerms queue, List<StepSpec> steps) {
+    String customer = digit % 2 == 0 ? "small" : "large";
+    return new SubmissionSpec(id, customer, queue, "text", steps, 0, 0, 0, time.nowMillis());
+  }
+
+  private static StepSpec step(
+      int count, long processors, long estimate, List<Integer> after, StepFlags flags) {
+    return new StepSpec(
+        count, new Resources(processors, 1_000, 0), estimate, after, flags, "", "", 0, "", 0, 0);
+  }
+
+  private void injectFault() {
+    long durationMillis = time.randomBetween(1_000, 7_000);
+    ModelWorker worker = workers.get(time.random.nextInt(workers.size()));
+    int fault = time.random.nextInt(kind == ScenarioKind.MIXED_PRIORITIES ? 14 : 11);
+    notes.add(time.nowMillis() + " fault " + fault + " " + worker.id + " for " + durationMillis);
+    markDisruptedFor(durationMillis);
+    switch (fault) {
+      case 0 -> killOwner(true);
+      case 1 -> killOwner(false);
+      case 2 -> worker.crash(durationMillis);
+      case 3 -> {
+        owner.unreachableWorkers.add(worker.id);
+        ModelOwner partitioned = owner;
+        time.schedule(durationMillis, () -> partitioned.unreachableWorkers.remove(worker.id));
+        unlistWorker(worker, durationMillis);
+      }
+      case 4 ->
+          during(
+              durationMillis,
+              () -> faults.delayedOrderShare = 0.4,
+              () -> faults.delayedOrderShare = 0);
+      case 5 ->
+          during(
+              durationMillis, () -> faults.lostOrderShare = 0.3, () -> faults.lostOrderShare = 0);
+      case 6 ->
+          during(
+              durationMillis, () -> faults.lostAnswerShare = 0.3, () -> faults.lostAnswerShare = 0);
+      case 7 ->
+          during(durationMillis, () -> faults.storeDown = true, () -> faults.storeDown = false);
+      case 8 ->
+          during(
+              durationMillis,
+              () -> faults.storeDelayMillis = 200,
+              () -> faults.storeDelayMillis = 0);
+      case 9 -> {
+        worker.failureShare = 1;
+        time.schedule(durationMillis, () -> worker.failureShare = 0);
+      }
+      case 11 -> {
+        worker.slowdownFactor = 6;
+        time.schedule(durationMillis, () -> worker.slowdownFactor = 1);
+      }
+      case 12 -> drainAndRestart(worker, durationMillis);
+      default -> partitionOwner(worker, durationMillis);
+    }
+  }
+
+  /** Drains the worker, which leaves while the owner may be lost, and starts a new incarnation. */
+  private void drainAndRestart(ModelWorker worker, long durationMillis) {
+    worker.draining = true;
+    time.schedule(
+        2_000 + durationMillis,
+        () -> {
+          worker.draining = false;
+          if (worker.up) {
+            worker.crash(2_000);
+          }
+        });
+  }
+
+  private void markDisruptedFor(long millis) {
+    disruptedUntilMillis = Math.max(disruptedUntilMillis, time.nowMillis() + millis);
+  }
+
+  private void during(long durationMillis, Runnable begin, Runnable end) {
+    begin.run();
+    time.schedule(durationMillis, end);
+  }
+
+  private void unlistWorker(ModelWorker worker, long durationMillis) {
+    unlistedFromMillis.put(worker, time.nowMillis() + 4_500);
+    time.schedule(durationMillis, () -> unlistedFromMillis.remove(worker));
+  }
+
+  /** Kills the owner, or lets it run beside its successor until it is fenced. */
+  private void killOwner(boolean dead) {
+    if (dead) {
+      owner.end();
+    }
+    long gapMillis = time.randomBetween(300, 2_000);
+    markDisruptedFor(gapMillis);
+    time.schedule(
+        gapMillis,
+        () -> {
+          if (!faults.storeDown) {
+            takeOver();
+          } else {
+            killOwner(dead);
+          }
+        });
+  }
+
+  /** Ends the owner as planned; its successor takes over at its request. */
+  void handOver() {
+    if (owner.ended || owner.storeUnreachable || faults.storeDown) {
+      return;
+    }
+    ModelOwner former = owner;
+    former.end();
+    time.schedule(time.randomBetween(50, 90), () -> takeOverFrom(former));
+  }
+
+  private void takeOverFrom(ModelOwner former) {
+    if (owner != former) {
+      return;
+    }
+    if (faults.storeDown) {
+      time.schedule(100, () -> takeOverFrom(former));
+      return;
+    }
+    takeOver();
+    ModelOwner successor = owner;
+    notes.add(time.nowMillis() + " planned handover to epoch " + successor.epoch);
+    if (!plannedOnly && time.randomlyTrue(LOST_FINAL_ROSTER_SHARE)) {
+      notes.add(time.nowMillis() + " fault between instances");
+      markDisruptedFor(time.randomBetween(MIN_LINK_CUT_MILLIS, MAX_LINK_CUT_MILLIS));
+    } else {
+      time.schedule(time.randomBetween(20, 80), () -> sendFinalRoster(former, successor));
+    }
+  }
+
+  /** Sends the former owner's final roster to its successor. */
+  private void sendFinalRoster(ModelOwner former, ModelOwner successor) {
+    notes.add(
+        time.nowMillis() + " planned word of epoch " + former.epoch + " to " + successor.epoch);
+    if (!successor.ended) {
+      successor.cell.formerOwnerEnded(former.cell.finalRoster(time.nowMillis()), time.nowMillis());
+    }
+  }
+
+  /**
+   * Partitions the owner from the store, and its successor from a worker that the owner reaches.
+   */
+  private void partitionOwner(ModelWorker worker, long durationMillis) {
+    ModelOwner former = owner;
+    former.storeUnreachable = true;
+    time.schedule(durationMillis, () -> former.storeUnreachable = false);
+    time.schedule(
+        time.randomBetween(1_500, 2_500),
+        () -> {
+          if (faults.storeDown) {
+            return;
+          }
+          takeOver();
+          markDisruptedFor(durationMillis);
+          ModelOwner successor = owner;
+          successor.unreachableWorkers.add(worker.id);
+          unlistWorker(worker, durationMillis);
+          time.schedule(durationMillis, () -> successor.unreachableWorkers.remove(worker.id));
+        });
+  }
+
+  private void endFaults() {
+    faults.clear();
+    unlistedFromMillis.clear();
+    for (ModelWorker worker : workers) {
+      worker.failureShare = 0;
+      worker.slowdownFactor = 1;
+      worker.draining &= kind == ScenarioKind.ROLLING_UPDATE;
+      if (!worker.up) {
+        worker.restart();
+      }
+    }
+    owner.unreachableWorkers.clear();
+    owner.storeUnreachable = false;
+    if (owner.ended) {
+      takeOver();
+    }
+  }
+}
--- /dev/null
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ScenarioKind.java
@@ -0,0 +1,14 @@
+package org.hickorypier.core.cell.model;
+
+/** The kinds of scenario that the model runs; each has its own work and planned events. */
+enum ScenarioKind {
+
+  /** Short tasks of a single priority, on workers that do not leave. */
+  UNIFORM_WORK,
+
+  /** Batches and urgent work, on workers that become slow or leave temporarily. */
+  MIXED_PRIORITIES,
+
+  /** Persistent and short tasks, while workers are replaced and ownership is handed over. */
+  ROLLING_UPDATE
+}
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalContents.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalContents.java
@@ -7,8 +7,8 @@
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.core.cell.RosterCodec;
 import org.hickorypier.core.cell.RosterEntry;
-import org.hickorypier.core.submission.Progress;
 import org.hickorypier.core.submission.SubmissionCodec;
+import org.hickorypier.core.submission.SubmissionProgress;
 import org.hickorypier.core.submission.SubmissionState;
 import org.hickorypier.wire.UndecodableException;
 
@@ -18,8 +18,8 @@
  */
 final class JournalContents {
 
-  private static final Progress NO_PROGRESS =
-      new Progress(SubmissionState.QUEUED, 0, List.of(), Map.of());
+  private static final SubmissionProgress NO_PROGRESS =
+      new SubmissionProgress(SubmissionState.QUEUED, 0, List.of(), Map.of());
 
   private final Map<String, byte[]> values;
   private final EventLog log;
@@ -76,14 +76,19 @@
   private void restore(Cell cell, String id, byte[] spec, long now, long wallMillis)
       throws UndecodableException {
     byte[] value = values.get(JournalKeys.progressKey(id));
-    Progress progress = value == null ? NO_PROGRESS : SubmissionCodec.decodeProgress(value);
-    if (progress.state().terminal() && progress.endedAtMillis() > 0) {
-      String customer = SubmissionCodec.customerOf(spec);
+    SubmissionProgress progress =
+        value == null ? NO_PROGRESS : SubmissionCodec.decodeProgress(value);
+    if (progress.state().isTerminal() && progress.endedAtMillis() > 0) {
+      String customer = SubmissionCodec.decodeCustomer(spec);
       cell.restoreEnded(
           id, new EndedSubmission(customer, progress.state(), progress.endedAtMillis(), spec));
     } else {
       cell.restore(
-          SubmissionCodec.decode(spec), SubmissionCodec.numberOf(spec), progress, now, wallMillis);
+          SubmissionCodec.decode(spec),
+          SubmissionCodec.decodeNumber(spec),
+          progress,
+          now,
+          wallMillis);
     }
   }
 }
