--- a/daemon/src/main/java/org/hickorypier/daemon/front/Judgement.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/AccessDecision.java
@@ -15,7 +15,7 @@
  * @param customer its customer, or empty on a public queue
  * @param version the version of the configuration that decided
  */
-record Judgement(int status, String reason, QueueRoute route, String customer, long version) {
+record AccessDecision(int status, String reason, QueueRoute route, String customer, long version) {
 
   private static final String BEARER = "Bearer ";
   private static final int UNAUTHORIZED = 401;
@@ -32,7 +32,7 @@
    * @param path the path
    * @param authorization the header with the key, or null
    */
-  static Judgement of(
+  static AccessDecision decide(
       ClusterConfiguration configuration,
       boolean proven,
       String host,
@@ -50,7 +50,7 @@
       return refused(NOT_FOUND, "no such queue", version);
     }
     if (route.open()) {
-      return new Judgement(0, "", route, "", version);
+      return new AccessDecision(0, "", route, "", version);
     }
     if (authorization == null || !authorization.startsWith(BEARER)) {
       return refused(UNAUTHORIZED, "no key", version);
@@ -59,15 +59,15 @@
         configuration.customerOf(authorization.substring(BEARER.length()).trim()).orElse(null);
     return customer == null
         ? refused(UNAUTHORIZED, "unknown key", version)
-        : new Judgement(0, "", route, customer.name(), version);
+        : new AccessDecision(0, "", route, customer.name(), version);
   }
 
-  boolean mayGoOn() {
+  boolean isAllowed() {
     return status == 0;
   }
 
-  private static Judgement refused(int status, String reason, long version) {
-    return new Judgement(status, reason, null, "", version);
+  private static AccessDecision refused(int status, String reason, long version) {
+    return new AccessDecision(status, reason, null, "", version);
   }
 
   private static String withoutPort(String host) {
--- a/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
@@ -14,52 +14,54 @@
  */
 final class BodyReader {
 
-  static final int MOST_BYTES = 262_144;
+  static final int MAX_BODY_BYTES = 262_144;
 
-  private static final int MOST_DIGITS = 9;
+  private static final int MAX_LENGTH_DIGITS = 9;
   private static final int BAD_REQUEST = 400;
-  private static final int TOO_LARGE = 413;
+  private static final int PAYLOAD_TOO_LARGE = 413;
 
   private BodyReader() {}
 
   /** What becomes of a body. */
-  interface Outcome {
+  interface Callback {
 
     /** The whole body is here. */
-    void whole();
+    void onComplete();
 
     /** The request is answered without it, and no more of it is read. */
-    void refused(int status, String text);
+    void onRefused(int status, String text);
   }
 
-  static void read(Exchange exchange, Outcome outcome) {
+  static void read(Exchange exchange, Callback outcome) {
     HttpServerRequest request = exchange.request();
     String length = request.getHeader("Content-Length");
-    if (tooLong(length)) {
-      outcome.refused(TOO_LARGE, tooLarge(length + " bytes"));
+    if (isTooLong(length)) {
+      outcome.onRefused(PAYLOAD_TOO_LARGE, tooLargeAnswer(length + " bytes"));
       return;
     }
-    request.handler(part -> add(exchange, part, outcome));
+    request.handler(part -> appendPart(exchange, part, outcome));
     request.exceptionHandler(
-        error -> outcome.refused(BAD_REQUEST, CallerWords.error("the body cannot be read")));
-    request.endHandler(none -> outcome.whole());
+        error -> outcome.onRefused(BAD_REQUEST, CallerWords.error("the body cannot be read")));
+    request.endHandler(none -> outcome.onComplete());
   }
 
-  private static boolean tooLong(String length) {
-    return length != null && (length.length() > MOST_DIGITS || Long.parseLong(length) > MOST_BYTES);
+  private static boolean isTooLong(String length) {
+    return length != null
+        && (length.length() > MAX_LENGTH_DIGITS || Long.parseLong(length) > MAX_BODY_BYTES);
   }
 
-  private static void add(Exchange exchange, Buffer part, Outcome outcome) {
-    if (exchange.ended()) {
+  private static void appendPart(Exchange exchange, Buffer part, Callback outcome) {
+    if (exchange.isEnded()) {
       return;
     }
     exchange.body().appendBuffer(part);
-    if (exchange.body().length() > MOST_BYTES) {
-      outcome.refused(TOO_LARGE, tooLarge("more than " + MOST_BYTES + " bytes"));
+    if (exchange.body().length() > MAX_BODY_BYTES) {
+      outcome.onRefused(
+          PAYLOAD_TOO_LARGE, tooLargeAnswer("more than " + MAX_BODY_BYTES + " bytes"));
     }
   }
 
-  private static String tooLarge(String size) {
-    return CallerWords.error("the body has " + size + ", allowed are " + MOST_BYTES);
+  private static String tooLargeAnswer(String size) {
+    return CallerWords.error("the body has " + size + ", allowed are " + MAX_BODY_BYTES);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/CallerConnection.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/CallerConnection.java
@@ -15,31 +15,31 @@
 final class CallerConnection {
 
   private final HttpConnection connection;
-  private final Set<Exchange> open = new LinkedHashSet<>();
-  private long unusedSince;
+  private final Set<Exchange> openExchanges = new LinkedHashSet<>();
+  private long idleSinceMillis;
 
   CallerConnection(HttpConnection connection, long nowMillis) {
     this.connection = connection;
-    this.unusedSince = nowMillis;
+    this.idleSinceMillis = nowMillis;
   }
 
-  void begun(Exchange exchange) {
-    open.add(exchange);
+  void addExchange(Exchange exchange) {
+    openExchanges.add(exchange);
   }
 
-  void ended(Exchange exchange, long nowMillis) {
-    open.remove(exchange);
-    unusedSince = nowMillis;
+  void removeExchange(Exchange exchange, long nowMillis) {
+    openExchanges.remove(exchange);
+    idleSinceMillis = nowMillis;
   }
 
   /** Returns the requests that are open, in a list of its own. */
-  List<Exchange> open() {
-    return new ArrayList<>(open);
+  List<Exchange> openExchanges() {
+    return new ArrayList<>(openExchanges);
   }
 
   /** Returns for how long no request has been open on it; 0 while one is. */
-  long unusedMillis(long nowMillis) {
-    return open.isEmpty() ? nowMillis - unusedSince : 0;
+  long idleMillis(long nowMillis) {
+    return openExchanges.isEmpty() ? nowMillis - idleSinceMillis : 0;
   }
 
   /**
@@ -47,8 +47,8 @@
    *
    * @return true if it is closed
    */
-  boolean closeIfUnused() {
-    if (!open.isEmpty()) {
+  boolean closeIfIdle() {
+    if (!openExchanges.isEmpty()) {
       return false;
     }
     connection.close();
--- a/daemon/src/main/java/org/hickorypier/daemon/front/CallerConnections.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/CallerConnectionRegistry.java
@@ -15,38 +15,38 @@
  *
  * <p>Belongs to the traffic thread; {@link #report} may be called from any thread.
  */
-final class CallerConnections {
+final class CallerConnectionRegistry {
 
   private final TimerService timers;
   private final Map<HttpConnection, CallerConnection> connections = new HashMap<>();
-  private int open;
-  private long read;
-  private long answered;
-  private long closedUnused;
-  private long withoutOutcome;
-  private Promise<Void> empty;
+  private int openExchanges;
+  private long readCount;
+  private long answeredCount;
+  private long closedIdleCount;
+  private long unknownOutcomeCount;
+  private Promise<Void> allClosed;
   private volatile DrainReport report = DrainReport.NONE;
 
-  CallerConnections(TimerService timers) {
+  CallerConnectionRegistry(TimerService timers) {
     this.timers = timers;
   }
 
-  void opened(HttpConnection connection) {
+  void register(HttpConnection connection) {
     CallerConnection known = new CallerConnection(connection, timers.nowMillis());
     connections.put(connection, known);
-    connection.closeHandler(none -> closed(connection));
-    publish();
+    connection.closeHandler(none -> unregister(connection));
+    publishReport();
   }
 
-  private void closed(HttpConnection connection) {
+  private void unregister(HttpConnection connection) {
     CallerConnection gone = connections.remove(connection);
     if (gone != null) {
-      gone.open().forEach(this::end);
+      gone.openExchanges().forEach(this::endExchange);
     }
-    if (connections.isEmpty() && empty != null) {
-      empty.tryComplete();
+    if (connections.isEmpty() && allClosed != null) {
+      allClosed.tryComplete();
     }
-    publish();
+    publishReport();
   }
 
   /**
@@ -55,21 +55,21 @@
    * @param request the request
    * @param bodyMillis how long its body may take, in milliseconds
    */
-  Exchange begin(HttpServerRequest request, long bodyMillis) {
+  Exchange beginExchange(HttpServerRequest request, long bodyMillis) {
     CallerConnection connection = connections.get(request.connection());
     Exchange exchange = new Exchange(request, connection, timers.nowMillis() + bodyMillis);
-    connection.begun(exchange);
-    open++;
-    read++;
-    publish();
+    connection.addExchange(exchange);
+    openExchanges++;
+    readCount++;
+    publishReport();
     return exchange;
   }
 
   /** Counts an answer. */
   void countAnswer(boolean outcomeKnown) {
-    answered++;
-    withoutOutcome += outcomeKnown ? 0 : 1;
-    publish();
+    answeredCount++;
+    unknownOutcomeCount += outcomeKnown ? 0 : 1;
+    publishReport();
   }
 
   /**
@@ -77,29 +77,29 @@
    *
    * @return false if it had ended before
    */
-  boolean end(Exchange exchange) {
+  boolean endExchange(Exchange exchange) {
     if (!exchange.end()) {
       return false;
     }
-    exchange.connection().ended(exchange, timers.nowMillis());
-    open--;
-    publish();
+    exchange.connection().removeExchange(exchange, timers.nowMillis());
+    openExchanges--;
+    publishReport();
     return true;
   }
 
   /** Returns the requests without an answer, in a list of its own. */
-  List<Exchange> open() {
+  List<Exchange> openExchanges() {
     List<Exchange> all = new ArrayList<>();
-    connections.values().forEach(each -> all.addAll(each.open()));
+    connections.values().forEach(each -> all.addAll(each.openExchanges()));
     return all;
   }
 
   /** Closes the connections that have been unused for some time. */
-  void closeUnused(long sinceStopMillis) {
+  void closeIdle(long sinceStopMillis) {
     long now = timers.nowMillis();
     for (CallerConnection each : List.copyOf(connections.values())) {
-      if (DrainRule.mayClose(sinceStopMillis, each.unusedMillis(now))) {
-        closeOne(each);
+      if (DrainPolicy.mayClose(sinceStopMillis, each.idleMillis(now))) {
+        closeIfIdle(each);
       }
     }
   }
@@ -109,35 +109,41 @@
    *
    * @return done when no connection is left
    */
-  Future<Void> closeAllUnused() {
-    empty = Promise.promise();
-    List.copyOf(connections.values()).forEach(this::closeOne);
+  Future<Void> closeAllIdle() {
+    allClosed = Promise.promise();
+    List.copyOf(connections.values()).forEach(this::closeIfIdle);
     if (connections.isEmpty()) {
-      empty.tryComplete();
+      allClosed.tryComplete();
     }
-    return empty.future();
+    return allClosed.future();
   }
 
-  private void closeOne(CallerConnection connection) {
-    closedUnused += connection.closeIfUnused() ? 1 : 0;
-    publish();
+  private void closeIfIdle(CallerConnection connection) {
+    closedIdleCount += connection.closeIfIdle() ? 1 : 0;
+    publishReport();
   }
 
   /** Counts from now on, since the instance has been told to end. */
-  void countFromNow() {
-    read = 0;
-    answered = 0;
-    closedUnused = 0;
-    withoutOutcome = 0;
-    publish();
+  void resetCounters() {
+    readCount = 0;
+    answeredCount = 0;
+    closedIdleCount = 0;
+    unknownOutcomeCount = 0;
+    publishReport();
   }
 
   DrainReport report() {
     return report;
   }
 
-  private void publish() {
+  private void publishReport() {
     report =
-        new DrainReport(connections.size(), open, read, answered, closedUnused, withoutOutcome);
+        new DrainReport(
+            connections.size(),
+            openExchanges,
+            readCount,
+            answeredCount,
+            closedIdleCount,
+            unknownOutcomeCount);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/Exchange.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/Exchange.java
@@ -14,9 +14,9 @@
   private final HttpServerRequest request;
   private final CallerConnection connection;
   private final Buffer body = Buffer.buffer();
-  private final long readUntil;
-  private boolean whole;
-  private boolean ended;
+  private final long bodyDeadlineMillis;
+  private boolean isBodyComplete;
+  private boolean isEnded;
   private boolean submission;
 
   /**
@@ -29,7 +29,7 @@
   Exchange(HttpServerRequest request, CallerConnection connection, long readUntil) {
     this.request = request;
     this.connection = connection;
-    this.readUntil = readUntil;
+    this.bodyDeadlineMillis = readUntil;
   }
 
   HttpServerRequest request() {
@@ -45,26 +45,26 @@
   }
 
   /** Takes notice that the body has ended. */
-  void bodyEnded() {
-    whole = true;
+  void markBodyComplete() {
+    isBodyComplete = true;
   }
 
   /** Tells whether the whole request is here, so that its outcome may be unknown. */
-  boolean whole() {
-    return whole;
+  boolean isBodyComplete() {
+    return isBodyComplete;
   }
 
   /** Tells whether the body is late. */
-  boolean stalled(long nowMillis) {
-    return !whole && nowMillis >= readUntil;
+  boolean isBodyOverdue(long nowMillis) {
+    return !isBodyComplete && nowMillis >= bodyDeadlineMillis;
   }
 
   /** Takes notice that it hands a submission in, which may be taken without an answer. */
-  void asksToSubmit() {
+  void markSubmission() {
     submission = true;
   }
 
-  boolean submits() {
+  boolean isSubmission() {
     return submission;
   }
 
@@ -74,17 +74,17 @@
    * @return false if it had ended before
    */
   boolean end() {
-    boolean first = !ended;
-    ended = true;
+    boolean first = !isEnded;
+    isEnded = true;
     return first;
   }
 
-  boolean ended() {
-    return ended;
+  boolean isEnded() {
+    return isEnded;
   }
 
   /** Writes the answer. */
-  Future<Void> write(int status, String text) {
+  Future<Void> writeAnswer(int status, String text) {
     if (request.response().closed()) {
       return Future.succeededFuture();
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
@@ -29,38 +29,38 @@
 public final class FrontServer {
 
   /** How long a caller is taken to wait that does not say so. */
-  private static final long USUAL_WAIT_MILLIS = 3_000;
+  private static final long DEFAULT_WAIT_MILLIS = 3_000;
 
   /** Covers the way back to the caller, so that it gets an answer before it leaves. */
-  private static final long WAY_BACK_MILLIS = 120;
+  private static final long ANSWER_MARGIN_MILLIS = 120;
 
-  private static final long SHORTEST_WAIT_MILLIS = 20;
+  private static final long MIN_WAIT_MILLIS = 20;
 
   /** Callers wait for seconds; a stalled body may stay this much longer. */
-  private static final Duration STALL_PERIOD = Duration.ofMillis(250);
+  private static final Duration STALL_CHECK_PERIOD = Duration.ofMillis(250);
 
-  private static final Duration DRAIN_PERIOD = Duration.ofMillis(50);
+  private static final Duration DRAIN_CHECK_PERIOD = Duration.ofMillis(50);
 
   /** The owner's replies to requests read just before the end come within this time. */
-  private static final Duration LAST_REPLIES = Duration.ofMillis(150);
+  private static final Duration FINAL_REPLY_TIMEOUT = Duration.ofMillis(150);
 
   /** Many callers connect at once after an outage. */
   private static final int ACCEPT_BACKLOG = 1_024;
 
   private static final int OK = 200;
-  private static final int TIMED_OUT = 408;
+  private static final int REQUEST_TIMEOUT = 408;
   private static final int UNAVAILABLE = 503;
 
   private final Vertx vertx;
   private final Context traffic;
   private final TimerService timers;
   private final BooleanSupplier ready;
-  private final CallerConnections connections;
+  private final CallerConnectionRegistry connections;
   private final RequestHandler handler;
-  private boolean lookingForStalled;
+  private boolean stallCheckScheduled;
   private boolean draining;
   private boolean closing;
-  private long endsAtNanos;
+  private long processEndNanos;
 
   /**
    * Creates the server; called on the traffic thread.
@@ -77,7 +77,7 @@
       Vertx vertx,
       Context control,
       ConfigurationSource configuration,
-      OwnerQuestions owner,
+      OwnerClient owner,
       BooleanSupplier ready,
       LongSupplier wallMillis,
       EventLog log) {
@@ -85,7 +85,7 @@
     this.traffic = vertx.getOrCreateContext();
     this.timers = new VertxTimerService(vertx, traffic);
     this.ready = ready;
-    this.connections = new CallerConnections(timers);
+    this.connections = new CallerConnectionRegistry(timers);
     this.handler =
         new RequestHandler(traffic, control, configuration, owner, wallMillis, log, this::answer);
   }
@@ -112,7 +112,10 @@
     HttpServerOptions options =
         new HttpServerOptions().setAcceptBacklog(ACCEPT_BACKLOG).setHttp2ClearTextEnabled(false);
     HttpServer frontServer =
-        vertx.createHttpServer(options).connectionHandler(this::opened).requestHandler(this::begin);
+        vertx
+            .createHttpServer(options)
+            .connectionHandler(this::registerConnection)
+            .requestHandler(this::beginExchange);
     // The balancer sends connections as soon as the instance is ready, so the front comes first.
     return frontServer
         .listen(front.port(), front.host())
@@ -134,9 +137,9 @@
     Promise<Void> gone = Promise.promise();
     traffic.runOnContext(
         none -> {
-          endsAtNanos = processEndsAtNanos;
+          processEndNanos = processEndsAtNanos;
           draining = true;
-          connections.countFromNow();
+          connections.resetCounters();
           new Drain(gone).begin();
         });
     return gone.future();
@@ -145,24 +148,24 @@
   /** Sends the callers away, until none is left. */
   private final class Drain {
 
-    private final Promise<Void> gone;
-    private final long beganAt = timers.nowMillis();
-    private TimerSubscription ticks = () -> {};
+    private final Promise<Void> drained;
+    private final long beganAtMillis = timers.nowMillis();
+    private TimerSubscription checkTimer = () -> {};
 
     Drain(Promise<Void> gone) {
-      this.gone = gone;
+      this.drained = gone;
     }
 
     void begin() {
-      ticks = timers.every(DRAIN_PERIOD, this::tick);
+      checkTimer = timers.every(DRAIN_CHECK_PERIOD, this::closeIdleConnections);
     }
 
-    private void tick() {
-      long since = timers.nowMillis() - beganAt;
-      connections.closeUnused(since);
-      if (since >= DrainRule.NOTICE_MILLIS && connections.report().connections() == 0) {
-        ticks.cancel();
-        gone.tryComplete();
+    private void closeIdleConnections() {
+      long since = timers.nowMillis() - beganAtMillis;
+      connections.closeIdle(since);
+      if (since >= DrainPolicy.BALANCER_NOTICE_MILLIS && connections.report().connections() == 0) {
+        checkTimer.cancel();
+        drained.tryComplete();
       }
     }
   }
@@ -195,120 +198,120 @@
         none -> {
           draining = true;
           closing = true;
-          connections.closeAllUnused().onComplete(closed);
-          refuseUnread();
-          timers.after(LAST_REPLIES, this::giveUpOpen);
+          connections.closeAllIdle().onComplete(closed);
+          refuseIncomplete();
+          timers.after(FINAL_REPLY_TIMEOUT, this::answerOpenAsUnknown);
         });
     return closed.future();
   }
 
-  private void refuseUnread() {
-    connections.open().stream()
-        .filter(exchange -> !exchange.whole())
-        .forEach(handler::refuseUnread);
+  private void refuseIncomplete() {
+    connections.openExchanges().stream()
+        .filter(exchange -> !exchange.isBodyComplete())
+        .forEach(handler::refuseIncomplete);
   }
 
-  private void giveUpOpen() {
-    connections.open().forEach(handler::outcomeUnknown);
+  private void answerOpenAsUnknown() {
+    connections.openExchanges().forEach(handler::answerOutcomeUnknown);
   }
 
-  private void opened(HttpConnection connection) {
-    connections.opened(connection);
+  private void registerConnection(HttpConnection connection) {
+    connections.register(connection);
     if (closing) {
       connection.close();
     }
   }
 
-  private void begin(HttpServerRequest request) {
+  private void beginExchange(HttpServerRequest request) {
     long wait = waitMillis(request);
-    Exchange exchange = connections.begin(request, wait);
+    Exchange exchange = connections.beginExchange(request, wait);
     BodyReader.read(
         exchange,
-        new BodyReader.Outcome() {
+        new BodyReader.Callback() {
           @Override
-          public void whole() {
-            bodyRead(exchange, wait);
+          public void onComplete() {
+            handleCompleteRequest(exchange, wait);
           }
 
           @Override
-          public void refused(int status, String text) {
+          public void onRefused(int status, String text) {
             refuseBody(exchange, status, text);
           }
         });
-    if (!exchange.whole()) {
-      lookForStalled();
+    if (!exchange.isBodyComplete()) {
+      scheduleStallCheck();
     }
   }
 
-  private void bodyRead(Exchange exchange, long wait) {
-    if (exchange.ended()) {
+  private void handleCompleteRequest(Exchange exchange, long wait) {
+    if (exchange.isEnded()) {
       return;
     }
-    exchange.bodyEnded();
+    exchange.markBodyComplete();
     if (closing) {
-      handler.refuseUnread(exchange);
+      handler.refuseIncomplete(exchange);
     } else {
-      handler.handle(exchange, draining ? Math.min(wait, leftMillis()) : wait);
+      handler.handle(exchange, draining ? Math.min(wait, remainingMillis()) : wait);
     }
   }
 
   /** What follows on the connection is the rest of the body, so it carries no other request. */
   private void refuseBody(Exchange exchange, int status, String text) {
-    if (!exchange.ended()) {
+    if (!exchange.isEnded()) {
       exchange.request().response().putHeader("Connection", "close");
       answer(exchange, status, text);
-      exchange.connection().closeIfUnused();
+      exchange.connection().closeIfIdle();
     }
   }
 
-  private void lookForStalled() {
-    if (!lookingForStalled) {
-      lookingForStalled = true;
-      timers.after(STALL_PERIOD, this::refuseStalled);
+  private void scheduleStallCheck() {
+    if (!stallCheckScheduled) {
+      stallCheckScheduled = true;
+      timers.after(STALL_CHECK_PERIOD, this::refuseOverdueBodies);
     }
   }
 
-  private void refuseStalled() {
-    lookingForStalled = false;
+  private void refuseOverdueBodies() {
+    stallCheckScheduled = false;
     long now = timers.nowMillis();
-    for (Exchange exchange : connections.open()) {
-      if (exchange.stalled(now)) {
-        refuseBody(exchange, TIMED_OUT, CallerWords.error("the body did not come in time"));
-      } else if (!exchange.whole()) {
-        lookForStalled();
+    for (Exchange exchange : connections.openExchanges()) {
+      if (exchange.isBodyOverdue(now)) {
+        refuseBody(exchange, REQUEST_TIMEOUT, CallerWords.error("the body did not come in time"));
+      } else if (!exchange.isBodyComplete()) {
+        scheduleStallCheck();
       }
     }
   }
 
   private long waitMillis(HttpServerRequest request) {
     String text = request.getHeader(CallerWords.DEADLINE_HEADER);
-    long wait = USUAL_WAIT_MILLIS;
+    long wait = DEFAULT_WAIT_MILLIS;
     try {
       wait = text == null ? wait : Long.parseLong(text.trim());
     } catch (NumberFormatException error) {
       // A caller that says something else gets the usual time: its request is valid without it.
-      wait = USUAL_WAIT_MILLIS;
+      wait = DEFAULT_WAIT_MILLIS;
     }
-    return Math.max(SHORTEST_WAIT_MILLIS, wait - WAY_BACK_MILLIS);
+    return Math.max(MIN_WAIT_MILLIS, wait - ANSWER_MARGIN_MILLIS);
   }
 
-  private long leftMillis() {
-    long left = TimeUnit.NANOSECONDS.toMillis(endsAtNanos - System.nanoTime());
-    return Math.max(SHORTEST_WAIT_MILLIS, left - WAY_BACK_MILLIS);
+  private long remainingMillis() {
+    long left = TimeUnit.NANOSECONDS.toMillis(processEndNanos - System.nanoTime());
+    return Math.max(MIN_WAIT_MILLIS, left - ANSWER_MARGIN_MILLIS);
   }
 
   private void answer(Exchange exchange, int status, String text) {
-    if (!connections.end(exchange)) {
+    if (!connections.endExchange(exchange)) {
       return;
     }
-    connections.countAnswer(status != RequestHandler.NO_OUTCOME);
+    connections.countAnswer(status != RequestHandler.OUTCOME_UNKNOWN);
     if (draining) {
       exchange.request().response().putHeader("Connection", "close");
     }
-    Future<Void> written = exchange.write(status, text);
+    Future<Void> written = exchange.writeAnswer(status, text);
     if (draining) {
       // A request that was sent right behind this one is taken up first, and answered too.
-      written.onComplete(done -> vertx.runOnContext(next -> exchange.connection().closeIfUnused()));
+      written.onComplete(done -> vertx.runOnContext(next -> exchange.connection().closeIfIdle()));
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/OwnerQuestions.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/OwnerClient.java
@@ -6,7 +6,7 @@
 
 /** Brings a caller's question to the owner. Called on the control thread. */
 @FunctionalInterface
-public interface OwnerQuestions {
+public interface OwnerClient {
 
   /**
    * Asks.
@@ -15,5 +15,5 @@
    * @param timeoutMillis how long the caller waits, in milliseconds
    * @return the reply; {@link LinkReply.NotOwner} if its outcome is unknown in the end
    */
-  Future<LinkReply> ask(LinkRequest request, long timeoutMillis);
+  Future<LinkReply> sendRequest(LinkRequest request, long timeoutMillis);
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
@@ -24,27 +24,27 @@
 final class RequestHandler {
 
   private static final String PART = "front";
-  private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
+  private static final Pattern ID_PATTERN = Pattern.compile("[0-9a-fA-F]{16}");
 
   private static final int OK = 200;
   private static final int BAD_REQUEST = 400;
-  private static final int NOT_ALLOWED = 405;
+  private static final int METHOD_NOT_ALLOWED = 405;
   private static final int GONE = 410;
   private static final int UNAVAILABLE = 503;
-  static final int NO_OUTCOME = 504;
-  private static final long SECOND_MILLIS = 1_000;
+  static final int OUTCOME_UNKNOWN = 504;
+  private static final long MILLIS_PER_SECOND = 1_000;
 
   private final Context traffic;
   private final Context control;
   private final ConfigurationSource configuration;
-  private final OwnerQuestions owner;
+  private final OwnerClient owner;
   private final LongSupplier wallMillis;
   private final EventLog log;
-  private final Answers answers;
+  private final AnswerWriter answerWriter;
 
   /** Where answers go. */
   @FunctionalInterface
-  interface Answers {
+  interface AnswerWriter {
 
     /**
      * Answers a request, unless that has ended.
@@ -59,17 +59,17 @@
       Context traffic,
       Context control,
       ConfigurationSource configuration,
-      OwnerQuestions owner,
+      OwnerClient owner,
       LongSupplier wallMillis,
       EventLog log,
-      Answers answers) {
+      AnswerWriter answers) {
     this.traffic = traffic;
     this.control = control;
     this.configuration = configuration;
     this.owner = owner;
     this.wallMillis = wallMillis;
     this.log = log;
-    this.answers = answers;
+    this.answerWriter = answers;
   }
 
   /**
@@ -79,8 +79,8 @@
    */
   void handle(Exchange exchange, long waitMillis) {
     HttpServerRequest request = exchange.request();
-    Judgement judgement = judge(request);
-    if (!judgement.mayGoOn()) {
+    AccessDecision judgement = decideAccess(request);
+    if (!judgement.isAllowed()) {
       log.event(
           PART,
           "refused",
@@ -94,31 +94,33 @@
           judgement.reason(),
           "version",
           judgement.version());
-      refuse(exchange, judgement.status(), judgement.reason(), SECOND_MILLIS);
+      refuse(exchange, judgement.status(), judgement.reason(), MILLIS_PER_SECOND);
       return;
     }
     String id = request.path().substring(judgement.route().prefix().length());
     if (id.isEmpty() && request.method() == HttpMethod.GET) {
-      ask(exchange, new LinkRequest.Count(judgement.route().terms().name()), id, waitMillis);
-    } else if (!ID.matcher(id).matches()) {
-      answers.answer(
+      sendToOwner(
+          exchange, new LinkRequest.Count(judgement.route().terms().name()), id, waitMillis);
+    } else if (!ID_PATTERN.matcher(id).matches()) {
+      answerWriter.answer(
           exchange,
           BAD_REQUEST,
           CallerWords.error("the id is " + id + ", wanted are 16 hexadecimal digits"));
     } else if (request.method() == HttpMethod.POST) {
       submit(exchange, judgement, id, waitMillis);
     } else if (request.method() == HttpMethod.GET) {
-      ask(exchange, new LinkRequest.Inquire(id, judgement.customer()), id, waitMillis);
+      sendToOwner(exchange, new LinkRequest.Inquire(id, judgement.customer()), id, waitMillis);
     } else if (request.method() == HttpMethod.DELETE) {
-      ask(exchange, new LinkRequest.Cancel(id, judgement.customer()), id, waitMillis);
+      sendToOwner(exchange, new LinkRequest.Cancel(id, judgement.customer()), id, waitMillis);
     } else {
-      answers.answer(exchange, NOT_ALLOWED, CallerWords.error("the method is " + request.method()));
+      answerWriter.answer(
+          exchange, METHOD_NOT_ALLOWED, CallerWords.error("the method is " + request.method()));
     }
   }
 
-  private Judgement judge(HttpServerRequest request) {
+  private AccessDecision decideAccess(HttpServerRequest request) {
     String host = request.getHeader("Host");
-    return Judgement.of(
+    return AccessDecision.decide(
         configuration.current(),
         configuration.isProven(),
         host == null ? "" : host,
@@ -126,7 +128,7 @@
         request.getHeader("Authorization"));
   }
 
-  private void submit(Exchange exchange, Judgement judgement, String id, long waitMillis) {
+  private void submit(Exchange exchange, AccessDecision judgement, String id, long waitMillis) {
     SubmissionSpec spec;
     try {
       spec =
@@ -148,23 +150,24 @@
           BAD_REQUEST,
           "reason",
           error.getMessage());
-      answers.answer(exchange, BAD_REQUEST, CallerWords.error(error.getMessage()));
+      answerWriter.answer(exchange, BAD_REQUEST, CallerWords.error(error.getMessage()));
       return;
     }
-    exchange.asksToSubmit();
-    ask(exchange, new LinkRequest.Submit(spec), id, waitMillis);
+    exchange.markSubmission();
+    sendToOwner(exchange, new LinkRequest.Submit(spec), id, waitMillis);
   }
 
-  private void ask(Exchange exchange, LinkRequest question, String id, long waitMillis) {
+  private void sendToOwner(Exchange exchange, LinkRequest question, String id, long waitMillis) {
     Promise<LinkReply> reply = Promise.promise();
     reply
         .future()
         .onComplete(
-            value -> deliver(exchange, value, id), error -> questionFailed(exchange, id, error));
+            value -> answerFromReply(exchange, value, id),
+            error -> handleOwnerFailure(exchange, id, error));
     control.runOnContext(
         none ->
             Future.succeededFuture()
-                .compose(begun -> owner.ask(question, waitMillis))
+                .compose(begun -> owner.sendRequest(question, waitMillis))
                 .onComplete(outcome -> traffic.runOnContext(back -> reply.handle(outcome))));
   }
 
@@ -173,20 +176,20 @@
    * vain. Safeguard: it is told at once that the outcome is unknown; that is enough since it may
    * ask for its submission, or send it again, elsewhere.
    */
-  private void questionFailed(Exchange exchange, String id, Throwable error) {
+  private void handleOwnerFailure(Exchange exchange, String id, Throwable error) {
     log.event(PART, "question-failed", "id", id, "error", error);
-    outcomeUnknown(exchange);
+    answerOutcomeUnknown(exchange);
   }
 
-  private void deliver(Exchange exchange, LinkReply reply, String id) {
+  private void answerFromReply(Exchange exchange, LinkReply reply, String id) {
     if (reply instanceof LinkReply.Accepted) {
-      answers.answer(exchange, OK, "{}");
+      answerWriter.answer(exchange, OK, "{}");
     } else if (reply instanceof LinkReply.State state) {
-      answers.answer(exchange, OK, CallerWords.state(state.state()));
+      answerWriter.answer(exchange, OK, CallerWords.state(state.state()));
     } else if (reply instanceof LinkReply.Number number) {
-      answers.answer(exchange, OK, CallerWords.waiting(number.number()));
+      answerWriter.answer(exchange, OK, CallerWords.waiting(number.number()));
     } else if (reply instanceof LinkReply.NotKnown) {
-      answers.answer(exchange, GONE, CallerWords.error("no such submission"));
+      answerWriter.answer(exchange, GONE, CallerWords.error("no such submission"));
     } else if (reply instanceof LinkReply.Refused refused) {
       log.event(
           PART,
@@ -201,27 +204,27 @@
           refused.retryAfterMillis());
       refuse(exchange, UNAVAILABLE, refused.reason(), refused.retryAfterMillis());
     } else {
-      log.event(PART, "no-outcome", "id", id, "submission", exchange.submits());
-      outcomeUnknown(exchange);
+      log.event(PART, "no-outcome", "id", id, "submission", exchange.isSubmission());
+      answerOutcomeUnknown(exchange);
     }
   }
 
   /** A refusal would promise that a submission never runs, and it may have been taken. */
-  void outcomeUnknown(Exchange exchange) {
-    int status = exchange.submits() ? NO_OUTCOME : UNAVAILABLE;
-    refuse(exchange, status, "the outcome is not known yet", SECOND_MILLIS);
+  void answerOutcomeUnknown(Exchange exchange) {
+    int status = exchange.isSubmission() ? OUTCOME_UNKNOWN : UNAVAILABLE;
+    refuse(exchange, status, "the outcome is not known yet", MILLIS_PER_SECOND);
   }
 
   /** Tells the caller of a request that was not read whole to come back elsewhere. */
-  void refuseUnread(Exchange exchange) {
-    refuse(exchange, UNAVAILABLE, "this instance ends", SECOND_MILLIS);
+  void refuseIncomplete(Exchange exchange) {
+    refuse(exchange, UNAVAILABLE, "this instance ends", MILLIS_PER_SECOND);
   }
 
   private void refuse(Exchange exchange, int status, String reason, long retryMillis) {
-    if (status >= UNAVAILABLE && !exchange.ended()) {
-      long seconds = Math.max(1, retryMillis / SECOND_MILLIS);
+    if (status >= UNAVAILABLE && !exchange.isEnded()) {
+      long seconds = Math.max(1, retryMillis / MILLIS_PER_SECOND);
       exchange.request().response().putHeader("Retry-After", Long.toString(seconds));
     }
-    answers.answer(exchange, status, CallerWords.error(reason));
+    answerWriter.answer(exchange, status, CallerWords.error(reason));
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/link/Link.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/Link.java
@@ -23,17 +23,17 @@
  */
 public final class Link {
 
-  private static final int LENGTH_BYTES = 4;
+  private static final int LENGTH_PREFIX_BYTES = 4;
 
   /** Larger than any submission with its frame; a broken sender may announce 2 GB. */
-  private static final int MOST_BYTES = 1 << 20;
+  private static final int MAX_FRAME_BYTES = 1 << 20;
 
   private final NetSocket socket;
-  private final LinkHandler handler;
+  private final LinkRequestHandler handler;
   private final TimerService timers;
-  private final Map<Long, Promise<LinkReply>> open = new HashMap<>();
+  private final Map<Long, Promise<LinkReply>> pendingReplies = new HashMap<>();
   private final List<Runnable> closeHandlers = new ArrayList<>();
-  private long lastNumber;
+  private long lastRequestNumber;
   private boolean closed;
 
   /**
@@ -43,11 +43,11 @@
    * @param handler answers the other side
    * @param timers measures the time that replies take
    */
-  public Link(NetSocket socket, LinkHandler handler, TimerService timers) {
+  public Link(NetSocket socket, LinkRequestHandler handler, TimerService timers) {
     this.socket = socket;
     this.handler = handler;
     this.timers = timers;
-    RecordParser parser = RecordParser.newFixed(LENGTH_BYTES);
+    RecordParser parser = RecordParser.newFixed(LENGTH_PREFIX_BYTES);
     parser.handler(
         new Handler<>() {
           private boolean inFrame;
@@ -56,21 +56,21 @@
           public void handle(Buffer part) {
             if (!inFrame) {
               int length = part.getInt(0);
-              if (length < 1 || length > MOST_BYTES) {
+              if (length < 1 || length > MAX_FRAME_BYTES) {
                 socket.close();
                 return;
               }
               parser.fixedSizeMode(length);
             } else {
-              parser.fixedSizeMode(LENGTH_BYTES);
-              frame(part.getBytes());
+              parser.fixedSizeMode(LENGTH_PREFIX_BYTES);
+              handleFrame(part.getBytes());
             }
             inFrame = !inFrame;
           }
         });
     socket.handler(parser);
     socket.exceptionHandler(error -> socket.close());
-    socket.closeHandler(none -> ended());
+    socket.closeHandler(none -> handleClosed());
   }
 
   /**
@@ -80,14 +80,14 @@
    * @param timeoutMillis how long the reply may take, in milliseconds
    * @return the reply, or a {@link LinkException}
    */
-  public Future<LinkReply> ask(LinkRequest request, long timeoutMillis) {
+  public Future<LinkReply> sendRequest(LinkRequest request, long timeoutMillis) {
     if (closed) {
       return Future.failedFuture(new LinkException("the link is closed"));
     }
-    long number = ++lastNumber;
+    long number = ++lastRequestNumber;
     Promise<LinkReply> promise = Promise.promise();
-    open.put(number, promise);
-    send(LinkCodec.encode(number, request));
+    pendingReplies.put(number, promise);
+    writeFrame(LinkCodec.encode(number, request));
     var timer =
         timers.after(
             Duration.ofMillis(timeoutMillis),
@@ -101,7 +101,7 @@
         .onComplete(
             done -> {
               timer.cancel();
-              open.remove(number);
+              pendingReplies.remove(number);
             });
   }
 
@@ -119,7 +119,7 @@
     socket.close();
   }
 
-  private void frame(byte[] bytes) {
+  private void handleFrame(byte[] bytes) {
     LinkFrame frame;
     try {
       frame = LinkCodec.decode(bytes);
@@ -130,25 +130,27 @@
     if (frame.request() != null) {
       handler
           .answer(frame.request())
-          .onSuccess(reply -> send(LinkCodec.encode(frame.number(), reply)));
+          .onSuccess(reply -> writeFrame(LinkCodec.encode(frame.requestNumber(), reply)));
       return;
     }
-    Promise<LinkReply> promise = open.get(frame.number());
+    Promise<LinkReply> promise = pendingReplies.get(frame.requestNumber());
     if (promise != null) {
       promise.tryComplete(frame.reply());
     }
   }
 
-  private void send(byte[] frame) {
+  private void writeFrame(byte[] frame) {
     if (!closed) {
       socket.write(
-          Buffer.buffer(LENGTH_BYTES + frame.length).appendInt(frame.length).appendBytes(frame));
+          Buffer.buffer(LENGTH_PREFIX_BYTES + frame.length)
+              .appendInt(frame.length)
+              .appendBytes(frame));
     }
   }
 
-  private void ended() {
+  private void handleClosed() {
     closed = true;
-    for (Promise<LinkReply> promise : List.copyOf(open.values())) {
+    for (Promise<LinkReply> promise : List.copyOf(pendingReplies.values())) {
       promise.tryFail(new LinkException("the link broke"));
     }
     closeHandlers.forEach(Runnable::run);
--- a/daemon/src/main/java/org/hickorypier/daemon/link/LinkCodec.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/LinkCodec.java
@@ -76,7 +76,7 @@
       packer.packInt(COUNT).packString(count.queue());
     } else if (request instanceof LinkRequest.Advise advise) {
       packer.packInt(ADVISE).packString(advise.step()).packLong(advise.timeoutMillis());
-      packTexts(packer, advise.workers());
+      packStrings(packer, advise.workers());
     } else if (request instanceof LinkRequest.Explain explain) {
       packer.packInt(EXPLAIN).packString(explain.id());
     } else if (request instanceof LinkRequest.Introduce introduce) {
@@ -113,7 +113,7 @@
       }
     } else if (reply instanceof LinkReply.Lines lines) {
       packer.packInt(LINES);
-      packTexts(packer, lines.lines());
+      packStrings(packer, lines.lines());
     } else if (reply instanceof LinkReply.NotOwner) {
       packer.packInt(NOT_OWNER);
     } else if (reply instanceof LinkReply.Failed) {
@@ -123,14 +123,14 @@
     }
   }
 
-  private static void packTexts(MessagePacker packer, List<String> texts) throws IOException {
+  private static void packStrings(MessagePacker packer, List<String> texts) throws IOException {
     packer.packArrayHeader(texts.size());
     for (String text : texts) {
       packer.packString(text);
     }
   }
 
-  private static List<String> unpackTexts(MessageUnpacker unpacker) throws IOException {
+  private static List<String> unpackStrings(MessageUnpacker unpacker) throws IOException {
     int count = unpacker.unpackArrayHeader();
     List<String> texts = new ArrayList<>();
     for (int index = 0; index < count; index++) {
@@ -173,7 +173,7 @@
       case ADVISE:
         String step = unpacker.unpackString();
         long timeout = unpacker.unpackLong();
-        return new LinkRequest.Advise(step, unpackTexts(unpacker), timeout);
+        return new LinkRequest.Advise(step, unpackStrings(unpacker), timeout);
       case EXPLAIN:
         return new LinkRequest.Explain(unpacker.unpackString());
       case FORMER_OWNER:
@@ -217,7 +217,7 @@
         }
         return new LinkReply.Tickets(tickets, valid);
       case LINES:
-        return new LinkReply.Lines(unpackTexts(unpacker));
+        return new LinkReply.Lines(unpackStrings(unpacker));
       case NOT_OWNER:
         return new LinkReply.NotOwner();
       case FAILED:
--- a/daemon/src/main/java/org/hickorypier/daemon/link/LinkFrame.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/LinkFrame.java
@@ -5,8 +5,8 @@
  *
  * <p>Immutable.
  *
- * @param number the number of the request, the same in its reply
+ * @param requestNumber the number of the request, the same in its reply
  * @param request the request, or null
  * @param reply the reply, or null
  */
-record LinkFrame(long number, LinkRequest request, LinkReply reply) {}
+record LinkFrame(long requestNumber, LinkRequest request, LinkReply reply) {}
--- a/daemon/src/main/java/org/hickorypier/daemon/link/LinkHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/LinkRequestHandler.java
@@ -4,7 +4,7 @@
 
 /** Answers the requests that come over a link. Called on the control thread. */
 @FunctionalInterface
-public interface LinkHandler {
+public interface LinkRequestHandler {
 
   /**
    * Answers a request.
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
@@ -224,7 +224,7 @@
       peer.paced(Successor.NO_ANSWER);
       replies.add(
           peer.link()
-              .ask(new LinkRequest.MeasurePace(), TAKE_OVER_MILLIS)
+              .sendRequest(new LinkRequest.MeasurePace(), TAKE_OVER_MILLIS)
               .onSuccess(reply -> paced(peer, reply)));
     }
     Future.join(replies).onComplete(all -> measured.tryComplete());
@@ -258,7 +258,7 @@
       ownership.pauseWriting(REST_MILLIS);
     }
     return next.link()
-        .ask(new LinkRequest.TakeOver(), TAKE_OVER_MILLIS)
+        .sendRequest(new LinkRequest.TakeOver(), TAKE_OVER_MILLIS)
         .transform((reply, error) -> answered(next, reply, error, candidates, wanted));
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
@@ -13,9 +13,9 @@
 import org.hickorypier.daemon.front.DrainReport;
 import org.hickorypier.daemon.front.FrontServer;
 import org.hickorypier.daemon.link.Link;
-import org.hickorypier.daemon.link.LinkHandler;
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
+import org.hickorypier.daemon.link.LinkRequestHandler;
 import org.hickorypier.daemon.owner.Candidate;
 import org.hickorypier.daemon.owner.ConfigurationWatcher;
 import org.hickorypier.daemon.owner.OwnerDependencies;
@@ -161,7 +161,7 @@
               Link link = new Link(socket, answers, timers);
               String address = socket.remoteAddress().hostAddress();
               answers.peer = handover.linked(link, address);
-              Runnable forget = ownership.addAdvisorClient(address, link::ask);
+              Runnable forget = ownership.addAdvisorClient(address, link::sendRequest);
               link.onClose(
                   () -> {
                     handover.unlinked(answers.peer);
@@ -209,7 +209,7 @@
   }
 
   /** Answers one instance that has opened a link to this one. */
-  private final class PeerHandler implements LinkHandler {
+  private final class PeerHandler implements LinkRequestHandler {
 
     private Peer peer;
 
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerFailureDetector.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerFailureDetector.java
@@ -92,7 +92,7 @@
     }
     probeInFlight = true;
     OwnerRecord asked = requests.linkedOwner();
-    link.ask(new LinkRequest.ProveOwnership(), PROBE_TIMEOUT_MILLIS)
+    link.sendRequest(new LinkRequest.ProveOwnership(), PROBE_TIMEOUT_MILLIS)
         .onComplete(
             reply -> {
               probeInFlight = false;
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerGateway.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerGateway.java
@@ -11,9 +11,9 @@
 import org.hickorypier.core.cell.ComeBack;
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.daemon.link.Link;
-import org.hickorypier.daemon.link.LinkHandler;
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
+import org.hickorypier.daemon.link.LinkRequestHandler;
 import org.hickorypier.daemon.time.TimerService;
 import org.hickorypier.daemon.time.TimerSubscription;
 import org.hickorypier.platform.http.ServiceAddress;
@@ -64,7 +64,7 @@
   private final EventLog log;
   private final OwnerDirectory directory;
   private final Ownership ownership;
-  private final LinkHandler handler;
+  private final LinkRequestHandler handler;
   private final Candidate self;
   private final ProcessorSpeedMonitor speedMonitor;
   private final Set<PendingRequest> pendingRequests = new LinkedHashSet<>();
@@ -97,7 +97,7 @@
       EventLog log,
       OwnerDirectory directory,
       Ownership ownership,
-      LinkHandler handler,
+      LinkRequestHandler handler,
       Candidate self,
       ProcessorSpeedMonitor speedMonitor) {
     this.client = client;
@@ -229,7 +229,7 @@
               && !directory.owner().address().equals(self.address())
               && timers.nowMillis() - ownerlessSince < LINK_OPEN_TIMEOUT_MILLIS);
     }
-    return link.ask(new LinkRequest.ProveOwnership(), PROOF_REPLY_TIMEOUT_MILLIS)
+    return link.sendRequest(new LinkRequest.ProveOwnership(), PROOF_REPLY_TIMEOUT_MILLIS)
         .map(this::evaluateProofReply)
         .otherwise(false);
   }
@@ -301,11 +301,12 @@
               Link opened = new Link(socket, handler, timers);
               opened.onClose(() -> handleLinkClosed(opened));
               long age = timers.nowMillis() - startedAt;
-              opened.ask(
+              opened.sendRequest(
                   new LinkRequest.Introduce(self.strength().score(), age),
                   PROOF_REPLY_TIMEOUT_MILLIS);
               ownership.notifySuccessor(
-                  target.epoch(), request -> opened.ask(request, PROOF_REPLY_TIMEOUT_MILLIS));
+                  target.epoch(),
+                  request -> opened.sendRequest(request, PROOF_REPLY_TIMEOUT_MILLIS));
               link = opened;
               consecutiveRefusals = 0;
               linkedTo = target;
@@ -382,7 +383,7 @@
       pending.sendCount++;
       pending.sentAt = timers.nowMillis();
       long remainingMillis = Math.max(1, pending.deadline - timers.nowMillis());
-      link.ask(
+      link.sendRequest(
               pending.request,
               Math.min(remainingMillis + REPLY_TIMEOUT_MILLIS, REPLY_TIMEOUT_MILLIS))
           .onComplete(reply -> handleReply(pending, reply), error -> scheduleResend(pending));
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/ResolvedSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/ResolvedSettings.java
@@ -19,13 +19,13 @@
   private final List<Entry> entries = new ArrayList<>();
   private final List<SettingProblem> problems = new ArrayList<>();
 
-  void take(Setting<?> setting, String text, SettingSource source) {
+  void parseAndAdd(Setting<?> setting, String text, SettingSource source) {
     entries.add(new Entry(setting, text, source));
     try {
       values.put(setting, setting.parser().parse(text));
     } catch (UnusableValueException error) {
       String name = source == SettingSource.ENVIRONMENT ? setting.variable() : setting.flag();
-      addProblem(name, setting.shown(text), setting.allowed());
+      addProblem(name, setting.maskedText(text), setting.allowed());
     }
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/Setting.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/Setting.java
@@ -30,11 +30,11 @@
     return VARIABLE_PREFIX + name.toUpperCase(Locale.ROOT).replace('-', '_');
   }
 
-  String shown(String text) {
+  String maskedText(String text) {
     return secret && !text.isEmpty() ? Secret.MASK : text;
   }
 
-  String defaultShown() {
+  String displayedDefault() {
     if (defaultText == null) {
       return "required";
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingCatalogue.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingCatalogue.java
@@ -10,17 +10,19 @@
 /** All settings of the daemon, in the order of the help. Immutable, so safe to share. */
 final class SettingCatalogue {
 
-  private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
-  private static final Pattern KEY = Pattern.compile("[A-Za-z0-9_-]{1,64}\\.[A-Za-z0-9_-]{16,256}");
-  private static final Pattern HOST_AND_PORT =
+  private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
+  private static final Pattern KEY_PATTERN =
+      Pattern.compile("[A-Za-z0-9_-]{1,64}\\.[A-Za-z0-9_-]{16,256}");
+  private static final Pattern HOST_AND_PORT_PATTERN =
       Pattern.compile("(?:\\[([0-9A-Fa-f:.]+)]|([A-Za-z0-9._-]+)):(\\d{1,5})");
-  private static final List<String> LEVELS = List.of("error", "warning", "info", "debug", "trace");
-  private static final int LARGEST_PORT = 65_535;
-  private static final int SHORTEST_SECRET = 16;
+  private static final List<String> LOG_LEVELS =
+      List.of("error", "warning", "info", "debug", "trace");
+  private static final int MAX_PORT = 65_535;
+  private static final int MIN_SECRET_CHARACTERS = 16;
 
   private static final List<Setting<?>> DEFINED = new ArrayList<>();
 
-  static final Setting<String> NAME_OF_INSTANCE =
+  static final Setting<String> INSTANCE_NAME =
       defineName("name", "name", "The name of this instance, unlike those of all others.");
   static final Setting<String> DATA_CENTRE =
       defineName("data-centre", "data centre", "The data centre in which this instance runs.");
@@ -31,14 +33,12 @@
               "an IP number",
               "127.0.0.1",
               false,
-              SettingCatalogue::parseIpNumber,
+              SettingCatalogue::parseIpAddress,
               "The address to listen on, and at which the peers reach this instance."));
   static final Setting<Long> HTTP_PORT =
-      defineNumber(
-          "http-port", 0, LARGEST_PORT, 8470, "The port for callers and operators; 0 = free.");
+      defineNumber("http-port", 0, MAX_PORT, 8470, "The port for callers and operators; 0 = free.");
   static final Setting<Long> PEER_PORT =
-      defineNumber(
-          "peer-port", 0, LARGEST_PORT, 8471, "The port for the other instances; 0 = free.");
+      defineNumber("peer-port", 0, MAX_PORT, 8471, "The port for the other instances; 0 = free.");
   static final Setting<HostAndPort> LOG_SERVICE =
       defineAddress("log-service", "The platform's log service.");
   static final Setting<HostAndPort> INSTANCE_LIST =
@@ -47,7 +47,7 @@
       add(
           new Setting<>(
               "peer-secret",
-              "at least " + SHORTEST_SECRET + " characters",
+              "at least " + MIN_SECRET_CHARACTERS + " characters",
               null,
               true,
               SettingCatalogue::parseSecret,
@@ -65,7 +65,7 @@
       add(
           new Setting<>(
               "log-level",
-              String.join(", ", LEVELS),
+              String.join(", ", LOG_LEVELS),
               "info",
               false,
               SettingCatalogue::parseLevel,
@@ -139,7 +139,7 @@
 
   private static Setting<String> defineName(String name, String what, String description) {
     String allowed = "a " + what + " of 1 to 64 letters, digits, ., _ and -";
-    return add(new Setting<>(name, allowed, null, false, matching(NAME), description));
+    return add(new Setting<>(name, allowed, null, false, matching(NAME_PATTERN), description));
   }
 
   private static Setting<HostAndPort> defineAddress(String name, String description) {
@@ -172,21 +172,21 @@
     }
   }
 
-  private static String parseIpNumber(String text) throws UnusableValueException {
+  private static String parseIpAddress(String text) throws UnusableValueException {
     check(NetUtil.isValidIpV4Address(text) || NetUtil.isValidIpV6Address(text));
     return text;
   }
 
   private static HostAndPort parseAddress(String text) throws UnusableValueException {
-    Matcher matcher = HOST_AND_PORT.matcher(text);
+    Matcher matcher = HOST_AND_PORT_PATTERN.matcher(text);
     check(matcher.matches());
     int port = Integer.parseInt(matcher.group(3));
-    check(port >= 1 && port <= LARGEST_PORT);
+    check(port >= 1 && port <= MAX_PORT);
     return new HostAndPort(matcher.group(1) != null ? matcher.group(1) : matcher.group(2), port);
   }
 
   private static Secret parseSecret(String text) throws UnusableValueException {
-    check(text.length() >= SHORTEST_SECRET);
+    check(text.length() >= MIN_SECRET_CHARACTERS);
     return new Secret(text);
   }
 
@@ -194,12 +194,12 @@
     if (text.isEmpty()) {
       return Optional.empty();
     }
-    check(KEY.matcher(text).matches());
+    check(KEY_PATTERN.matcher(text).matches());
     return Optional.of(new Secret(text));
   }
 
   private static String parseLevel(String text) throws UnusableValueException {
-    check(LEVELS.contains(text));
+    check(LOG_LEVELS.contains(text));
     return text;
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsReader.java
@@ -17,8 +17,8 @@
   static final String HELP = "help";
   static final String PRINT_SETTINGS = "print-settings";
 
-  private static final int LEAST_RENEWALS_PER_LEASE = 2;
-  private static final int LEAST_HEARTBEATS_PER_TIMEOUT = 3;
+  private static final int MIN_RENEWALS_PER_LEASE = 2;
+  private static final int MIN_HEARTBEATS_PER_TIMEOUT = 3;
 
   /**
    * Reads the settings.
@@ -67,9 +67,9 @@
     if (flags.has(setting.name())) {
       resolveFlag(setting, flags.values(setting.name()), resolved);
     } else if (variable != null) {
-      resolved.take(setting, variable, SettingSource.ENVIRONMENT);
+      resolved.parseAndAdd(setting, variable, SettingSource.ENVIRONMENT);
     } else if (setting.defaultText() != null) {
-      resolved.take(setting, setting.defaultText(), SettingSource.DEFAULT);
+      resolved.parseAndAdd(setting, setting.defaultText(), SettingSource.DEFAULT);
     } else {
       resolved.addProblem(setting.flag(), "", setting.allowed());
     }
@@ -78,12 +78,12 @@
   private static void resolveFlag(
       Setting<?> setting, List<String> values, ResolvedSettings resolved) {
     if (values.size() > 1) {
-      String shown = String.join(" ", values.stream().map(setting::shown).toList());
+      String shown = String.join(" ", values.stream().map(setting::maskedText).toList());
       resolved.addProblem(setting.flag(), shown, "one value, given once");
     } else if (values.isEmpty() || values.get(0).isEmpty()) {
       resolved.addProblem(setting.flag(), "", setting.allowed());
     } else {
-      resolved.take(setting, values.get(0), SettingSource.FLAG);
+      resolved.parseAndAdd(setting, values.get(0), SettingSource.FLAG);
     }
   }
 
@@ -94,7 +94,7 @@
         || !resolved.has(SettingCatalogue.RENEWAL_MILLIS)) {
       return;
     }
-    long most = resolved.get(SettingCatalogue.LEASE_MILLIS) / LEAST_RENEWALS_PER_LEASE;
+    long most = resolved.get(SettingCatalogue.LEASE_MILLIS) / MIN_RENEWALS_PER_LEASE;
     long renewal = resolved.get(SettingCatalogue.RENEWAL_MILLIS);
     if (renewal > most) {
       resolved.addProblem(
@@ -111,7 +111,7 @@
         || !resolved.has(SettingCatalogue.PEER_TIMEOUT_MILLIS)) {
       return;
     }
-    long least = resolved.get(SettingCatalogue.HEARTBEAT_MILLIS) * LEAST_HEARTBEATS_PER_TIMEOUT;
+    long least = resolved.get(SettingCatalogue.HEARTBEAT_MILLIS) * MIN_HEARTBEATS_PER_TIMEOUT;
     long timeout = resolved.get(SettingCatalogue.PEER_TIMEOUT_MILLIS);
     if (timeout < least) {
       resolved.addProblem(
@@ -123,7 +123,7 @@
 
   private static DaemonSettings build(ResolvedSettings resolved) {
     return new DaemonSettings(
-        resolved.get(SettingCatalogue.NAME_OF_INSTANCE),
+        resolved.get(SettingCatalogue.INSTANCE_NAME),
         resolved.get(SettingCatalogue.DATA_CENTRE),
         resolved.get(SettingCatalogue.HOST),
         resolved.getInt(SettingCatalogue.HTTP_PORT),
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsText.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsText.java
@@ -38,7 +38,7 @@
       text.append("  ").append(setting.flag()).append(", ").append(setting.variable());
       text.append("\n      ").append(setting.description());
       text.append("\n      Allowed: ").append(setting.allowed());
-      text.append(". Default: ").append(setting.defaultShown()).append(".\n");
+      text.append(". Default: ").append(setting.displayedDefault()).append(".\n");
     }
     return text.toString();
   }
@@ -46,7 +46,7 @@
   static String values(ResolvedSettings resolved) {
     StringBuilder text = new StringBuilder();
     for (ResolvedSettings.Entry entry : resolved.entries()) {
-      String shown = entry.setting().shown(entry.text());
+      String shown = entry.setting().maskedText(entry.text());
       String value = shown.isEmpty() ? "none" : shown;
       text.append(
           "%-26s %-28s %s\n".formatted(entry.setting().flag(), value, entry.source().text()));
@@ -60,7 +60,7 @@
       text.append("| `").append(setting.flag());
       text.append("` | `").append(setting.variable());
       text.append("` | ").append(setting.allowed());
-      text.append(" | ").append(setting.defaultShown());
+      text.append(" | ").append(setting.displayedDefault());
       text.append(" | ").append(setting.description()).append(" |\n");
     }
     return text.toString();
--- a/daemon/src/test/java/org/hickorypier/daemon/front/JudgementTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/front/AccessDecisionTest.java
@@ -13,7 +13,7 @@
 import org.hickorypier.core.submission.QueueTerms;
 import org.junit.jupiter.api.Test;
 
-class JudgementTest {
+class AccessDecisionTest {
 
   private static final ClusterConfiguration CONFIGURATION =
       new ClusterConfiguration(
@@ -32,11 +32,11 @@
   }
 
   private static int status(boolean proven, String path, String authorization) {
-    return Judgement.of(CONFIGURATION, proven, "host:80", path, authorization).status();
+    return AccessDecision.decide(CONFIGURATION, proven, "host:80", path, authorization).status();
   }
 
   @Test
-  void keysAndRoutesDecide() {
+  void statusDependsOnKeyAndRoute() {
     assertThat(status(true, "/closed/1", "Bearer the-key")).isZero();
     assertThat(status(true, "/closed/1", "Bearer other")).isEqualTo(401);
     assertThat(status(true, "/closed/1", null)).isEqualTo(401);
@@ -50,7 +50,7 @@
    * back.
    */
   @Test
-  void withoutProofNeitherKeyNorRouteIsJudged() {
+  void withoutProofKeysAndMissingRoutesAreNotDecided() {
     assertThat(status(false, "/closed/1", "Bearer the-key")).isEqualTo(503);
     assertThat(status(false, "/closed/1", "Bearer other")).isEqualTo(503);
     assertThat(status(false, "/none/1", "Bearer the-key")).isEqualTo(503);
@@ -58,7 +58,8 @@
   }
 
   @Test
-  void beforeTheFirstConfigurationNothingIsJudged() {
-    assertThat(Judgement.of(null, false, "host", "/closed/1", null).status()).isEqualTo(503);
+  void requestIsRefusedBeforeTheFirstConfiguration() {
+    assertThat(AccessDecision.decide(null, false, "host", "/closed/1", null).status())
+        .isEqualTo(503);
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
@@ -37,7 +37,7 @@
    * taken; so the balancer must get no answer.
    */
   @Test
-  void balancerIsNotAnsweredBeforeTheFrontListens() throws Exception {
+  void readinessCheckIsNotAnsweredBeforeTheFrontListens() throws Exception {
     Vertx vertx = Vertx.vertx();
     InetAddress loopback = InetAddress.getLoopbackAddress();
     ServiceAddress readiness;
@@ -58,7 +58,7 @@
       Future<HttpServer> listening = server.listen(front, readiness);
       await(listening.otherwiseEmpty());
       assertThat(listening.failed()).isTrue();
-      assertThat(await(ask(vertx, readiness)).status()).isZero();
+      assertThat(await(checkReadiness(vertx, readiness)).status()).isZero();
     } finally {
       await(vertx.close());
     }
@@ -70,14 +70,14 @@
    * outcome is unknown, and one that only asks is told to come back.
    */
   @Test
-  void questionThatFailsIsAnswered() throws Exception {
+  void requestIsAnsweredIfSendingItToTheOwnerFails() throws Exception {
     Vertx vertx = Vertx.vertx();
     try {
-      OwnerQuestions failing =
+      OwnerClient failing =
           (request, timeout) -> {
             throw new IllegalStateException("on purpose");
           };
-      ServiceAddress front = serve(vertx, failing);
+      ServiceAddress front = startFrontServer(vertx, failing);
       String path = "/queue/5c0e7a21d94b36f1";
       String body = "{\"Spec\":\"text\",\"Phases\":[{\"Count\":1,\"Cpu\":10,\"MemMb\":1}]}";
       Map<String, String> host = Map.of("Host", "queue.example");
@@ -94,7 +94,7 @@
   }
 
   /** Serves one open queue. */
-  private static ServiceAddress serve(Vertx vertx, OwnerQuestions owner) throws Exception {
+  private static ServiceAddress startFrontServer(Vertx vertx, OwnerClient owner) throws Exception {
     QueueTerms terms = new QueueTerms("q", "service", 0, 3, 2, 1_000, Optional.empty());
     QueueRoute route = new QueueRoute("queue.example", "/queue/", true, terms);
     ClusterConfiguration configuration = new ClusterConfiguration(1, List.of(route), List.of());
@@ -129,7 +129,7 @@
     }
   }
 
-  private static Future<HttpReply> ask(Vertx vertx, ServiceAddress readiness) {
+  private static Future<HttpReply> checkReadiness(Vertx vertx, ServiceAddress readiness) {
     return new HttpCalls(vertx, 1)
         .call(readiness, HttpMethod.GET, "/hickorypier/ready", Map.of(), null, 2_000)
         .otherwise(new HttpReply(0, Buffer.buffer()));
--- a/daemon/src/test/java/org/hickorypier/daemon/link/LinkCodecTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/link/LinkCodecTest.java
@@ -75,22 +75,22 @@
 
   @ParameterizedTest
   @MethodSource("requests")
-  void requestComesBackAsItWas(LinkRequest request) throws UndecodableException {
+  void requestSurvivesEncodingAndDecoding(LinkRequest request) throws UndecodableException {
     LinkFrame frame = LinkCodec.decode(LinkCodec.encode(7, request));
-    assertThat(frame.number()).isEqualTo(7);
+    assertThat(frame.requestNumber()).isEqualTo(7);
     assertThat(frame.request()).isEqualTo(request);
   }
 
   @ParameterizedTest
   @MethodSource("replies")
-  void replyComesBackAsItWas(LinkReply reply) throws UndecodableException {
+  void replySurvivesEncodingAndDecoding(LinkReply reply) throws UndecodableException {
     LinkFrame frame = LinkCodec.decode(LinkCodec.encode(8, reply));
-    assertThat(frame.number()).isEqualTo(8);
+    assertThat(frame.requestNumber()).isEqualTo(8);
     assertThat(frame.reply()).isEqualTo(reply);
   }
 
   @Test
-  void bytesThatAreNoFrameAreRefused() {
+  void malformedFrameIsRejected() {
     assertThatThrownBy(() -> LinkCodec.decode(new byte[] {1, 2, 3}))
         .isInstanceOf(UndecodableException.class);
     assertThatThrownBy(() -> LinkCodec.decode(new byte[] {1, 99}))
--- a/daemon/src/test/java/org/hickorypier/daemon/settings/SettingsReaderTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/settings/SettingsReaderTest.java
@@ -33,11 +33,11 @@
   private final SettingsReader reader = new SettingsReader();
 
   @Test
-  void flagGoesBeforeVariableBeforeDefault() throws SettingsException {
+  void flagOverridesVariableAndVariableOverridesDefault() throws SettingsException {
     Map<String, String> environment =
         Map.of("HICKORY_HTTP_PORT", "1", "HICKORY_PEER_PORT", "2", "HICKORY_HOST", "10.0.0.1");
 
-    DaemonSettings settings = use(with("--http-port", "0"), environment);
+    DaemonSettings settings = readSettings(requiredArgumentsWith("--http-port", "0"), environment);
 
     assertThat(settings.httpPort()).isZero();
     assertThat(settings.peerPort()).isEqualTo(2);
@@ -49,9 +49,9 @@
   }
 
   @Test
-  void operatorKeyComesFromItsVariable() throws SettingsException {
+  void operatorKeyIsReadFromItsVariable() throws SettingsException {
     DaemonSettings settings =
-        use(REQUIRED, Map.of("HICKORY_OPERATOR_KEY", "first.0123456789abcdef"));
+        readSettings(REQUIRED, Map.of("HICKORY_OPERATOR_KEY", "first.0123456789abcdef"));
 
     assertThat(settings.operatorKey()).contains(new Secret("first.0123456789abcdef"));
   }
@@ -75,7 +75,7 @@
     "--event-loops, 99999999999999999999",
   })
   void refusesValuesOutsideTheirRange(String flag, String value) {
-    SettingsException error = fail(with(flag, value), Map.of());
+    SettingsException error = readAndFail(requiredArgumentsWith(flag, value), Map.of());
 
     assertThat(error.problems()).hasSize(1);
   }
@@ -92,7 +92,7 @@
     List<String> arguments = new ArrayList<>(REQUIRED);
     arguments.set(arguments.indexOf(flag) + 1, value);
 
-    SettingsException error = fail(arguments, Map.of());
+    SettingsException error = readAndFail(arguments, Map.of());
 
     assertThat(error.problems()).extracting(SettingProblem::name).containsExactly(flag);
   }
@@ -120,7 +120,7 @@
     Map<String, String> environment =
         Map.of("HICKORY_EVENT_LOOPS", "0", "HICKORY_OPERATOR_KEY", "only-half");
 
-    SettingsException error = fail(arguments, environment);
+    SettingsException error = readAndFail(arguments, environment);
 
     assertThat(error.getMessage())
         .doesNotContain("too-short")
@@ -131,14 +131,16 @@
 
   @Test
   void printsHelp() throws SettingsException, IOException {
-    assertGolden(print(List.of("--help", "--http-port", "x")), GOLDEN.resolve("help.txt"));
+    assertGolden(
+        readPrintedText(List.of("--help", "--http-port", "x")), GOLDEN.resolve("help.txt"));
   }
 
   @Test
   void printsEachValueWithItsSource() throws SettingsException, IOException {
-    List<String> arguments = with("--print-settings", "--operator-key", "k.0123456789abcdef");
+    List<String> arguments =
+        requiredArgumentsWith("--print-settings", "--operator-key", "k.0123456789abcdef");
 
-    String text = print(arguments, Map.of("HICKORY_LOG_LEVEL", "debug"));
+    String text = readPrintedText(arguments, Map.of("HICKORY_LOG_LEVEL", "debug"));
 
     assertThat(text).doesNotContain(SECRET).doesNotContain("0123456789abcdef");
     assertGolden(text, GOLDEN.resolve("print-settings.txt"));
@@ -149,25 +151,25 @@
     assertGolden(SettingsText.reference(), Path.of("../docs/SETTINGS.md"));
   }
 
-  private DaemonSettings use(List<String> arguments, Map<String, String> environment)
+  private DaemonSettings readSettings(List<String> arguments, Map<String, String> environment)
       throws SettingsException {
     return ((SettingsResult.Use) reader.read(arguments, environment)).settings();
   }
 
-  private String print(List<String> arguments) throws SettingsException {
-    return print(arguments, Map.of());
+  private String readPrintedText(List<String> arguments) throws SettingsException {
+    return readPrintedText(arguments, Map.of());
   }
 
-  private String print(List<String> arguments, Map<String, String> environment)
+  private String readPrintedText(List<String> arguments, Map<String, String> environment)
       throws SettingsException {
     return ((SettingsResult.Print) reader.read(arguments, environment)).text();
   }
 
-  private SettingsException fail(List<String> arguments, Map<String, String> environment) {
+  private SettingsException readAndFail(List<String> arguments, Map<String, String> environment) {
     return catchThrowableOfType(SettingsException.class, () -> reader.read(arguments, environment));
   }
 
-  private static List<String> with(String... more) {
+  private static List<String> requiredArgumentsWith(String... more) {
     List<String> arguments = new ArrayList<>(REQUIRED);
     arguments.addAll(List.of(more));
     return arguments;
