--- a/daemon/src/main/java/org/hickorypier/daemon/front/AccessDecision.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/AccessDecision.java
@@ -5,15 +5,13 @@
 import org.hickorypier.core.cluster.QueueRoute;
 
 /**
- * What the configuration says of a request.
+ * The routing and access decision for a request, by the configuration. Immutable.
  *
- * <p>Immutable.
- *
- * @param status 0 if the request may go on, otherwise the status of its answer
- * @param reason why it may not go on, or empty
- * @param route its queue, or null
- * @param customer its customer, or empty on a public queue
- * @param version the version of the configuration that decided
+ * @param status 0 if the request is allowed, otherwise the HTTP status of its answer
+ * @param reason why the request is refused, or empty
+ * @param route the route to its queue, or null if the request is refused
+ * @param customer the customer whose key was sent, or empty on a public queue
+ * @param version the version of the configuration on which the decision is based
  */
 record AccessDecision(int status, String reason, QueueRoute route, String customer, long version) {
 
@@ -23,14 +21,14 @@
   private static final int UNAVAILABLE = 503;
 
   /**
-   * Judges a request.
+   * Decides whether a request is allowed, and for which queue and customer.
    *
-   * @param configuration the newest configuration known, or null
-   * @param proven whether it is known to have been the newest a short time ago; without that, a key
-   *     may have been withdrawn, and a route may have come or gone
-   * @param host the host that the caller named
-   * @param path the path
-   * @param authorization the header with the key, or null
+   * @param configuration the newest known configuration, or null
+   * @param proven whether it is known to have been the newest a short time ago; otherwise a key may
+   *     have been withdrawn, or a route added or removed, in the meantime
+   * @param host the value of the {@code Host} header
+   * @param path the path of the request
+   * @param authorization the value of the {@code Authorization} header, or null
    */
   static AccessDecision decide(
       ClusterConfiguration configuration,
--- a/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
@@ -5,12 +5,12 @@
 import org.hickorypier.platform.intake.CallerWords;
 
 /**
- * Reads the body of a request, which may be too large, malformed, or never end. Stateless.
+ * Reads the body of a request up to {@link #MAX_BODY_BYTES}. Stateless.
  *
- * <p>Failure: a chunked body goes on for ever, or breaks off with a chunk that cannot be read.
- * Symptom: the process runs out of memory; the caller gets no answer. Safeguard: the bytes are
- * counted as they come, and an error of the format is answered. It is enough because nothing of a
- * body is kept before it was counted.
+ * <p>A chunked body may be endless, or end in a chunk that cannot be parsed. Without a limit it
+ * exhausts the memory of the process, and without an answer to the format error the caller waits in
+ * vain. Every part is counted as it arrives and nothing is kept after the refusal, so memory stays
+ * bounded.
  */
 final class BodyReader {
 
@@ -22,27 +22,27 @@
 
   private BodyReader() {}
 
-  /** What becomes of a body. */
+  /** Receives the result of reading a body. */
   interface Callback {
 
-    /** The whole body is here. */
+    /** Called when the whole body has been read. */
     void onComplete();
 
-    /** The request is answered without it, and no more of it is read. */
+    /** Called when the request has to be answered without its body; the rest is discarded. */
     void onRefused(int status, String text);
   }
 
-  static void read(Exchange exchange, Callback outcome) {
+  static void read(Exchange exchange, Callback callback) {
     HttpServerRequest request = exchange.request();
     String length = request.getHeader("Content-Length");
     if (isTooLong(length)) {
-      outcome.onRefused(PAYLOAD_TOO_LARGE, tooLargeAnswer(length + " bytes"));
+      callback.onRefused(PAYLOAD_TOO_LARGE, tooLargeAnswer(length + " bytes"));
       return;
     }
-    request.handler(part -> appendPart(exchange, part, outcome));
+    request.handler(part -> appendPart(exchange, part, callback));
     request.exceptionHandler(
-        error -> outcome.onRefused(BAD_REQUEST, CallerWords.error("the body cannot be read")));
-    request.endHandler(none -> outcome.onComplete());
+        error -> callback.onRefused(BAD_REQUEST, CallerWords.error("the body cannot be read")));
+    request.endHandler(ignored -> callback.onComplete());
   }
 
   private static boolean isTooLong(String length) {
@@ -50,13 +50,13 @@
         && (length.length() > MAX_LENGTH_DIGITS || Long.parseLong(length) > MAX_BODY_BYTES);
   }
 
-  private static void appendPart(Exchange exchange, Buffer part, Callback outcome) {
+  private static void appendPart(Exchange exchange, Buffer part, Callback callback) {
     if (exchange.isEnded()) {
       return;
     }
     exchange.body().appendBuffer(part);
     if (exchange.body().length() > MAX_BODY_BYTES) {
-      outcome.onRefused(
+      callback.onRefused(
           PAYLOAD_TOO_LARGE, tooLargeAnswer("more than " + MAX_BODY_BYTES + " bytes"));
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/CallerConnection.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/CallerConnection.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * A caller's connection and the requests that are open on it.
+ * A caller's connection and the exchanges that are open on it.
  *
- * <p>Invariant: while a request is open the connection is not closed from this side. Belongs to the
+ * <p>Invariant: this side does not close the connection while an exchange is open. Confined to the
  * traffic thread.
  */
 final class CallerConnection {
@@ -32,20 +32,20 @@
     idleSinceMillis = nowMillis;
   }
 
-  /** Returns the requests that are open, in a list of its own. */
+  /** Returns a copy of the open exchanges. */
   List<Exchange> openExchanges() {
     return new ArrayList<>(openExchanges);
   }
 
-  /** Returns for how long no request has been open on it; 0 while one is. */
+  /** Returns the time without an open exchange, in milliseconds; 0 while one is open. */
   long idleMillis(long nowMillis) {
     return openExchanges.isEmpty() ? nowMillis - idleSinceMillis : 0;
   }
 
   /**
-   * Closes the connection unless a request is open on it.
+   * Closes the connection unless an exchange is open on it.
    *
-   * @return true if it is closed
+   * @return true if it was closed
    */
   boolean closeIfIdle() {
     if (!openExchanges.isEmpty()) {
--- a/daemon/src/main/java/org/hickorypier/daemon/front/CallerConnectionRegistry.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/CallerConnectionRegistry.java
@@ -11,15 +11,15 @@
 import org.hickorypier.daemon.time.TimerService;
 
 /**
- * All connections of callers, with the requests that are open on them.
+ * Registry of all caller connections and of the exchanges that are open on them.
  *
- * <p>Belongs to the traffic thread; {@link #report} may be called from any thread.
+ * <p>Confined to the traffic thread; {@link #report} may be called from any thread.
  */
 final class CallerConnectionRegistry {
 
   private final TimerService timers;
   private final Map<HttpConnection, CallerConnection> connections = new HashMap<>();
-  private int openExchanges;
+  private int openCount;
   private long readCount;
   private long answeredCount;
   private long closedIdleCount;
@@ -32,16 +32,16 @@
   }
 
   void register(HttpConnection connection) {
-    CallerConnection known = new CallerConnection(connection, timers.nowMillis());
-    connections.put(connection, known);
-    connection.closeHandler(none -> unregister(connection));
+    CallerConnection added = new CallerConnection(connection, timers.nowMillis());
+    connections.put(connection, added);
+    connection.closeHandler(ignored -> unregister(connection));
     publishReport();
   }
 
   private void unregister(HttpConnection connection) {
-    CallerConnection gone = connections.remove(connection);
-    if (gone != null) {
-      gone.openExchanges().forEach(this::endExchange);
+    CallerConnection removed = connections.remove(connection);
+    if (removed != null) {
+      removed.openExchanges().forEach(this::endExchange);
     }
     if (connections.isEmpty() && allClosed != null) {
       allClosed.tryComplete();
@@ -50,22 +50,21 @@
   }
 
   /**
-   * Takes notice of a request whose head has come.
+   * Opens an exchange for a request whose head has been read.
    *
    * @param request the request
-   * @param bodyMillis how long its body may take, in milliseconds
+   * @param bodyMillis the time limit for reading its body, in milliseconds
    */
   Exchange beginExchange(HttpServerRequest request, long bodyMillis) {
     CallerConnection connection = connections.get(request.connection());
     Exchange exchange = new Exchange(request, connection, timers.nowMillis() + bodyMillis);
     connection.addExchange(exchange);
-    openExchanges++;
+    openCount++;
     readCount++;
     publishReport();
     return exchange;
   }
 
-  /** Counts an answer. */
   void countAnswer(boolean outcomeKnown) {
     answeredCount++;
     unknownOutcomeCount += outcomeKnown ? 0 : 1;
@@ -73,41 +72,41 @@
   }
 
   /**
-   * Ends an exchange, whether it was answered or its connection broke.
+   * Ends an exchange that is about to be answered, or whose connection was closed.
    *
-   * @return false if it had ended before
+   * @return false if it had already ended
    */
   boolean endExchange(Exchange exchange) {
     if (!exchange.end()) {
       return false;
     }
     exchange.connection().removeExchange(exchange, timers.nowMillis());
-    openExchanges--;
+    openCount--;
     publishReport();
     return true;
   }
 
-  /** Returns the requests without an answer, in a list of its own. */
+  /** Returns a copy of the exchanges without an answer. */
   List<Exchange> openExchanges() {
     List<Exchange> all = new ArrayList<>();
     connections.values().forEach(each -> all.addAll(each.openExchanges()));
     return all;
   }
 
-  /** Closes the connections that have been unused for some time. */
-  void closeIdle(long sinceStopMillis) {
+  /** Closes the connections that {@link DrainPolicy} allows to close. */
+  void closeIdle(long sinceDrainMillis) {
     long now = timers.nowMillis();
     for (CallerConnection each : List.copyOf(connections.values())) {
-      if (DrainPolicy.mayClose(sinceStopMillis, each.idleMillis(now))) {
+      if (DrainPolicy.mayClose(sinceDrainMillis, each.idleMillis(now))) {
         closeIfIdle(each);
       }
     }
   }
 
   /**
-   * Closes all connections without a request.
+   * Closes all connections without an open exchange.
    *
-   * @return done when no connection is left
+   * @return completes when no connection is left
    */
   Future<Void> closeAllIdle() {
     allClosed = Promise.promise();
@@ -123,7 +122,7 @@
     publishReport();
   }
 
-  /** Counts from now on, since the instance has been told to end. */
+  /** Resets the counters, so that the report covers the drain only. */
   void resetCounters() {
     readCount = 0;
     answeredCount = 0;
@@ -140,7 +139,7 @@
     report =
         new DrainReport(
             connections.size(),
-            openExchanges,
+            openCount,
             readCount,
             answeredCount,
             closedIdleCount,
--- a/daemon/src/main/java/org/hickorypier/daemon/front/DrainPolicy.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/DrainPolicy.java
@@ -1,32 +1,33 @@
 package org.hickorypier.daemon.front;
 
 /**
- * Tells which connections an instance may close while it ends. Stateless.
+ * Decides which connections an instance may close while it drains. Stateless.
  *
- * <p>Load: callers keep connections, many of them unused, through a planned restart. Harm
- * prevented: an unused connection held the process for its whole grace, with its machine missing to
- * all callers, and a request sent on it late had no time left to be served.
+ * <p>Callers keep connections open through a planned restart, many of them idle. An idle connection
+ * that stays open holds the process for its whole grace period, during which its machine is missing
+ * to all callers, and a request that is sent on it late has no time left to be served.
  */
 final class DrainPolicy {
 
   /**
-   * The balancer asks each second and notices at the second miss that the instance is leaving;
-   * until then it sends new connections, which should be served.
+   * Time after which the balancer has stopped sending connections. It checks readiness every second
+   * and removes the instance at the second failed check; connections until then are still served.
    */
   static final long BALANCER_NOTICE_MILLIS = 2_200;
 
-  /** A caller that opens a connection sends its request on it within a few milliseconds. */
+  /** A caller that opens a connection sends its request within a few milliseconds. */
   static final long MIN_IDLE_MILLIS = 300;
 
   private DrainPolicy() {}
 
   /**
-   * Tells whether a connection without a request may be closed.
+   * Returns whether a connection without an open exchange may be closed.
    *
-   * @param sinceStopMillis the time since the instance was told to end
-   * @param unusedMillis the time since the connection was opened or its last request answered
+   * @param sinceDrainMillis the time since the drain began, in milliseconds
+   * @param idleMillis the time since the connection was opened or its last exchange ended, in
+   *     milliseconds
    */
-  static boolean mayClose(long sinceStopMillis, long unusedMillis) {
-    return sinceStopMillis >= BALANCER_NOTICE_MILLIS && unusedMillis >= MIN_IDLE_MILLIS;
+  static boolean mayClose(long sinceDrainMillis, long idleMillis) {
+    return sinceDrainMillis >= BALANCER_NOTICE_MILLIS && idleMillis >= MIN_IDLE_MILLIS;
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/DrainReport.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/DrainReport.java
@@ -1,19 +1,19 @@
 package org.hickorypier.daemon.front;
 
 /**
- * What became of the callers of an instance that ends. Immutable.
+ * Counts of caller connections and requests while an instance drains. Immutable.
  *
- * @param connections the connections that are open
- * @param open the requests that have no answer yet
- * @param read the requests that were begun since the instance was told to end
- * @param answered the requests that were answered since then
- * @param closedUnused the connections that were closed since then without a request on them
- * @param withoutOutcome the submissions since then whose callers were told that the outcome is
- *     unknown
+ * @param connections the number of open connections
+ * @param open the number of requests without an answer
+ * @param read the number of requests whose head was read since the drain began
+ * @param answered the number of requests answered since the drain began
+ * @param closedUnused the number of idle connections closed since the drain began
+ * @param withoutOutcome the number of submissions, since the drain began, that were answered with
+ *     an unknown outcome
  */
 public record DrainReport(
     int connections, int open, long read, long answered, long closedUnused, long withoutOutcome) {
 
-  /** Before the front listens. */
+  /** The report of an instance whose front does not listen yet. */
   public static final DrainReport NONE = new DrainReport(0, 0, 0, 0, 0, 0);
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/Exchange.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/Exchange.java
@@ -5,9 +5,10 @@
 import io.vertx.core.http.HttpServerRequest;
 
 /**
- * One request of a caller, from its head to its answer.
+ * A caller's request and its answer.
  *
- * <p>Invariant: it ends once, with an answer or with its connection. Belongs to the traffic thread.
+ * <p>Invariant: an exchange ends once, with its answer or with its connection. Confined to the
+ * traffic thread.
  */
 final class Exchange {
 
@@ -15,21 +16,22 @@
   private final CallerConnection connection;
   private final Buffer body = Buffer.buffer();
   private final long bodyDeadlineMillis;
-  private boolean isBodyComplete;
-  private boolean isEnded;
+  private boolean bodyComplete;
+  private boolean ended;
   private boolean submission;
 
   /**
-   * Begins an exchange.
+   * Creates an exchange.
    *
-   * @param request the request, of which the head is known
-   * @param connection the connection that it came on
-   * @param readUntil when its body has to be here, by the timers' clock, in milliseconds
+   * @param request the request, whose head has been read
+   * @param connection the connection on which the request arrived
+   * @param bodyDeadlineMillis when the body has to be complete, in milliseconds of the timer
+   *     service's clock
    */
-  Exchange(HttpServerRequest request, CallerConnection connection, long readUntil) {
+  Exchange(HttpServerRequest request, CallerConnection connection, long bodyDeadlineMillis) {
     this.request = request;
     this.connection = connection;
-    this.bodyDeadlineMillis = readUntil;
+    this.bodyDeadlineMillis = bodyDeadlineMillis;
   }
 
   HttpServerRequest request() {
@@ -44,22 +46,21 @@
     return body;
   }
 
-  /** Takes notice that the body has ended. */
   void markBodyComplete() {
-    isBodyComplete = true;
+    bodyComplete = true;
   }
 
-  /** Tells whether the whole request is here, so that its outcome may be unknown. */
+  /** Returns whether the whole request was read; only then can its outcome be unknown. */
   boolean isBodyComplete() {
-    return isBodyComplete;
+    return bodyComplete;
   }
 
-  /** Tells whether the body is late. */
+  /** Returns whether the body is incomplete after its deadline. */
   boolean isBodyOverdue(long nowMillis) {
-    return !isBodyComplete && nowMillis >= bodyDeadlineMillis;
+    return !bodyComplete && nowMillis >= bodyDeadlineMillis;
   }
 
-  /** Takes notice that it hands a submission in, which may be taken without an answer. */
+  /** Marks the request as a submission, which may be accepted even if no reply arrives. */
   void markSubmission() {
     submission = true;
   }
@@ -71,19 +72,19 @@
   /**
    * Ends the exchange.
    *
-   * @return false if it had ended before
+   * @return false if it had already ended
    */
   boolean end() {
-    boolean first = !isEnded;
-    isEnded = true;
+    boolean first = !ended;
+    ended = true;
     return first;
   }
 
   boolean isEnded() {
-    return isEnded;
+    return ended;
   }
 
-  /** Writes the answer. */
+  /** Writes the answer; does nothing if the response is already closed. */
   Future<Void> writeAnswer(int status, String text) {
     if (request.response().closed()) {
       return Future.succeededFuture();
--- a/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
@@ -21,30 +21,30 @@
 import org.hickorypier.platform.intake.CallerWords;
 
 /**
- * Serves callers and the balancer's readiness checks, and ends both gracefully.
+ * HTTP servers for callers and for the balancer's readiness checks, with graceful shutdown.
  *
- * <p>Belongs to the traffic thread; {@link #drain}, {@link #close} and {@link #report} may be
+ * <p>Confined to the traffic thread; {@link #drain}, {@link #close} and {@link #report} may be
  * called from any thread.
  */
 public final class FrontServer {
 
-  /** How long a caller is taken to wait that does not say so. */
+  /** Assumed wait of a caller that sends no deadline. */
   private static final long DEFAULT_WAIT_MILLIS = 3_000;
 
-  /** Covers the way back to the caller, so that it gets an answer before it leaves. */
+  /** Time kept for sending the answer, so that it reaches the caller before it gives up. */
   private static final long ANSWER_MARGIN_MILLIS = 120;
 
   private static final long MIN_WAIT_MILLIS = 20;
 
-  /** Callers wait for seconds; a stalled body may stay this much longer. */
+  /** A stalled body may exceed its deadline by this much, since callers wait for seconds. */
   private static final Duration STALL_CHECK_PERIOD = Duration.ofMillis(250);
 
   private static final Duration DRAIN_CHECK_PERIOD = Duration.ofMillis(50);
 
-  /** The owner's replies to requests read just before the end come within this time. */
+  /** The owner's replies to requests read just before the end arrive within this time. */
   private static final Duration FINAL_REPLY_TIMEOUT = Duration.ofMillis(150);
 
-  /** Many callers connect at once after an outage. */
+  /** Sized for many callers that connect at once after an outage. */
   private static final int ACCEPT_BACKLOG = 1_024;
 
   private static final int OK = 200;
@@ -66,12 +66,12 @@
    * Creates the server; called on the traffic thread.
    *
    * @param vertx runs the input and output
-   * @param control the control thread
-   * @param configuration judges requests
-   * @param owner answers them
-   * @param ready whether the balancer is to send new connections
-   * @param wallMillis the time of day, milliseconds since 1970
-   * @param log takes the events
+   * @param control the context of the control thread
+   * @param configuration the routes and keys by which access is decided
+   * @param owner the client that sends requests to the owner
+   * @param ready whether the balancer may send new connections
+   * @param wallMillis the wall clock, in milliseconds since 1970
+   * @param log receives the events
    */
   public FrontServer(
       Vertx vertx,
@@ -91,11 +91,11 @@
   }
 
   /**
-   * Begins to listen; called on the traffic thread.
+   * Starts both servers; called on the traffic thread.
    *
-   * @param front where callers connect
-   * @param readiness where the balancer asks
-   * @return done when both listen
+   * @param front the address for callers
+   * @param readiness the address for the balancer's readiness checks
+   * @return completes when both servers listen
    */
   public Future<HttpServer> listen(ServiceAddress front, ServiceAddress readiness) {
     HttpServer readyServer =
@@ -107,8 +107,8 @@
                         .response()
                         .setStatusCode(ready.getAsBoolean() ? OK : UNAVAILABLE)
                         .end());
-    // With the upgrade to HTTP/2, a connection is told of with its first request only, so that one
-    // without a request could not be closed at the end.
+    // With the HTTP/2 upgrade enabled, a connection is reported with its first request only, so one
+    // without a request could not be closed at shutdown.
     HttpServerOptions options =
         new HttpServerOptions().setAcceptBacklog(ACCEPT_BACKLOG).setHttp2ClearTextEnabled(false);
     HttpServer frontServer =
@@ -116,44 +116,44 @@
             .createHttpServer(options)
             .connectionHandler(this::registerConnection)
             .requestHandler(this::beginExchange);
-    // The balancer sends connections as soon as the instance is ready, so the front comes first.
+    // The balancer sends connections once the instance is ready, so the front has to listen first.
     return frontServer
         .listen(front.port(), front.host())
         .compose(listening -> readyServer.listen(readiness.port(), readiness.host()));
   }
 
   /**
-   * Begins to send callers elsewhere: each answer closes its connection, unused ones are closed by
-   * and by, and no request waits longer than the process lives.
+   * Starts to drain: each answer closes its connection, idle connections are closed over time, and
+   * no request waits beyond the end of the process.
    *
-   * <p>Failure: at the end of a graceful shutdown a request is still open. Symptom: the caller's
-   * connection ends without an answer. Safeguard: requests are given up in time for their answer;
-   * it is enough because a retry goes to another instance and finds the same submission.
+   * <p>A request that is still open when a graceful shutdown ends loses its connection without an
+   * answer. Waits are therefore cut short so that an answer can still be sent; a retry goes to
+   * another instance and finds the same submission.
    *
-   * @param processEndsAtNanos when the process ends, as {@link System#nanoTime} tells
-   * @return done when the balancer has noticed and no caller is connected
+   * @param endNanos when the process ends, by {@link System#nanoTime}
+   * @return completes when the balancer has removed the instance and no caller is connected
    */
-  public Future<Void> drain(long processEndsAtNanos) {
-    Promise<Void> gone = Promise.promise();
+  public Future<Void> drain(long endNanos) {
+    Promise<Void> drained = Promise.promise();
     traffic.runOnContext(
-        none -> {
-          processEndNanos = processEndsAtNanos;
+        ignored -> {
+          processEndNanos = endNanos;
           draining = true;
           connections.resetCounters();
-          new Drain(gone).begin();
+          new Drain(drained).begin();
         });
-    return gone.future();
+    return drained.future();
   }
 
-  /** Sends the callers away, until none is left. */
+  /** Closes idle connections periodically until none is left. */
   private final class Drain {
 
     private final Promise<Void> drained;
     private final long beganAtMillis = timers.nowMillis();
     private TimerSubscription checkTimer = () -> {};
 
-    Drain(Promise<Void> gone) {
-      this.drained = gone;
+    Drain(Promise<Void> drained) {
+      this.drained = drained;
     }
 
     void begin() {
@@ -161,9 +161,10 @@
     }
 
     private void closeIdleConnections() {
-      long since = timers.nowMillis() - beganAtMillis;
-      connections.closeIdle(since);
-      if (since >= DrainPolicy.BALANCER_NOTICE_MILLIS && connections.report().connections() == 0) {
+      long sinceDrainMillis = timers.nowMillis() - beganAtMillis;
+      connections.closeIdle(sinceDrainMillis);
+      if (sinceDrainMillis >= DrainPolicy.BALANCER_NOTICE_MILLIS
+          && connections.report().connections() == 0) {
         checkTimer.cancel();
         drained.tryComplete();
       }
@@ -171,31 +172,31 @@
   }
 
   /**
-   * Returns what has become of the callers.
+   * Returns the counts of caller connections and requests.
    *
-   * @return the counts, since {@link #drain} if that was called
+   * @return the counts, from {@link #drain} on if that was called
    */
   public DrainReport report() {
     return connections.report();
   }
 
   /**
-   * Ends to read, a moment before the process ends.
+   * Stops reading requests, shortly before the process ends.
    *
-   * <p>Failure: a caller keeps its connection through a graceful shutdown, and sends its next
-   * request while the process ends, which takes a busy machine 0.3 s. Symptom: the request is read,
-   * and its connection ends without an answer. Safeguard: each connection without a request is
-   * closed at once, whatever the others do; a request that is not whole is refused; one that is
-   * whole is answered, in the end with an unknown outcome. It is enough because all of this happens
-   * on the thread that reads requests, and a request on a closed connection is not read, so the
-   * caller may send it again elsewhere.
+   * <p>A caller may keep its connection through a graceful shutdown and send its next request while
+   * the process exits, which takes 0.3 s on a busy machine. If that request were read, its
+   * connection would end without an answer. Each idle connection is therefore closed at once,
+   * independently of the others; an incomplete request is refused; a complete one is answered, with
+   * an unknown outcome if no reply arrives in time. This is sufficient because it runs on the
+   * thread that reads requests, and a request on a closed connection is not read, so the caller may
+   * send it again elsewhere.
    *
-   * @return done when no connection is open
+   * @return completes when no connection is open
    */
   public Future<Void> close() {
     Promise<Void> closed = Promise.promise();
     traffic.runOnContext(
-        none -> {
+        ignored -> {
           draining = true;
           closing = true;
           connections.closeAllIdle().onComplete(closed);
@@ -255,7 +256,7 @@
     }
   }
 
-  /** What follows on the connection is the rest of the body, so it carries no other request. */
+  /** Closes the connection too, since the rest of the refused body would follow on it. */
   private void refuseBody(Exchange exchange, int status, String text) {
     if (!exchange.isEnded()) {
       exchange.request().response().putHeader("Connection", "close");
@@ -289,15 +290,15 @@
     try {
       wait = text == null ? wait : Long.parseLong(text.trim());
     } catch (NumberFormatException error) {
-      // A caller that says something else gets the usual time: its request is valid without it.
+      // A malformed deadline is treated as absent, since a request is valid without one.
       wait = DEFAULT_WAIT_MILLIS;
     }
     return Math.max(MIN_WAIT_MILLIS, wait - ANSWER_MARGIN_MILLIS);
   }
 
   private long remainingMillis() {
-    long left = TimeUnit.NANOSECONDS.toMillis(processEndNanos - System.nanoTime());
-    return Math.max(MIN_WAIT_MILLIS, left - ANSWER_MARGIN_MILLIS);
+    long remaining = TimeUnit.NANOSECONDS.toMillis(processEndNanos - System.nanoTime());
+    return Math.max(MIN_WAIT_MILLIS, remaining - ANSWER_MARGIN_MILLIS);
   }
 
   private void answer(Exchange exchange, int status, String text) {
@@ -310,7 +311,7 @@
     }
     Future<Void> written = exchange.writeAnswer(status, text);
     if (draining) {
-      // A request that was sent right behind this one is taken up first, and answered too.
+      // The close is deferred so that a request pipelined behind this one is read and answered.
       written.onComplete(done -> vertx.runOnContext(next -> exchange.connection().closeIfIdle()));
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/OwnerClient.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/OwnerClient.java
@@ -4,16 +4,16 @@
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
 
-/** Brings a caller's question to the owner. Called on the control thread. */
+/** Sends the requests of callers to the owner of the cell. Called on the control thread. */
 @FunctionalInterface
 public interface OwnerClient {
 
   /**
-   * Asks.
+   * Sends a request.
    *
-   * @param request the question
+   * @param request the request
    * @param timeoutMillis how long the caller waits, in milliseconds
-   * @return the reply; {@link LinkReply.NotOwner} if its outcome is unknown in the end
+   * @return the reply; {@link LinkReply.NotOwner} if the outcome remains unknown
    */
   Future<LinkReply> sendRequest(LinkRequest request, long timeoutMillis);
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
@@ -17,9 +17,10 @@
 import org.hickorypier.wire.UndecodableException;
 
 /**
- * Judges whole requests, asks the owner, and turns its replies into answers.
+ * Decides the access of complete requests, forwards them to the owner, and turns its replies into
+ * answers.
  *
- * <p>Belongs to the traffic thread; the owner is asked on the control thread.
+ * <p>Confined to the traffic thread; requests to the owner are sent on the control thread.
  */
 final class RequestHandler {
 
@@ -42,14 +43,15 @@
   private final EventLog log;
   private final AnswerWriter answerWriter;
 
-  /** Where answers go. */
+  /** Writes answers to callers. */
   @FunctionalInterface
   interface AnswerWriter {
 
     /**
-     * Answers a request, unless that has ended.
+     * Answers a request, unless its exchange has ended.
      *
-     * @param status the status, whose class tells whether the outcome is known
+     * @param status the HTTP status; {@link RequestHandler#OUTCOME_UNKNOWN} if it is not known
+     *     whether a submission was accepted
      * @param text the body
      */
     void answer(Exchange exchange, int status, String text);
@@ -62,25 +64,25 @@
       OwnerClient owner,
       LongSupplier wallMillis,
       EventLog log,
-      AnswerWriter answers) {
+      AnswerWriter answerWriter) {
     this.traffic = traffic;
     this.control = control;
     this.configuration = configuration;
     this.owner = owner;
     this.wallMillis = wallMillis;
     this.log = log;
-    this.answerWriter = answers;
+    this.answerWriter = answerWriter;
   }
 
   /**
-   * Handles a whole request.
+   * Handles a request whose body is complete.
    *
-   * @param waitMillis how long its caller waits, in milliseconds
+   * @param waitMillis how long the caller waits, in milliseconds
    */
   void handle(Exchange exchange, long waitMillis) {
     HttpServerRequest request = exchange.request();
-    AccessDecision judgement = decideAccess(request);
-    if (!judgement.isAllowed()) {
+    AccessDecision decision = decideAccess(request);
+    if (!decision.isAllowed()) {
       log.event(
           PART,
           "refused",
@@ -89,29 +91,28 @@
           "path",
           request.path(),
           "status",
-          judgement.status(),
+          decision.status(),
           "reason",
-          judgement.reason(),
+          decision.reason(),
           "version",
-          judgement.version());
-      refuse(exchange, judgement.status(), judgement.reason(), MILLIS_PER_SECOND);
+          decision.version());
+      refuse(exchange, decision.status(), decision.reason(), MILLIS_PER_SECOND);
       return;
     }
-    String id = request.path().substring(judgement.route().prefix().length());
+    String id = request.path().substring(decision.route().prefix().length());
     if (id.isEmpty() && request.method() == HttpMethod.GET) {
-      sendToOwner(
-          exchange, new LinkRequest.Count(judgement.route().terms().name()), id, waitMillis);
+      sendToOwner(exchange, new LinkRequest.Count(decision.route().terms().name()), id, waitMillis);
     } else if (!ID_PATTERN.matcher(id).matches()) {
       answerWriter.answer(
           exchange,
           BAD_REQUEST,
           CallerWords.error("the id is " + id + ", wanted are 16 hexadecimal digits"));
     } else if (request.method() == HttpMethod.POST) {
-      submit(exchange, judgement, id, waitMillis);
+      submit(exchange, decision, id, waitMillis);
     } else if (request.method() == HttpMethod.GET) {
-      sendToOwner(exchange, new LinkRequest.Inquire(id, judgement.customer()), id, waitMillis);
+      sendToOwner(exchange, new LinkRequest.Inquire(id, decision.customer()), id, waitMillis);
     } else if (request.method() == HttpMethod.DELETE) {
-      sendToOwner(exchange, new LinkRequest.Cancel(id, judgement.customer()), id, waitMillis);
+      sendToOwner(exchange, new LinkRequest.Cancel(id, decision.customer()), id, waitMillis);
     } else {
       answerWriter.answer(
           exchange, METHOD_NOT_ALLOWED, CallerWords.error("the method is " + request.method()));
@@ -128,14 +129,14 @@
         request.getHeader("Authorization"));
   }
 
-  private void submit(Exchange exchange, AccessDecision judgement, String id, long waitMillis) {
+  private void submit(Exchange exchange, AccessDecision decision, String id, long waitMillis) {
     SubmissionSpec spec;
     try {
       spec =
           SubmissionDecoder.decode(
               id,
-              judgement.customer(),
-              judgement.route().terms(),
+              decision.customer(),
+              decision.route().terms(),
               exchange.body(),
               wallMillis.getAsLong());
     } catch (UndecodableException error) {
@@ -145,7 +146,7 @@
           "id",
           id,
           "customer",
-          judgement.customer(),
+          decision.customer(),
           "status",
           BAD_REQUEST,
           "reason",
@@ -157,7 +158,7 @@
     sendToOwner(exchange, new LinkRequest.Submit(spec), id, waitMillis);
   }
 
-  private void sendToOwner(Exchange exchange, LinkRequest question, String id, long waitMillis) {
+  private void sendToOwner(Exchange exchange, LinkRequest request, String id, long waitMillis) {
     Promise<LinkReply> reply = Promise.promise();
     reply
         .future()
@@ -165,16 +166,16 @@
             value -> answerFromReply(exchange, value, id),
             error -> handleOwnerFailure(exchange, id, error));
     control.runOnContext(
-        none ->
+        ignored ->
             Future.succeededFuture()
-                .compose(begun -> owner.sendRequest(question, waitMillis))
+                .compose(begun -> owner.sendRequest(request, waitMillis))
                 .onComplete(outcome -> traffic.runOnContext(back -> reply.handle(outcome))));
   }
 
   /**
-   * Failure: bringing a question to the owner fails in this process. Symptom: the caller waits in
-   * vain. Safeguard: it is told at once that the outcome is unknown; that is enough since it may
-   * ask for its submission, or send it again, elsewhere.
+   * Answers at once that the outcome is unknown if sending the request to the owner fails within
+   * this process, since the caller would otherwise wait in vain. The caller may query its
+   * submission or send it again through another instance.
    */
   private void handleOwnerFailure(Exchange exchange, String id, Throwable error) {
     log.event(PART, "question-failed", "id", id, "error", error);
@@ -209,13 +210,16 @@
     }
   }
 
-  /** A refusal would promise that a submission never runs, and it may have been taken. */
+  /**
+   * Answers a submission with {@link #OUTCOME_UNKNOWN} and any other request with 503. A refusal
+   * would guarantee that a submission never runs, although it may have been accepted.
+   */
   void answerOutcomeUnknown(Exchange exchange) {
     int status = exchange.isSubmission() ? OUTCOME_UNKNOWN : UNAVAILABLE;
     refuse(exchange, status, "the outcome is not known yet", MILLIS_PER_SECOND);
   }
 
-  /** Tells the caller of a request that was not read whole to come back elsewhere. */
+  /** Refuses a request that was not read completely; its caller may retry at another instance. */
   void refuseIncomplete(Exchange exchange) {
     refuse(exchange, UNAVAILABLE, "this instance ends", MILLIS_PER_SECOND);
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/package-info.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/package-info.java
@@ -1,2 +1,5 @@
-/** The callers' side: judges each request by the configuration and brings it to the owner. */
+/**
+ * The HTTP front for callers: decides the access of each request by the configuration and forwards
+ * it to the owner.
+ */
 package org.hickorypier.daemon.front;
--- a/daemon/src/test/java/org/hickorypier/daemon/front/AccessDecisionTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/front/AccessDecisionTest.java
@@ -45,9 +45,9 @@
   }
 
   /**
-   * The store refuses this instance, and a key is withdrawn meanwhile. Without a proof that is
-   * young enough, neither a key nor a missing route may be judged; the caller is told when to come
-   * back.
+   * Guards against decisions by an outdated configuration, for instance a key that is withdrawn
+   * while the store refuses this instance. Without a recent proof neither a key nor a missing route
+   * is decided; the caller gets 503 and retries later.
    */
   @Test
   void withoutProofKeysAndMissingRoutesAreNotDecided() {
--- a/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
@@ -32,9 +32,9 @@
   }
 
   /**
-   * A caller's first request was reset. The balancer had asked the instance, which said that it was
-   * ready while its front did not listen yet. Here the front can never listen, since its port is
-   * taken; so the balancer must get no answer.
+   * Guards against an instance that reports ready before its front listens: the balancer then sends
+   * a caller whose first request is reset. The port of the front is taken here, so it never listens
+   * and the readiness check has to stay without an answer.
    */
   @Test
   void readinessCheckIsNotAnsweredBeforeTheFrontListens() throws Exception {
@@ -65,9 +65,9 @@
   }
 
   /**
-   * A caller hands a submission in, and bringing it to the owner fails inside the instance. The
-   * caller used to get no answer at all, since nobody heard of the failure; it is told that the
-   * outcome is unknown, and one that only asks is told to come back.
+   * Guards against a caller that gets no answer because sending its request to the owner fails
+   * inside the instance and the failure is not handled. A submission is answered with an unknown
+   * outcome, a query with a request to retry.
    */
   @Test
   void requestIsAnsweredIfSendingItToTheOwnerFails() throws Exception {
@@ -75,7 +75,7 @@
     try {
       OwnerClient failing =
           (request, timeout) -> {
-            throw new IllegalStateException("on purpose");
+            throw new IllegalStateException("injected failure");
           };
       ServiceAddress front = startFrontServer(vertx, failing);
       String path = "/queue/5c0e7a21d94b36f1";
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Serves one open queue. */
+  /** Starts a front with one public queue and returns its address. */
   private static ServiceAddress startFrontServer(Vertx vertx, OwnerClient owner) throws Exception {
     QueueTerms terms = new QueueTerms("q", "service", 0, 3, 2, 1_000, Optional.empty());
     QueueRoute route = new QueueRoute("queue.example", "/queue/", true, terms);
@@ -121,7 +121,7 @@
     return front;
   }
 
-  /** A configuration that is always in force. */
+  /** A configuration source whose configuration is always proven to be current. */
   private record FixedConfiguration(ClusterConfiguration current) implements ConfigurationSource {
     @Override
     public boolean isProven() {
