--- a/daemon/src/main/java/org/hickorypier/daemon/link/Link.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/Link.java
@@ -15,17 +15,17 @@
 import org.hickorypier.wire.UndecodableException;
 
 /**
- * One connection between two instances; both sides may ask.
+ * A connection between two instances over which both sides may send requests.
  *
- * <p>Invariants: every request ends, with a reply or with a {@link LinkException}; after a request
- * without a reply in time the connection is closed, since a connection may go silent for good while
- * new ones work. Belongs to the control thread.
+ * <p>Invariants: every request ends with a reply or with a {@link LinkException}; the connection is
+ * closed when a request times out, since a connection may stay silent for good while new ones work.
+ * Confined to the control thread.
  */
 public final class Link {
 
   private static final int LENGTH_PREFIX_BYTES = 4;
 
-  /** Larger than any submission with its frame; a broken sender may announce 2 GB. */
+  /** Exceeds the frame of any submission; a faulty sender may announce up to 2 GB. */
   private static final int MAX_FRAME_BYTES = 1 << 20;
 
   private final NetSocket socket;
@@ -37,11 +37,11 @@
   private boolean closed;
 
   /**
-   * Begins to read.
+   * Creates the link and starts to read from the socket.
    *
    * @param socket the connection
-   * @param handler answers the other side
-   * @param timers measures the time that replies take
+   * @param handler handles the requests of the other side
+   * @param timers the timers for reply timeouts
    */
   public Link(NetSocket socket, LinkRequestHandler handler, TimerService timers) {
     this.socket = socket;
@@ -70,29 +70,30 @@
         });
     socket.handler(parser);
     socket.exceptionHandler(error -> socket.close());
-    socket.closeHandler(none -> handleClosed());
+    socket.closeHandler(ignored -> handleClosed());
   }
 
   /**
-   * Asks the other side.
+   * Sends a request to the other side.
    *
    * @param request the request
-   * @param timeoutMillis how long the reply may take, in milliseconds
-   * @return the reply, or a {@link LinkException}
+   * @param timeoutMillis the time limit for the reply, in milliseconds
+   * @return the reply; fails with a {@link LinkException} if the link is closed or the reply is
+   *     late
    */
   public Future<LinkReply> sendRequest(LinkRequest request, long timeoutMillis) {
     if (closed) {
       return Future.failedFuture(new LinkException("the link is closed"));
     }
-    long number = ++lastRequestNumber;
+    long requestNumber = ++lastRequestNumber;
     Promise<LinkReply> promise = Promise.promise();
-    pendingReplies.put(number, promise);
-    writeFrame(LinkCodec.encode(number, request));
+    pendingReplies.put(requestNumber, promise);
+    writeFrame(LinkCodec.encode(requestNumber, request));
     var timer =
         timers.after(
             Duration.ofMillis(timeoutMillis),
             () -> {
-              if (promise.tryFail(new LinkException("no reply in time"))) {
+              if (promise.tryFail(new LinkException("no reply before the timeout"))) {
                 socket.close();
               }
             });
@@ -101,14 +102,14 @@
         .onComplete(
             done -> {
               timer.cancel();
-              pendingReplies.remove(number);
+              pendingReplies.remove(requestNumber);
             });
   }
 
   /**
-   * Runs something when the connection ends.
+   * Registers an action that runs when the connection is closed.
    *
-   * @param action what to run, on the control thread
+   * @param action the action, run on the control thread
    */
   public void onClose(Runnable action) {
     closeHandlers.add(action);
@@ -151,7 +152,7 @@
   private void handleClosed() {
     closed = true;
     for (Promise<LinkReply> promise : List.copyOf(pendingReplies.values())) {
-      promise.tryFail(new LinkException("the link broke"));
+      promise.tryFail(new LinkException("the link was closed before the reply arrived"));
     }
     closeHandlers.forEach(Runnable::run);
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/link/LinkCodec.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/LinkCodec.java
@@ -15,10 +15,10 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The MessagePack form of requests and replies. Stateless. */
+/** Encodes and decodes requests and replies in MessagePack. Stateless. */
 final class LinkCodec {
 
-  /** Requests have numbers below this one, replies from it on. */
+  /** The lowest type code of a reply; all requests have lower type codes. */
   private static final int ACCEPTED = 11;
 
   private static final int FORMER_OWNER = 0;
@@ -44,9 +44,9 @@
 
   private LinkCodec() {}
 
-  static byte[] encode(long number, LinkRequest request) {
+  static byte[] encode(long requestNumber, LinkRequest request) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      packer.packLong(number);
+      packer.packLong(requestNumber);
       pack(packer, request);
       return packer.toByteArray();
     } catch (IOException error) {
@@ -54,9 +54,9 @@
     }
   }
 
-  static byte[] encode(long number, LinkReply reply) {
+  static byte[] encode(long requestNumber, LinkReply reply) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      packer.packLong(number);
+      packer.packLong(requestNumber);
       pack(packer, reply);
       return packer.toByteArray();
     } catch (IOException error) {
@@ -142,19 +142,19 @@
   /**
    * Decodes a frame.
    *
-   * @param bytes its bytes
+   * @param bytes the encoded frame, without its length prefix
    * @return the frame, with either a request or a reply
-   * @throws UndecodableException if it is none
+   * @throws UndecodableException if the bytes are not a valid frame
    */
   static LinkFrame decode(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
-      long number = unpacker.unpackLong();
+      long requestNumber = unpacker.unpackLong();
       int type = unpacker.unpackInt();
       return type < ACCEPTED
-          ? new LinkFrame(number, unpackRequest(type, unpacker), null)
-          : new LinkFrame(number, null, unpackReply(type, unpacker));
+          ? new LinkFrame(requestNumber, unpackRequest(type, unpacker), null)
+          : new LinkFrame(requestNumber, null, unpackReply(type, unpacker));
     } catch (IOException | MessagePackException | IndexOutOfBoundsException error) {
-      throw new UndecodableException(bytes.length + " bytes are no frame", error);
+      throw new UndecodableException(bytes.length + " bytes are not a valid frame", error);
     }
   }
 
@@ -172,8 +172,8 @@
         return new LinkRequest.Count(unpacker.unpackString());
       case ADVISE:
         String step = unpacker.unpackString();
-        long timeout = unpacker.unpackLong();
-        return new LinkRequest.Advise(step, unpackStrings(unpacker), timeout);
+        long timeoutMillis = unpacker.unpackLong();
+        return new LinkRequest.Advise(step, unpackStrings(unpacker), timeoutMillis);
       case EXPLAIN:
         return new LinkRequest.Explain(unpacker.unpackString());
       case FORMER_OWNER:
@@ -183,7 +183,7 @@
       case PROVE_OWNERSHIP:
         return new LinkRequest.ProveOwnership();
       case INTRODUCE:
-        // An instance of an earlier version does not tell its age.
+        // Earlier versions do not send the age.
         return new LinkRequest.Introduce(
             unpacker.unpackInt(), unpacker.hasNext() ? unpacker.unpackLong() : 0);
       case MEASURE_PACE:
@@ -191,7 +191,7 @@
       case TAKE_OVER:
         return new LinkRequest.TakeOver();
       default:
-        throw new UndecodableException("request of type " + type, null);
+        throw new UndecodableException("unknown request type " + type, null);
     }
   }
 
@@ -209,13 +209,13 @@
       case NUMBER:
         return new LinkReply.Number(unpacker.unpackInt());
       case TICKETS:
-        long valid = unpacker.unpackLong();
+        long validMillis = unpacker.unpackLong();
         int count = unpacker.unpackMapHeader();
         Map<String, String> tickets = new HashMap<>();
         for (int index = 0; index < count; index++) {
           tickets.put(unpacker.unpackString(), unpacker.unpackString());
         }
-        return new LinkReply.Tickets(tickets, valid);
+        return new LinkReply.Tickets(tickets, validMillis);
       case LINES:
         return new LinkReply.Lines(unpackStrings(unpacker));
       case NOT_OWNER:
@@ -225,7 +225,7 @@
       case NOTED:
         return new LinkReply.Noted();
       default:
-        throw new UndecodableException("reply of type " + type, null);
+        throw new UndecodableException("unknown reply type " + type, null);
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/link/LinkException.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/LinkException.java
@@ -1,12 +1,12 @@
 package org.hickorypier.daemon.link;
 
-/** A request over a link had no reply. Whether it was carried out is unknown. */
+/** Thrown when a request over a link gets no reply; it may or may not have been carried out. */
 public final class LinkException extends Exception {
 
   /**
    * Creates the exception.
    *
-   * @param message what happened
+   * @param message the reason
    */
   public LinkException(String message) {
     super(message);
--- a/daemon/src/main/java/org/hickorypier/daemon/link/LinkFrame.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/LinkFrame.java
@@ -1,11 +1,9 @@
 package org.hickorypier.daemon.link;
 
 /**
- * One decoded frame.
+ * A decoded frame, which holds either a request or a reply. Immutable.
  *
- * <p>Immutable.
- *
- * @param requestNumber the number of the request, the same in its reply
+ * @param requestNumber the number of the request, which its reply repeats
  * @param request the request, or null
  * @param reply the reply, or null
  */
--- a/daemon/src/main/java/org/hickorypier/daemon/link/LinkReply.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/LinkReply.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 import org.hickorypier.core.submission.SubmissionState;
 
-/** What an instance answers. All forms are immutable. */
+/** A reply to a {@link LinkRequest}. All implementations are immutable. */
 public sealed interface LinkReply {
 
   /** The submission is durable. */
   record Accepted() implements LinkReply {}
 
   /**
-   * The submission was not taken and never runs.
+   * The submission was refused and never runs.
    *
-   * @param reason why
-   * @param retryAfterMillis when to come back, in milliseconds
+   * @param reason the reason
+   * @param retryAfterMillis the delay before a retry, in milliseconds
    */
   record Refused(String reason, long retryAfterMillis) implements LinkReply {}
 
   /**
-   * A submission's state.
+   * The state of a submission.
    *
    * @param state the state
    */
@@ -29,21 +29,21 @@
   record NotKnown() implements LinkReply {}
 
   /**
-   * A queue's number of waiting submissions.
+   * A number: the waiting submissions of a queue, or the microseconds of a pace measurement.
    *
-   * @param number the number
+   * @param number the value
    */
   record Number(int number) implements LinkReply {}
 
   /**
    * The advisor's answer.
    *
-   * @param tickets the tickets of the suitable workers, by worker
-   * @param validMillis how long they are valid, in milliseconds
+   * @param tickets the tickets of the suitable workers, by worker name
+   * @param validMillis the validity of the tickets, in milliseconds
    */
   record Tickets(Map<String, String> tickets, long validMillis) implements LinkReply {
 
-    /** Copies the map, so that the record stays as it is. */
+    /** Copies the map, so that the record is immutable. */
     public Tickets {
       tickets = Map.copyOf(tickets);
     }
@@ -56,18 +56,18 @@
    */
   record Lines(List<String> lines) implements LinkReply {
 
-    /** Copies the list, so that the record stays as it is. */
+    /** Copies the list, so that the record is immutable. */
     public Lines {
       lines = List.copyOf(lines);
     }
   }
 
-  /** The instance is not the owner, or no longer; the request may be asked of the next. */
+  /** The instance is not, or no longer, the owner; the request may be sent to the next owner. */
   record NotOwner() implements LinkReply {}
 
-  /** The advisor gave no answer. */
+  /** The request could not be carried out, for instance because the advisor gave no answer. */
   record Failed() implements LinkReply {}
 
-  /** Heard, with nothing to say. */
+  /** An acknowledgement without data. */
   record Noted() implements LinkReply {}
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/link/LinkRequestHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/LinkRequestHandler.java
@@ -2,12 +2,12 @@
 
 import io.vertx.core.Future;
 
-/** Answers the requests that come over a link. Called on the control thread. */
+/** Handles the requests received over a link. Called on the control thread. */
 @FunctionalInterface
 public interface LinkRequestHandler {
 
   /**
-   * Answers a request.
+   * Handles a request.
    *
    * @param request the request
    * @return the reply; the future never fails
