--- a/daemon/src/main/java/org/hickorypier/daemon/settings/DaemonSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/DaemonSettings.java
@@ -3,32 +3,33 @@
 import java.util.Optional;
 
 /**
- * The settings of one daemon, all checked.
- *
- * <p>Immutable, so safe to share between threads. Its text form masks secrets.
+ * The validated settings of a daemon. Immutable and thus thread-safe; {@link #toString} masks
+ * secrets.
  *
  * @param name the name of this instance
- * @param dataCentre the data centre in which it runs
- * @param host the IP number to listen on
- * @param httpPort the port for callers and operators, 0 for a free one
- * @param peerPort the port for the other instances, 0 for a free one
+ * @param dataCentre the data centre in which the instance runs
+ * @param host the IP address to listen on
+ * @param httpPort the port for callers and operators, or 0 for any free port
+ * @param peerPort the port for the other instances, or 0 for any free port
  * @param logService the address of the log service
  * @param instanceList the address of the list of instances
- * @param peerSecret the secret by which instances know one another
- * @param operatorKey the operator's key to begin with, as {@code keyId.secret}
+ * @param peerSecret the shared secret by which instances authenticate each other
+ * @param operatorKey the initial operator key, as {@code keyId.secret}
  * @param logLevel error, warning, info, debug or trace
- * @param leaseMillis the lease of a task on its worker
- * @param renewalMillis the time between renewals, at most half the lease
- * @param heartbeatMillis the time between heartbeats of a link
- * @param peerTimeoutMillis the silence after which a link is closed
- * @param digestMillis the time between digests to a peer
- * @param freshnessMillis how long new work is taken without a sign of a recent configuration
- * @param queueLimit the most items queued of one team and class
- * @param requestBytesLimit the largest body of a request
- * @param deadlineDefaultMillis the deadline of a request that names none
- * @param eventLoops the threads that carry traffic
- * @param shutdownMillis how long a graceful shutdown waits for requests in progress
- * @param connectionsPerWorker the most connections to one worker
+ * @param leaseMillis the lease of a task on its worker, in milliseconds
+ * @param renewalMillis the time between renewals, in milliseconds; at most half the lease
+ * @param heartbeatMillis the time between heartbeats of a link, in milliseconds
+ * @param peerTimeoutMillis the silence after which a link is closed, in milliseconds
+ * @param digestMillis the time between digests to a peer, in milliseconds
+ * @param freshnessMillis how long new work is accepted without evidence that the configuration is
+ *     recent, in milliseconds
+ * @param queueLimit the maximum number of queued items of one team and class
+ * @param requestBytesLimit the maximum size of a request body, in bytes
+ * @param deadlineDefaultMillis the deadline of a request without one, in milliseconds
+ * @param eventLoops the number of threads that handle network traffic
+ * @param shutdownMillis how long a graceful shutdown waits for requests in progress, in
+ *     milliseconds
+ * @param connectionsPerWorker the maximum number of connections to one worker
  */
 public record DaemonSettings(
     String name,
@@ -55,11 +56,11 @@
     int connectionsPerWorker) {
 
   /**
-   * Returns the same settings with other ports.
+   * Returns a copy of the settings with other ports.
    *
-   * @param otherHttpPort the port for callers and operators, 0 to leave it
-   * @param otherPeerPort the port for the other instances, 0 to leave it
-   * @return the settings
+   * @param otherHttpPort the port for callers and operators, or 0 to keep the present one
+   * @param otherPeerPort the port for the other instances, or 0 to keep the present one
+   * @return the copy
    */
   public DaemonSettings withPorts(int otherHttpPort, int otherPeerPort) {
     return new DaemonSettings(
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/FlagValues.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/FlagValues.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The flags of a command line with their values. Immutable. */
+/** The flags of a parsed command line and their values. Immutable. */
 final class FlagValues {
 
   private static final String KNOWN_FLAGS = "only flags that --help lists";
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Parses a command line to its end. The library stops at the first word that it does not know; it
-   * is started again after that word, so that one mistake does not hide the others.
+   * Parses a whole command line. The library stops at the first unknown word; parsing restarts
+   * after that word, so that one mistake does not hide the others.
    */
   static FlagValues parse(Options options, List<String> arguments, ResolvedSettings problems) {
     Map<String, List<String>> values = new LinkedHashMap<>();
@@ -60,14 +60,14 @@
 
   private static void collect(CommandLine line, Map<String, List<String>> values) {
     for (Option option : line.getOptions()) {
-      List<String> ofOption =
+      List<String> optionValues =
           values.computeIfAbsent(option.getLongOpt(), name -> new ArrayList<>());
-      ofOption.addAll(option.getValuesList());
+      optionValues.addAll(option.getValuesList());
     }
   }
 
-  // A mistyped flag may carry a secret (--peer-secrt=... or the word after it), so a flag is shown
-  // without its value and any other word by its position only.
+  // A mistyped flag may carry a secret (--peer-secrt=... or the following word), so a flag is shown
+  // without its value and any other word only by its position.
   private static String describe(String word, int position) {
     if (!word.startsWith("--")) {
       return "word " + position;
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/HostAndPort.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/HostAndPort.java
@@ -1,11 +1,9 @@
 package org.hickorypier.daemon.settings;
 
 /**
- * The address of a service.
+ * The address of a service. Immutable.
  *
- * <p>Immutable.
- *
- * @param host the host, an IP number or a name
+ * @param host the host, an IP address or a name
  * @param port the port
  */
 public record HostAndPort(String host, int port) {
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/ResolvedSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/ResolvedSettings.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * The values found for the settings, with their sources and every problem met.
+ * The values of the settings with their sources, and all problems found while resolving them.
  *
- * <p>Not thread safe: filled and read while the daemon starts.
+ * <p>Not thread-safe: filled and read while the daemon starts.
  */
 final class ResolvedSettings {
 
-  /** One value as given, with its source. */
+  /** The unparsed text of a setting and its source. */
   record Entry(Setting<?> setting, String text, SettingSource source) {}
 
   private final Map<Setting<?>, Object> values = new LinkedHashMap<>();
@@ -37,7 +37,7 @@
     return values.containsKey(setting);
   }
 
-  /** Returns a value that was read; the parser of the setting made it, so the cast is safe. */
+  /** Returns the parsed value; the cast is safe since the setting's own parser created it. */
   @SuppressWarnings("unchecked")
   <T> T get(Setting<T> setting) {
     return (T) values.get(setting);
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/Secret.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/Secret.java
@@ -3,19 +3,19 @@
 import java.util.Objects;
 
 /**
- * A text that must not reach logs, error messages or printed settings.
+ * A text that must not appear in logs, error messages or printed settings.
  *
- * <p>Immutable, so safe to share between threads. {@link #toString} never shows the text.
+ * <p>Immutable and thus thread-safe. {@link #toString} never returns the text.
  */
 public final class Secret {
 
-  /** What is shown in place of a secret. */
+  /** The text that is displayed in place of a secret. */
   public static final String MASK = "********";
 
   private final String text;
 
   /**
-   * Wraps a text.
+   * Creates a secret.
    *
    * @param text the secret text
    */
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/Setting.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/Setting.java
@@ -5,12 +5,12 @@
 /**
  * The definition of one setting. Immutable.
  *
- * @param name the flag without its dashes
- * @param allowed the allowed values, for help and errors
- * @param defaultText the default, or null if the setting must be given
+ * @param name the name of the flag, without the leading dashes
+ * @param allowed the description of the allowed values, for the help and error messages
+ * @param defaultText the default, or null if the setting is required
  * @param secret whether its value is masked
- * @param parser reads the value
- * @param description a sentence for help
+ * @param parser parses the value
+ * @param description the sentence that the help prints
  */
 record Setting<T>(
     String name,
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingCatalogue.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingCatalogue.java
@@ -7,7 +7,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** All settings of the daemon, in the order of the help. Immutable, so safe to share. */
+/** All settings of the daemon, in the order of the help. Immutable and thus thread-safe. */
 final class SettingCatalogue {
 
   private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
@@ -137,8 +137,8 @@
     return setting;
   }
 
-  private static Setting<String> defineName(String name, String what, String description) {
-    String allowed = "a " + what + " of 1 to 64 letters, digits, ., _ and -";
+  private static Setting<String> defineName(String name, String noun, String description) {
+    String allowed = "a " + noun + " of 1 to 64 letters, digits, ., _ and -";
     return add(new Setting<>(name, allowed, null, false, matching(NAME_PATTERN), description));
   }
 
@@ -148,10 +148,11 @@
   }
 
   private static Setting<Long> defineNumber(
-      String name, long least, long most, long normal, String description) {
-    ValueParser<Long> parser = text -> parseNumber(text, least, most);
-    String allowed = least + " to " + most;
-    return add(new Setting<>(name, allowed, Long.toString(normal), false, parser, description));
+      String name, long min, long max, long defaultNumber, String description) {
+    ValueParser<Long> parser = text -> parseNumber(text, min, max);
+    String allowed = min + " to " + max;
+    return add(
+        new Setting<>(name, allowed, Long.toString(defaultNumber), false, parser, description));
   }
 
   private static ValueParser<String> matching(Pattern pattern) {
@@ -161,11 +162,10 @@
     };
   }
 
-  private static long parseNumber(String text, long least, long most)
-      throws UnusableValueException {
+  private static long parseNumber(String text, long min, long max) throws UnusableValueException {
     try {
       long number = Long.parseLong(text);
-      check(number >= least && number <= most);
+      check(number >= min && number <= max);
       return number;
     } catch (NumberFormatException error) {
       throw new UnusableValueException();
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingProblem.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingProblem.java
@@ -1,13 +1,11 @@
 package org.hickorypier.daemon.settings;
 
 /**
- * One setting that cannot be used.
+ * A missing or invalid setting. Immutable; the value of a secret is masked.
  *
- * <p>Immutable. A secret's value is masked in it.
- *
- * @param name the flag or the environment variable that was given
- * @param value the value given, masked for a secret; empty if none was given
- * @param allowed what is allowed
+ * @param name the flag, the environment variable, or the unknown word of the command line
+ * @param value the given value, masked for a secret; empty if none was given
+ * @param allowed the description of the allowed values
  */
 public record SettingProblem(String name, String value, String allowed) {
 
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingSource.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingSource.java
@@ -1,12 +1,12 @@
 package org.hickorypier.daemon.settings;
 
-/** Where the value of a setting came from, in the order in which they are asked. */
+/** The sources of setting values, in descending order of precedence. */
 public enum SettingSource {
-  /** A flag of the command line. */
+  /** A command line flag. */
   FLAG("flag"),
   /** An environment variable. */
   ENVIRONMENT("environment"),
-  /** Neither, so the default stands. */
+  /** The default, used if neither a flag nor a variable is given. */
   DEFAULT("default");
 
   private final String text;
@@ -16,9 +16,9 @@
   }
 
   /**
-   * Returns the name shown by {@code --print-settings}.
+   * Returns the name that {@code --print-settings} prints.
    *
-   * @return one word in lower case
+   * @return a word in lower case
    */
   public String text() {
     return text;
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsException.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsException.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings that cannot be used. It names every problem, so that one start shows all of them. */
+/**
+ * Thrown for unusable settings. Lists every problem, so that a single start reveals all of them.
+ */
 public final class SettingsException extends Exception {
 
   private final transient List<SettingProblem> problems;
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsReader.java
@@ -8,9 +8,9 @@
 /**
  * Reads the daemon's settings from flags and environment variables.
  *
- * <p>A flag goes before its variable, the variable before the default. All problems are reported
- * together, because an operator who restarts a daemon once per mistake loses time during an
- * incident. Stateless, so thread safe.
+ * <p>A flag takes precedence over its variable, and the variable over the default. All problems are
+ * reported together, because an operator who restarts a daemon once per mistake loses time during
+ * an incident. Stateless and thus thread-safe.
  */
 public final class SettingsReader {
 
@@ -26,7 +26,7 @@
    * @param arguments the command line
    * @param environment the environment variables
    * @return the settings to use, or the text to print
-   * @throws SettingsException if any setting cannot be used; it names all of them
+   * @throws SettingsException if any setting is unusable; lists all problems
    */
   public SettingsResult read(List<String> arguments, Map<String, String> environment)
       throws SettingsException {
@@ -78,8 +78,8 @@
   private static void resolveFlag(
       Setting<?> setting, List<String> values, ResolvedSettings resolved) {
     if (values.size() > 1) {
-      String shown = String.join(" ", values.stream().map(setting::maskedText).toList());
-      resolved.addProblem(setting.flag(), shown, "one value, given once");
+      String maskedValues = String.join(" ", values.stream().map(setting::maskedText).toList());
+      resolved.addProblem(setting.flag(), maskedValues, "one value, given once");
     } else if (values.isEmpty() || values.get(0).isEmpty()) {
       resolved.addProblem(setting.flag(), "", setting.allowed());
     } else {
@@ -87,37 +87,37 @@
     }
   }
 
-  // With fewer than two renewals in a lease, one lost answer lets the lease lapse and the worker
-  // stops a task that nobody wanted stopped. Half the lease leaves time for one repetition.
+  // With fewer than two renewals per lease, one lost answer lets the lease expire and the worker
+  // stops a task that should continue. Half the lease leaves time for one retry.
   private static void checkRenewals(ResolvedSettings resolved) {
     if (!resolved.has(SettingCatalogue.LEASE_MILLIS)
         || !resolved.has(SettingCatalogue.RENEWAL_MILLIS)) {
       return;
     }
-    long most = resolved.get(SettingCatalogue.LEASE_MILLIS) / MIN_RENEWALS_PER_LEASE;
+    long maxRenewal = resolved.get(SettingCatalogue.LEASE_MILLIS) / MIN_RENEWALS_PER_LEASE;
     long renewal = resolved.get(SettingCatalogue.RENEWAL_MILLIS);
-    if (renewal > most) {
+    if (renewal > maxRenewal) {
       resolved.addProblem(
           SettingCatalogue.RENEWAL_MILLIS.flag(),
           Long.toString(renewal),
-          "at most half of --lease-millis, here " + most);
+          "at most half of --lease-millis, here " + maxRenewal);
     }
   }
 
-  // With fewer than three heartbeats in the timeout, one delayed packet closes a link that works,
-  // and all peers see this instance come and go. Three leave room for two that are lost.
+  // With fewer than three heartbeats per timeout, one delayed packet closes a working link, and all
+  // peers see this instance disconnect and reconnect. Three tolerate the loss of two heartbeats.
   private static void checkHeartbeats(ResolvedSettings resolved) {
     if (!resolved.has(SettingCatalogue.HEARTBEAT_MILLIS)
         || !resolved.has(SettingCatalogue.PEER_TIMEOUT_MILLIS)) {
       return;
     }
-    long least = resolved.get(SettingCatalogue.HEARTBEAT_MILLIS) * MIN_HEARTBEATS_PER_TIMEOUT;
+    long minTimeout = resolved.get(SettingCatalogue.HEARTBEAT_MILLIS) * MIN_HEARTBEATS_PER_TIMEOUT;
     long timeout = resolved.get(SettingCatalogue.PEER_TIMEOUT_MILLIS);
-    if (timeout < least) {
+    if (timeout < minTimeout) {
       resolved.addProblem(
           SettingCatalogue.PEER_TIMEOUT_MILLIS.flag(),
           Long.toString(timeout),
-          "at least 3 times --heartbeat-millis, here " + least);
+          "at least 3 times --heartbeat-millis, here " + minTimeout);
     }
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsResult.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsResult.java
@@ -1,17 +1,17 @@
 package org.hickorypier.daemon.settings;
 
-/** What the command line asks the daemon to do. Immutable. */
+/** The result of reading the settings: what the daemon has to do. Immutable. */
 public sealed interface SettingsResult {
 
   /**
-   * Start with these settings.
+   * The daemon starts with these settings.
    *
-   * @param settings the settings, all checked
+   * @param settings the validated settings
    */
   record Use(DaemonSettings settings) implements SettingsResult {}
 
   /**
-   * Print this text and exit with code 0.
+   * The daemon prints a text and exits with code 0.
    *
    * @param text the help, or the list of settings
    */
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsText.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/SettingsText.java
@@ -1,6 +1,6 @@
 package org.hickorypier.daemon.settings;
 
-/** The texts about settings: help, current values, reference page. Stateless. */
+/** Formats the help, the values in use and the reference page of the settings. Stateless. */
 final class SettingsText {
 
   private static final String HELP_HEAD =
@@ -46,8 +46,8 @@
   static String values(ResolvedSettings resolved) {
     StringBuilder text = new StringBuilder();
     for (ResolvedSettings.Entry entry : resolved.entries()) {
-      String shown = entry.setting().maskedText(entry.text());
-      String value = shown.isEmpty() ? "none" : shown;
+      String maskedText = entry.setting().maskedText(entry.text());
+      String value = maskedText.isEmpty() ? "none" : maskedText;
       text.append(
           "%-26s %-28s %s\n".formatted(entry.setting().flag(), value, entry.source().text()));
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/UnusableValueException.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/UnusableValueException.java
@@ -1,6 +1,6 @@
 package org.hickorypier.daemon.settings;
 
-/** A text that is no value of its setting. */
+/** Thrown when a text is not an allowed value of its setting. */
 final class UnusableValueException extends Exception {
 
   UnusableValueException() {
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/ValueParser.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/ValueParser.java
@@ -1,15 +1,15 @@
 package org.hickorypier.daemon.settings;
 
-/** Reads the text of a setting. */
+/** Parses the text of a setting. */
 @FunctionalInterface
 interface ValueParser<T> {
 
   /**
-   * Reads a value.
+   * Parses a value.
    *
-   * @param text the text given
+   * @param text the given text
    * @return the value
-   * @throws UnusableValueException if the text is no allowed value
+   * @throws UnusableValueException if the text is not an allowed value
    */
   T parse(String text) throws UnusableValueException;
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/settings/SettingsReaderTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/settings/SettingsReaderTest.java
@@ -175,7 +175,8 @@
     return arguments;
   }
 
-  // Writes what came out beside the build's other output, so that a wanted change is one copy away.
+  // The actual text is written to the build directory, so that an intended change is accepted by
+  // copying that file over the golden one.
   private static void assertGolden(String actual, Path expected) throws IOException {
     Path copy = Path.of("target/golden").resolve(expected.getFileName());
     Files.createDirectories(copy.getParent());
