--- a/daemon/src/main/java/org/hickorypier/daemon/front/Judgement.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/AccessDecision.java
@@ -5,17 +5,15 @@
 import org.hickorypier.core.cluster.QueueRoute;
 
 /**
- * What the configuration says of a request.
+ * The routing and access decision for a request, by the configuration. Immutable.
  *
- * <p>Immutable.
- *
- * @param status 0 if the request may go on, otherwise the status of its answer
- * @param reason why it may not go on, or empty
- * @param route its queue, or null
- * @param customer its customer, or empty on a public queue
- * @param version the version of the configuration that decided
+ * @param status 0 if the request is allowed, otherwise the HTTP status of its answer
+ * @param reason why the request is refused, or empty
+ * @param route the route to its queue, or null if the request is refused
+ * @param customer the customer whose key was sent, or empty on a public queue
+ * @param version the version of the configuration on which the decision is based
  */
-record Judgement(int status, String reason, QueueRoute route, String customer, long version) {
+record AccessDecision(int status, String reason, QueueRoute route, String customer, long version) {
 
   private static final String BEARER = "Bearer ";
   private static final int UNAUTHORIZED = 401;
@@ -23,16 +21,16 @@
   private static final int UNAVAILABLE = 503;
 
   /**
-   * Judges a request.
+   * Decides whether a request is allowed, and for which queue and customer.
    *
-   * @param configuration the newest configuration known, or null
-   * @param proven whether it is known to have been the newest a short time ago; without that, a key
-   *     may have been withdrawn, and a route may have come or gone
-   * @param host the host that the caller named
-   * @param path the path
-   * @param authorization the header with the key, or null
+   * @param configuration the newest known configuration, or null
+   * @param proven whether it is known to have been the newest a short time ago; otherwise a key may
+   *     have been withdrawn, or a route added or removed, in the meantime
+   * @param host the value of the {@code Host} header
+   * @param path the path of the request
+   * @param authorization the value of the {@code Authorization} header, or null
    */
-  static Judgement of(
+  static AccessDecision decide(
       ClusterConfiguration configuration,
       boolean proven,
       String host,
@@ -50,7 +48,7 @@
       return refused(NOT_FOUND, "no such queue", version);
     }
     if (route.open()) {
-      return new Judgement(0, "", route, "", version);
+      return new AccessDecision(0, "", route, "", version);
     }
     if (authorization == null || !authorization.startsWith(BEARER)) {
       return refused(UNAUTHORIZED, "no key", version);
@@ -59,15 +57,15 @@
         configuration.customerOf(authorization.substring(BEARER.length()).trim()).orElse(null);
     return customer == null
         ? refused(UNAUTHORIZED, "unknown key", version)
-        : new Judgement(0, "", route, customer.name(), version);
+        : new AccessDecision(0, "", route, customer.name(), version);
   }
 
-  boolean mayGoOn() {
+  boolean isAllowed() {
     return status == 0;
   }
 
-  private static Judgement refused(int status, String reason, long version) {
-    return new Judgement(status, reason, null, "", version);
+  private static AccessDecision refused(int status, String reason, long version) {
+    return new AccessDecision(status, reason, null, "", version);
   }
 
   private static String withoutPort(String host) {
--- a/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
@@ -5,61 +5,63 @@
 import org.hickorypier.platform.intake.CallerWords;
 
 /**
- * Reads the body of a request, which may be too large, malformed, or never end. Stateless.
+ * Reads the body of a request up to {@link #MAX_BODY_BYTES}. Stateless.
  *
- * <p>Failure: a chunked body goes on for ever, or breaks off with a chunk that cannot be read.
- * Symptom: the process runs out of memory; the caller gets no answer. Safeguard: the bytes are
- * counted as they come, and an error of the format is answered. It is enough because nothing of a
- * body is kept before it was counted.
+ * <p>A chunked body may be endless, or end in a chunk that cannot be parsed. Without a limit it
+ * exhausts the memory of the process, and without an answer to the format error the caller waits in
+ * vain. Every part is counted as it arrives and nothing is kept after the refusal, so memory stays
+ * bounded.
  */
 final class BodyReader {
 
-  static final int MOST_BYTES = 262_144;
+  static final int MAX_BODY_BYTES = 262_144;
 
-  private static final int MOST_DIGITS = 9;
+  private static final int MAX_LENGTH_DIGITS = 9;
   private static final int BAD_REQUEST = 400;
-  private static final int TOO_LARGE = 413;
+  private static final int PAYLOAD_TOO_LARGE = 413;
 
   private BodyReader() {}
 
-  /** What becomes of a body. */
-  interface Outcome {
+  /** Receives the result of reading a body. */
+  interface Callback {
 
-    /** The whole body is here. */
-    void whole();
+    /** Called when the whole body has been read. */
+    void onComplete();
 
-    /** The request is answered without it, and no more of it is read. */
-    void refused(int status, String text);
+    /** Called when the request has to be answered without its body; the rest is discarded. */
+    void onRefused(int status, String text);
   }
 
-  static void read(Exchange exchange, Outcome outcome) {
+  static void read(Exchange exchange, Callback callback) {
     HttpServerRequest request = exchange.request();
     String length = request.getHeader("Content-Length");
-    if (tooLong(length)) {
-      outcome.refused(TOO_LARGE, tooLarge(length + " bytes"));
+    if (isTooLong(length)) {
+      callback.onRefused(PAYLOAD_TOO_LARGE, tooLargeAnswer(length + " bytes"));
       return;
     }
-    request.handler(part -> add(exchange, part, outcome));
+    request.handler(part -> appendPart(exchange, part, callback));
     request.exceptionHandler(
-        error -> outcome.refused(BAD_REQUEST, CallerWords.error("the body cannot be read")));
-    request.endHandler(none -> outcome.whole());
+        error -> callback.onRefused(BAD_REQUEST, CallerWords.error("the body cannot be read")));
+    request.endHandler(ignored -> callback.onComplete());
   }
 
-  private static boolean tooLong(String length) {
-    return length != null && (length.length() > MOST_DIGITS || Long.parseLong(length) > MOST_BYTES);
+  private static boolean isTooLong(String length) {
+    return length != null
+        && (length.length() > MAX_LENGTH_DIGITS || Long.parseLong(length) > MAX_BODY_BYTES);
   }
 
-  private static void add(Exchange exchange, Buffer part, Outcome outcome) {
-    if (exchange.ended()) {
+  private static void appendPart(Exchange exchange, Buffer part, Callback callback) {
+    if (exchange.isEnded()) {
       return;
     }
     exchange.body().appendBuffer(part);
-    if (exchange.body().length() > MOST_BYTES) {
-      outcome.refused(TOO_LARGE, tooLarge("more than " + MOST_BYTES + " bytes"));
+    if (exchange.body().length() > MAX_BODY_BYTES) {
+      callback.onRefused(
+          PAYLOAD_TOO_LARGE, tooLargeAnswer("more than " + MAX_BODY_BYTES + " bytes"));
     }
   }
 
-  private static String tooLarge(String size) {
-    return CallerWords.error("the body has " + size + ", allowed are " + MOST_BYTES);
+  private static String tooLargeAnswer(String size) {
+    return CallerWords.error("the body has " + size + ", allowed are " + MAX_BODY_BYTES);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/Exchange.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/Exchange.java
@@ -5,31 +5,33 @@
 import io.vertx.core.http.HttpServerRequest;
 
 /**
- * One request of a caller, from its head to its answer.
+ * A caller's request and its answer.
  *
- * <p>Invariant: it ends once, with an answer or with its connection. Belongs to the traffic thread.
+ * <p>Invariant: an exchange ends once, with its answer or with its connection. Confined to the
+ * traffic thread.
  */
 final class Exchange {
 
   private final HttpServerRequest request;
   private final CallerConnection connection;
   private final Buffer body = Buffer.buffer();
-  private final long readUntil;
-  private boolean whole;
+  private final long bodyDeadlineMillis;
+  private boolean bodyComplete;
   private boolean ended;
   private boolean submission;
 
   /**
-   * Begins an exchange.
+   * Creates an exchange.
    *
-   * @param request the request, of which the head is known
-   * @param connection the connection that it came on
-   * @param readUntil when its body has to be here, by the timers' clock, in milliseconds
+   * @param request the request, whose head has been read
+   * @param connection the connection on which the request arrived
+   * @param bodyDeadlineMillis when the body has to be complete, in milliseconds of the timer
+   *     service's clock
    */
-  Exchange(HttpServerRequest request, CallerConnection connection, long readUntil) {
+  Exchange(HttpServerRequest request, CallerConnection connection, long bodyDeadlineMillis) {
     this.request = request;
     this.connection = connection;
-    this.readUntil = readUntil;
+    this.bodyDeadlineMillis = bodyDeadlineMillis;
   }
 
   HttpServerRequest request() {
@@ -44,34 +46,33 @@
     return body;
   }
 
-  /** Takes notice that the body has ended. */
-  void bodyEnded() {
-    whole = true;
+  void markBodyComplete() {
+    bodyComplete = true;
   }
 
-  /** Tells whether the whole request is here, so that its outcome may be unknown. */
-  boolean whole() {
-    return whole;
+  /** Returns whether the whole request was read; only then can its outcome be unknown. */
+  boolean isBodyComplete() {
+    return bodyComplete;
   }
 
-  /** Tells whether the body is late. */
-  boolean stalled(long nowMillis) {
-    return !whole && nowMillis >= readUntil;
+  /** Returns whether the body is incomplete after its deadline. */
+  boolean isBodyOverdue(long nowMillis) {
+    return !bodyComplete && nowMillis >= bodyDeadlineMillis;
   }
 
-  /** Takes notice that it hands a submission in, which may be taken without an answer. */
-  void asksToSubmit() {
+  /** Marks the request as a submission, which may be accepted even if no reply arrives. */
+  void markSubmission() {
     submission = true;
   }
 
-  boolean submits() {
+  boolean isSubmission() {
     return submission;
   }
 
   /**
    * Ends the exchange.
    *
-   * @return false if it had ended before
+   * @return false if it had already ended
    */
   boolean end() {
     boolean first = !ended;
@@ -79,12 +80,12 @@
     return first;
   }
 
-  boolean ended() {
+  boolean isEnded() {
     return ended;
   }
 
-  /** Writes the answer. */
-  Future<Void> write(int status, String text) {
+  /** Writes the answer; does nothing if the response is already closed. */
+  Future<Void> writeAnswer(int status, String text) {
     if (request.response().closed()) {
       return Future.succeededFuture();
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
@@ -21,63 +21,63 @@
 import org.hickorypier.platform.intake.CallerWords;
 
 /**
- * Serves callers and the balancer's readiness checks, and ends both gracefully.
+ * HTTP servers for callers and for the balancer's readiness checks, with graceful shutdown.
  *
- * <p>Belongs to the traffic thread; {@link #drain}, {@link #close} and {@link #report} may be
+ * <p>Confined to the traffic thread; {@link #drain}, {@link #close} and {@link #report} may be
  * called from any thread.
  */
 public final class FrontServer {
 
-  /** How long a caller is taken to wait that does not say so. */
-  private static final long USUAL_WAIT_MILLIS = 3_000;
+  /** Assumed wait of a caller that sends no deadline. */
+  private static final long DEFAULT_WAIT_MILLIS = 3_000;
 
-  /** Covers the way back to the caller, so that it gets an answer before it leaves. */
-  private static final long WAY_BACK_MILLIS = 120;
+  /** Time kept for sending the answer, so that it reaches the caller before it gives up. */
+  private static final long ANSWER_MARGIN_MILLIS = 120;
 
-  private static final long SHORTEST_WAIT_MILLIS = 20;
+  private static final long MIN_WAIT_MILLIS = 20;
 
-  /** Callers wait for seconds; a stalled body may stay this much longer. */
-  private static final Duration STALL_PERIOD = Duration.ofMillis(250);
+  /** A stalled body may exceed its deadline by this much, since callers wait for seconds. */
+  private static final Duration STALL_CHECK_PERIOD = Duration.ofMillis(250);
 
-  private static final Duration DRAIN_PERIOD = Duration.ofMillis(50);
+  private static final Duration DRAIN_CHECK_PERIOD = Duration.ofMillis(50);
 
-  /** The owner's replies to requests read just before the end come within this time. */
-  private static final Duration LAST_REPLIES = Duration.ofMillis(150);
+  /** The owner's replies to requests read just before the end arrive within this time. */
+  private static final Duration FINAL_REPLY_TIMEOUT = Duration.ofMillis(150);
 
-  /** Many callers connect at once after an outage. */
+  /** Sized for many callers that connect at once after an outage. */
   private static final int ACCEPT_BACKLOG = 1_024;
 
   private static final int OK = 200;
-  private static final int TIMED_OUT = 408;
+  private static final int REQUEST_TIMEOUT = 408;
   private static final int UNAVAILABLE = 503;
 
   private final Vertx vertx;
   private final Context traffic;
   private final TimerService timers;
   private final BooleanSupplier ready;
-  private final CallerConnections connections;
+  private final CallerConnectionRegistry connections;
   private final RequestHandler handler;
-  private boolean lookingForStalled;
+  private boolean stallCheckScheduled;
   private boolean draining;
   private boolean closing;
-  private long endsAtNanos;
+  private long processEndNanos;
 
   /**
    * Creates the server; called on the traffic thread.
    *
    * @param vertx runs the input and output
-   * @param control the control thread
-   * @param configuration judges requests
-   * @param owner answers them
-   * @param ready whether the balancer is to send new connections
-   * @param wallMillis the time of day, milliseconds since 1970
-   * @param log takes the events
+   * @param control the context of the control thread
+   * @param configuration the routes and keys by which access is decided
+   * @param owner the client that sends requests to the owner
+   * @param ready whether the balancer may send new connections
+   * @param wallMillis the wall clock, in milliseconds since 1970
+   * @param log receives the events
    */
   public FrontServer(
       Vertx vertx,
       Context control,
       ConfigurationSource configuration,
-      OwnerQuestions owner,
+      OwnerClient owner,
       BooleanSupplier ready,
       LongSupplier wallMillis,
       EventLog log) {
@@ -85,17 +85,17 @@
     this.traffic = vertx.getOrCreateContext();
     this.timers = new VertxTimerService(vertx, traffic);
     this.ready = ready;
-    this.connections = new CallerConnections(timers);
+    this.connections = new CallerConnectionRegistry(timers);
     this.handler =
         new RequestHandler(traffic, control, configuration, owner, wallMillis, log, this::answer);
   }
 
   /**
-   * Begins to listen; called on the traffic thread.
+   * Starts both servers; called on the traffic thread.
    *
-   * @param front where callers connect
-   * @param readiness where the balancer asks
-   * @return done when both listen
+   * @param front the address for callers
+   * @param readiness the address for the balancer's readiness checks
+   * @return completes when both servers listen
    */
   public Future<HttpServer> listen(ServiceAddress front, ServiceAddress readiness) {
     HttpServer readyServer =
@@ -107,208 +107,212 @@
                         .response()
                         .setStatusCode(ready.getAsBoolean() ? OK : UNAVAILABLE)
                         .end());
-    // With the upgrade to HTTP/2, a connection is told of with its first request only, so that one
-    // without a request could not be closed at the end.
+    // With the HTTP/2 upgrade enabled, a connection is reported with its first request only, so one
+    // without a request could not be closed at shutdown.
     HttpServerOptions options =
         new HttpServerOptions().setAcceptBacklog(ACCEPT_BACKLOG).setHttp2ClearTextEnabled(false);
     HttpServer frontServer =
-        vertx.createHttpServer(options).connectionHandler(this::opened).requestHandler(this::begin);
-    // The balancer sends connections as soon as the instance is ready, so the front comes first.
+        vertx
+            .createHttpServer(options)
+            .connectionHandler(this::registerConnection)
+            .requestHandler(this::beginExchange);
+    // The balancer sends connections once the instance is ready, so the front has to listen first.
     return frontServer
         .listen(front.port(), front.host())
         .compose(listening -> readyServer.listen(readiness.port(), readiness.host()));
   }
 
   /**
-   * Begins to send callers elsewhere: each answer closes its connection, unused ones are closed by
-   * and by, and no request waits longer than the process lives.
+   * Starts to drain: each answer closes its connection, idle connections are closed over time, and
+   * no request waits beyond the end of the process.
    *
-   * <p>Failure: at the end of a graceful shutdown a request is still open. Symptom: the caller's
-   * connection ends without an answer. Safeguard: requests are given up in time for their answer;
-   * it is enough because a retry goes to another instance and finds the same submission.
+   * <p>A request that is still open when a graceful shutdown ends loses its connection without an
+   * answer. Waits are therefore cut short so that an answer can still be sent; a retry goes to
+   * another instance and finds the same submission.
    *
-   * @param processEndsAtNanos when the process ends, as {@link System#nanoTime} tells
-   * @return done when the balancer has noticed and no caller is connected
+   * @param endNanos when the process ends, by {@link System#nanoTime}
+   * @return completes when the balancer has removed the instance and no caller is connected
    */
-  public Future<Void> drain(long processEndsAtNanos) {
-    Promise<Void> gone = Promise.promise();
+  public Future<Void> drain(long endNanos) {
+    Promise<Void> drained = Promise.promise();
     traffic.runOnContext(
-        none -> {
-          endsAtNanos = processEndsAtNanos;
+        ignored -> {
+          processEndNanos = endNanos;
           draining = true;
-          connections.countFromNow();
-          new Drain(gone).begin();
+          connections.resetCounters();
+          new Drain(drained).begin();
         });
-    return gone.future();
+    return drained.future();
   }
 
-  /** Sends the callers away, until none is left. */
+  /** Closes idle connections periodically until none is left. */
   private final class Drain {
 
-    private final Promise<Void> gone;
-    private final long beganAt = timers.nowMillis();
-    private TimerSubscription ticks = () -> {};
+    private final Promise<Void> drained;
+    private final long beganAtMillis = timers.nowMillis();
+    private TimerSubscription checkTimer = () -> {};
 
-    Drain(Promise<Void> gone) {
-      this.gone = gone;
+    Drain(Promise<Void> drained) {
+      this.drained = drained;
     }
 
     void begin() {
-      ticks = timers.every(DRAIN_PERIOD, this::tick);
+      checkTimer = timers.every(DRAIN_CHECK_PERIOD, this::closeIdleConnections);
     }
 
-    private void tick() {
-      long since = timers.nowMillis() - beganAt;
-      connections.closeUnused(since);
-      if (since >= DrainRule.NOTICE_MILLIS && connections.report().connections() == 0) {
-        ticks.cancel();
-        gone.tryComplete();
+    private void closeIdleConnections() {
+      long sinceDrainMillis = timers.nowMillis() - beganAtMillis;
+      connections.closeIdle(sinceDrainMillis);
+      if (sinceDrainMillis >= DrainPolicy.BALANCER_NOTICE_MILLIS
+          && connections.report().connections() == 0) {
+        checkTimer.cancel();
+        drained.tryComplete();
       }
     }
   }
 
   /**
-   * Returns what has become of the callers.
+   * Returns the counts of caller connections and requests.
    *
-   * @return the counts, since {@link #drain} if that was called
+   * @return the counts, from {@link #drain} on if that was called
    */
   public DrainReport report() {
     return connections.report();
   }
 
   /**
-   * Ends to read, a moment before the process ends.
+   * Stops reading requests, shortly before the process ends.
    *
-   * <p>Failure: a caller keeps its connection through a graceful shutdown, and sends its next
-   * request while the process ends, which takes a busy machine 0.3 s. Symptom: the request is read,
-   * and its connection ends without an answer. Safeguard: each connection without a request is
-   * closed at once, whatever the others do; a request that is not whole is refused; one that is
-   * whole is answered, in the end with an unknown outcome. It is enough because all of this happens
-   * on the thread that reads requests, and a request on a closed connection is not read, so the
-   * caller may send it again elsewhere.
+   * <p>A caller may keep its connection through a graceful shutdown and send its next request while
+   * the process exits, which takes 0.3 s on a busy machine. If that request were read, its
+   * connection would end without an answer. Each idle connection is therefore closed at once,
+   * independently of the others; an incomplete request is refused; a complete one is answered, with
+   * an unknown outcome if no reply arrives in time. This is sufficient because it runs on the
+   * thread that reads requests, and a request on a closed connection is not read, so the caller may
+   * send it again elsewhere.
    *
-   * @return done when no connection is open
+   * @return completes when no connection is open
    */
   public Future<Void> close() {
     Promise<Void> closed = Promise.promise();
     traffic.runOnContext(
-        none -> {
+        ignored -> {
           draining = true;
           closing = true;
-          connections.closeAllUnused().onComplete(closed);
-          refuseUnread();
-          timers.after(LAST_REPLIES, this::giveUpOpen);
+          connections.closeAllIdle().onComplete(closed);
+          refuseIncomplete();
+          timers.after(FINAL_REPLY_TIMEOUT, this::answerOpenAsUnknown);
         });
     return closed.future();
   }
 
-  private void refuseUnread() {
-    connections.open().stream()
-        .filter(exchange -> !exchange.whole())
-        .forEach(handler::refuseUnread);
+  private void refuseIncomplete() {
+    connections.openExchanges().stream()
+        .filter(exchange -> !exchange.isBodyComplete())
+        .forEach(handler::refuseIncomplete);
   }
 
-  private void giveUpOpen() {
-    connections.open().forEach(handler::outcomeUnknown);
+  private void answerOpenAsUnknown() {
+    connections.openExchanges().forEach(handler::answerOutcomeUnknown);
   }
 
-  private void opened(HttpConnection connection) {
-    connections.opened(connection);
+  private void registerConnection(HttpConnection connection) {
+    connections.register(connection);
     if (closing) {
       connection.close();
     }
   }
 
-  private void begin(HttpServerRequest request) {
+  private void beginExchange(HttpServerRequest request) {
     long wait = waitMillis(request);
-    Exchange exchange = connections.begin(request, wait);
+    Exchange exchange = connections.beginExchange(request, wait);
     BodyReader.read(
         exchange,
-        new BodyReader.Outcome() {
+        new BodyReader.Callback() {
           @Override
-          public void whole() {
-            bodyRead(exchange, wait);
+          public void onComplete() {
+            handleCompleteRequest(exchange, wait);
           }
 
           @Override
-          public void refused(int status, String text) {
+          public void onRefused(int status, String text) {
             refuseBody(exchange, status, text);
           }
         });
-    if (!exchange.whole()) {
-      lookForStalled();
+    if (!exchange.isBodyComplete()) {
+      scheduleStallCheck();
     }
   }
 
-  private void bodyRead(Exchange exchange, long wait) {
-    if (exchange.ended()) {
+  private void handleCompleteRequest(Exchange exchange, long wait) {
+    if (exchange.isEnded()) {
       return;
     }
-    exchange.bodyEnded();
+    exchange.markBodyComplete();
     if (closing) {
-      handler.refuseUnread(exchange);
+      handler.refuseIncomplete(exchange);
     } else {
-      handler.handle(exchange, draining ? Math.min(wait, leftMillis()) : wait);
+      handler.handle(exchange, draining ? Math.min(wait, remainingMillis()) : wait);
     }
   }
 
-  /** What follows on the connection is the rest of the body, so it carries no other request. */
+  /** Closes the connection too, since the rest of the refused body would follow on it. */
   private void refuseBody(Exchange exchange, int status, String text) {
-    if (!exchange.ended()) {
+    if (!exchange.isEnded()) {
       exchange.request().response().putHeader("Connection", "close");
       answer(exchange, status, text);
-      exchange.connection().closeIfUnused();
+      exchange.connection().closeIfIdle();
     }
   }
 
-  private void lookForStalled() {
-    if (!lookingForStalled) {
-      lookingForStalled = true;
-      timers.after(STALL_PERIOD, this::refuseStalled);
+  private void scheduleStallCheck() {
+    if (!stallCheckScheduled) {
+      stallCheckScheduled = true;
+      timers.after(STALL_CHECK_PERIOD, this::refuseOverdueBodies);
     }
   }
 
-  private void refuseStalled() {
-    lookingForStalled = false;
+  private void refuseOverdueBodies() {
+    stallCheckScheduled = false;
     long now = timers.nowMillis();
-    for (Exchange exchange : connections.open()) {
-      if (exchange.stalled(now)) {
-        refuseBody(exchange, TIMED_OUT, CallerWords.error("the body did not come in time"));
-      } else if (!exchange.whole()) {
-        lookForStalled();
+    for (Exchange exchange : connections.openExchanges()) {
+      if (exchange.isBodyOverdue(now)) {
+        refuseBody(exchange, REQUEST_TIMEOUT, CallerWords.error("the body did not come in time"));
+      } else if (!exchange.isBodyComplete()) {
+        scheduleStallCheck();
       }
     }
   }
 
   private long waitMillis(HttpServerRequest request) {
     String text = request.getHeader(CallerWords.DEADLINE_HEADER);
-    long wait = USUAL_WAIT_MILLIS;
+    long wait = DEFAULT_WAIT_MILLIS;
     try {
       wait = text == null ? wait : Long.parseLong(text.trim());
     } catch (NumberFormatException error) {
-      // A caller that says something else gets the usual time: its request is valid without it.
-      wait = USUAL_WAIT_MILLIS;
+      // A malformed deadline is treated as absent, since a request is valid without one.
+      wait = DEFAULT_WAIT_MILLIS;
     }
-    return Math.max(SHORTEST_WAIT_MILLIS, wait - WAY_BACK_MILLIS);
+    return Math.max(MIN_WAIT_MILLIS, wait - ANSWER_MARGIN_MILLIS);
   }
 
-  private long leftMillis() {
-    long left = TimeUnit.NANOSECONDS.toMillis(endsAtNanos - System.nanoTime());
-    return Math.max(SHORTEST_WAIT_MILLIS, left - WAY_BACK_MILLIS);
+  private long remainingMillis() {
+    long remaining = TimeUnit.NANOSECONDS.toMillis(processEndNanos - System.nanoTime());
+    return Math.max(MIN_WAIT_MILLIS, remaining - ANSWER_MARGIN_MILLIS);
   }
 
   private void answer(Exchange exchange, int status, String text) {
-    if (!connections.end(exchange)) {
+    if (!connections.endExchange(exchange)) {
       return;
     }
-    connections.countAnswer(status != RequestHandler.NO_OUTCOME);
+    connections.countAnswer(status != RequestHandler.OUTCOME_UNKNOWN);
     if (draining) {
       exchange.request().response().putHeader("Connection", "close");
     }
-    Future<Void> written = exchange.write(status, text);
+    Future<Void> written = exchange.writeAnswer(status, text);
     if (draining) {
-      // A request that was sent right behind this one is taken up first, and answered too.
-      written.onComplete(done -> vertx.runOnContext(next -> exchange.connection().closeIfUnused()));
+      // The close is deferred so that a request pipelined behind this one is read and answered.
+      written.onComplete(done -> vertx.runOnContext(next -> exchange.connection().closeIfIdle()));
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/settings/ResolvedSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/settings/ResolvedSettings.java
@@ -6,26 +6,26 @@
 import java.util.Map;
 
 /**
- * The values found for the settings, with their sources and every problem met.
+ * The values of the settings with their sources, and all problems found while resolving them.
  *
- * <p>Not thread safe: filled and read while the daemon starts.
+ * <p>Not thread-safe: filled and read while the daemon starts.
  */
 final class ResolvedSettings {
 
-  /** One value as given, with its source. */
+  /** The unparsed text of a setting and its source. */
   record Entry(Setting<?> setting, String text, SettingSource source) {}
 
   private final Map<Setting<?>, Object> values = new LinkedHashMap<>();
   private final List<Entry> entries = new ArrayList<>();
   private final List<SettingProblem> problems = new ArrayList<>();
 
-  void take(Setting<?> setting, String text, SettingSource source) {
+  void parseAndAdd(Setting<?> setting, String text, SettingSource source) {
     entries.add(new Entry(setting, text, source));
     try {
       values.put(setting, setting.parser().parse(text));
     } catch (UnusableValueException error) {
       String name = source == SettingSource.ENVIRONMENT ? setting.variable() : setting.flag();
-      addProblem(name, setting.shown(text), setting.allowed());
+      addProblem(name, setting.maskedText(text), setting.allowed());
     }
   }
 
@@ -37,7 +37,7 @@
     return values.containsKey(setting);
   }
 
-  /** Returns a value that was read; the parser of the setting made it, so the cast is safe. */
+  /** Returns the parsed value; the cast is safe since the setting's own parser created it. */
   @SuppressWarnings("unchecked")
   <T> T get(Setting<T> setting) {
     return (T) values.get(setting);
--- a/daemon/src/test/java/org/hickorypier/daemon/front/JudgementTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/front/AccessDecisionTest.java
@@ -13,7 +13,7 @@
 import org.hickorypier.core.submission.QueueTerms;
 import org.junit.jupiter.api.Test;
 
-class JudgementTest {
+class AccessDecisionTest {
 
   private static final ClusterConfiguration CONFIGURATION =
       new ClusterConfiguration(
@@ -32,11 +32,11 @@
   }
 
   private static int status(boolean proven, String path, String authorization) {
-    return Judgement.of(CONFIGURATION, proven, "host:80", path, authorization).status();
+    return AccessDecision.decide(CONFIGURATION, proven, "host:80", path, authorization).status();
   }
 
   @Test
-  void keysAndRoutesDecide() {
+  void statusDependsOnKeyAndRoute() {
     assertThat(status(true, "/closed/1", "Bearer the-key")).isZero();
     assertThat(status(true, "/closed/1", "Bearer other")).isEqualTo(401);
     assertThat(status(true, "/closed/1", null)).isEqualTo(401);
@@ -45,12 +45,12 @@
   }
 
   /**
-   * The store refuses this instance, and a key is withdrawn meanwhile. Without a proof that is
-   * young enough, neither a key nor a missing route may be judged; the caller is told when to come
-   * back.
+   * Guards against decisions by an outdated configuration, for instance a key that is withdrawn
+   * while the store refuses this instance. Without a recent proof neither a key nor a missing route
+   * is decided; the caller gets 503 and retries later.
    */
   @Test
-  void withoutProofNeitherKeyNorRouteIsJudged() {
+  void withoutProofKeysAndMissingRoutesAreNotDecided() {
     assertThat(status(false, "/closed/1", "Bearer the-key")).isEqualTo(503);
     assertThat(status(false, "/closed/1", "Bearer other")).isEqualTo(503);
     assertThat(status(false, "/none/1", "Bearer the-key")).isEqualTo(503);
@@ -58,7 +58,8 @@
   }
 
   @Test
-  void beforeTheFirstConfigurationNothingIsJudged() {
-    assertThat(Judgement.of(null, false, "host", "/closed/1", null).status()).isEqualTo(503);
+  void requestIsRefusedBeforeTheFirstConfiguration() {
+    assertThat(AccessDecision.decide(null, false, "host", "/closed/1", null).status())
+        .isEqualTo(503);
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
@@ -32,12 +32,12 @@
   }
 
   /**
-   * A caller's first request was reset. The balancer had asked the instance, which said that it was
-   * ready while its front did not listen yet. Here the front can never listen, since its port is
-   * taken; so the balancer must get no answer.
+   * Guards against an instance that reports ready before its front listens: the balancer then sends
+   * a caller whose first request is reset. The port of the front is taken here, so it never listens
+   * and the readiness check has to stay without an answer.
    */
   @Test
-  void balancerIsNotAnsweredBeforeTheFrontListens() throws Exception {
+  void readinessCheckIsNotAnsweredBeforeTheFrontListens() throws Exception {
     Vertx vertx = Vertx.vertx();
     InetAddress loopback = InetAddress.getLoopbackAddress();
     ServiceAddress readiness;
@@ -58,26 +58,26 @@
       Future<HttpServer> listening = server.listen(front, readiness);
       await(listening.otherwiseEmpty());
       assertThat(listening.failed()).isTrue();
-      assertThat(await(ask(vertx, readiness)).status()).isZero();
+      assertThat(await(checkReadiness(vertx, readiness)).status()).isZero();
     } finally {
       await(vertx.close());
     }
   }
 
   /**
-   * A caller hands a submission in, and bringing it to the owner fails inside the instance. The
-   * caller used to get no answer at all, since nobody heard of the failure; it is told that the
-   * outcome is unknown, and one that only asks is told to come back.
+   * Guards against a caller that gets no answer because sending its request to the owner fails
+   * inside the instance and the failure is not handled. A submission is answered with an unknown
+   * outcome, a query with a request to retry.
    */
   @Test
-  void questionThatFailsIsAnswered() throws Exception {
+  void requestIsAnsweredIfSendingItToTheOwnerFails() throws Exception {
     Vertx vertx = Vertx.vertx();
     try {
-      OwnerQuestions failing =
+      OwnerClient failing =
           (request, timeout) -> {
-            throw new IllegalStateException("on purpose");
+            throw new IllegalStateException("injected failure");
           };
-      ServiceAddress front = serve(vertx, failing);
+      ServiceAddress front = startFrontServer(vertx, failing);
       String path = "/queue/5c0e7a21d94b36f1";
       String body = "{\"Spec\":\"text\",\"Phases\":[{\"Count\":1,\"Cpu\":10,\"MemMb\":1}]}";
       Map<String, String> host = Map.of("Host", "queue.example");
@@ -93,8 +93,8 @@
     }
   }
 
-  /** Serves one open queue. */
-  private static ServiceAddress serve(Vertx vertx, OwnerQuestions owner) throws Exception {
+  /** Starts a front with one public queue and returns its address. */
+  private static ServiceAddress startFrontServer(Vertx vertx, OwnerClient owner) throws Exception {
     QueueTerms terms = new QueueTerms("q", "service", 0, 3, 2, 1_000, Optional.empty());
     QueueRoute route = new QueueRoute("queue.example", "/queue/", true, terms);
     ClusterConfiguration configuration = new ClusterConfiguration(1, List.of(route), List.of());
@@ -121,7 +121,7 @@
     return front;
   }
 
-  /** A configuration that is always in force. */
+  /** A configuration source whose configuration is always proven to be current. */
   private record FixedConfiguration(ClusterConfiguration current) implements ConfigurationSource {
     @Override
     public boolean isProven() {
@@ -129,7 +129,7 @@
     }
   }
 
-  private static Future<HttpReply> ask(Vertx vertx, ServiceAddress readiness) {
+  private static Future<HttpReply> checkReadiness(Vertx vertx, ServiceAddress readiness) {
     return new HttpCalls(vertx, 1)
         .call(readiness, HttpMethod.GET, "/hickorypier/ready", Map.of(), null, 2_000)
         .otherwise(new HttpReply(0, Buffer.buffer()));
