--- a/daemon/src/main/java/org/hickorypier/daemon/node/GracefulEnd.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/GracefulShutdown.java
@@ -14,25 +14,25 @@
  * of its own, the process's shutdown hook; a second signal changes nothing, since the runtime runs
  * its hooks once.
  */
-final class GracefulEnd {
+final class GracefulShutdown {
 
   private static final String PART = "node";
 
   /** Left of the time to end for the last connections, the log and the runtime itself. */
-  private static final long RESERVE_MILLIS = 900;
+  private static final long EXIT_RESERVE_MILLIS = 900;
 
   /** Of the reserve; the log takes 100 ms at most, and a slow machine all else. */
-  private static final long CLOSE_MILLIS = 600;
+  private static final long CLOSE_TIMEOUT_MILLIS = 600;
 
   /** Of the reserve; it is done in one turn of the control thread. */
-  private static final long ABDICATE_MILLIS = 50;
+  private static final long STEP_DOWN_TIMEOUT_MILLIS = 50;
 
   private final Node node;
   private final long graceMillis;
   private final EventLog log;
-  private final long beganNanos = System.nanoTime();
+  private final long startNanos = System.nanoTime();
 
-  GracefulEnd(Node node, long graceMillis, EventLog log) {
+  GracefulShutdown(Node node, long graceMillis, EventLog log) {
     this.node = node;
     this.graceMillis = graceMillis;
     this.log = log;
@@ -50,19 +50,21 @@
         before.connections(),
         "open",
         before.open());
-    long most = Math.max(0, graceMillis - RESERVE_MILLIS);
-    long endsAt = beganNanos + TimeUnit.MILLISECONDS.toNanos(most);
+    long most = Math.max(0, graceMillis - EXIT_RESERVE_MILLIS);
+    long endsAt = startNanos + TimeUnit.MILLISECONDS.toNanos(most);
     Future<Void> left = node.leave(node.controlContext(), endsAt);
     boolean cellLeft = await(left, most);
     long cellLeftMillis = elapsedMillis();
-    boolean callersGone = await(node.callersGone(), most - elapsedMillis());
-    tell("stopped", "cell_left_ms", cellLeft ? cellLeftMillis : -1, "callers_gone", callersGone);
-    boolean closed = await(node.closeFront(), CLOSE_MILLIS);
-    await(node.abdicate(), ABDICATE_MILLIS);
-    tell("closed", "in_time", closed, "grace_ms", graceMillis);
+    boolean callersGone = await(node.callersDisconnected(), most - elapsedMillis());
+    logProgress(
+        "stopped", "cell_left_ms", cellLeft ? cellLeftMillis : -1, "callers_gone", callersGone);
+    boolean closed = await(node.closeFront(), CLOSE_TIMEOUT_MILLIS);
+    await(node.stepDown(), STEP_DOWN_TIMEOUT_MILLIS);
+    logProgress("closed", "in_time", closed, "grace_ms", graceMillis);
   }
 
-  private void tell(String event, String name, Object value, String other, Object otherValue) {
+  private void logProgress(
+      String event, String name, Object value, String other, Object otherValue) {
     DrainReport report = node.drainReport();
     log.event(
         PART,
@@ -99,6 +101,6 @@
   }
 
   private long elapsedMillis() {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNanos);
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
@@ -31,82 +31,82 @@
 
   private static final String PART = "node";
 
-  private static final Duration PERIOD = Duration.ofMillis(100);
+  private static final Duration CHECK_PERIOD = Duration.ofMillis(100);
 
   /**
    * Instances that a refused owner asks in a row. Where the store serves two thirds of the
    * machines, three find one of those 24 times in 25; where it is away for all, every further
    * question only adds to its load.
    */
-  private static final int ASKED_IN_A_ROW = 3;
+  private static final int CANDIDATES_PER_ROUND = 3;
 
   /** Pause after so many, in milliseconds; the store is back in seconds if it is away for all. */
-  private static final long ASK_ON_MILLIS = 300;
+  private static final long ROUND_INTERVAL_MILLIS = 300;
 
   /** One refused or lost append is repeated; after this time it is no chance any more. */
-  private static final long REFUSED_MILLIS = 150;
+  private static final long STORE_UNAVAILABLE_MILLIS = 150;
 
   /** An instance that did not take over may be taking over already, or the store refuses it. */
-  private static final long ASK_AGAIN_MILLIS = 500;
+  private static final long REPEAT_REQUEST_DELAY_MILLIS = 500;
 
   /** A successor's first orders reach the workers, and its record the store, within this time. */
   private static final Duration FENCE_DELAY = Duration.ofMillis(300);
 
   /** Reading the journal and writing the owner record takes some 100 ms on a busy machine. */
-  private static final long TAKE_OVER_MILLIS = 900;
+  private static final long TAKE_OVER_TIMEOUT_MILLIS = 900;
 
   /**
    * A quick successor reads the journal and claims the cell within some 50 ms, one that finds much
    * to read within 100; callers that hand something in wait for it.
    */
-  private static final long REST_MILLIS = 250;
+  private static final long WRITE_PAUSE_MILLIS = 250;
 
   /** Most instances answer within 10 ms; one that takes longer than this is no good successor. */
-  private static final Duration PACE_PATIENCE = Duration.ofMillis(60);
+  private static final Duration MEASUREMENT_TIMEOUT = Duration.ofMillis(60);
 
   /** A slowed owner looks for a quicker one at most so often, in milliseconds. */
-  private static final long SLOWED_AGAIN_MILLIS = 3_000;
+  private static final long SPEED_HANDOVER_INTERVAL_MILLIS = 3_000;
 
   /** A successor has to be so much quicker than this instance to be worth the pause. */
-  private static final int QUICKER_TIMES = 2;
+  private static final int MIN_SPEED_RATIO = 2;
 
   private final Ownership ownership;
-  private final ProcessorSpeedMonitor pace;
+  private final ProcessorSpeedMonitor speedMonitor;
   private final TimerService timers;
   private final EventLog log;
   private final List<Peer> peers = new ArrayList<>();
-  private Promise<Void> left;
+  private Promise<Void> leavePromise;
   private boolean handingOver;
 
   /**
    * An owner that the store refuses does not rest: it writes nothing anyway, and where the store is
    * away for all, nobody takes over and what was accepted has to go on.
    */
-  private boolean resting;
+  private boolean writingPaused;
 
-  private long askOnAt;
-  private long slowedAgainAt;
-  private int turn;
+  private long nextRoundAtMillis;
+  private long nextSpeedHandoverAtMillis;
+  private int rotationOffset;
 
   Handover(Ownership ownership, ProcessorSpeedMonitor pace, TimerService timers, EventLog log) {
     this.ownership = ownership;
-    this.pace = pace;
+    this.speedMonitor = pace;
     this.timers = timers;
     this.log = log;
   }
 
   void start() {
-    timers.every(PERIOD, this::tick);
+    timers.every(CHECK_PERIOD, this::checkHandover);
   }
 
   /** Takes notice of an instance that has opened a link to this one. */
-  Peer linked(Link link, String address) {
+  Peer addPeer(Link link, String address) {
     Peer peer = new Peer(link, address);
     peers.add(peer);
     return peer;
   }
 
-  void unlinked(Peer peer) {
+  void removePeer(Peer peer) {
     peers.remove(peer);
   }
 
@@ -117,24 +117,26 @@
    * @return done when this instance neither owns the cell nor is about to, or that time is over
    */
   Future<Void> leave(long leftMillis) {
-    if (left == null) {
-      left = Promise.promise();
-      timers.after(Duration.ofMillis(leftMillis), left::tryComplete);
-      ownership.leave().onComplete(written -> tick());
+    if (leavePromise == null) {
+      leavePromise = Promise.promise();
+      timers.after(Duration.ofMillis(leftMillis), leavePromise::tryComplete);
+      ownership.leave().onComplete(written -> checkHandover());
     }
-    return left.future();
+    return leavePromise.future();
   }
 
-  private void tick() {
+  private void checkHandover() {
     if (handingOver) {
       return;
     }
-    if (left != null) {
-      handOverToLeave();
-    } else if (ownership.isOwner() && pace.isSlowed() && timers.nowMillis() >= slowedAgainAt) {
-      handOverToQuicker();
+    if (leavePromise != null) {
+      handOverForShutdown();
+    } else if (ownership.isOwner()
+        && speedMonitor.isSlowed()
+        && timers.nowMillis() >= nextSpeedHandoverAtMillis) {
+      handOverToFasterInstance();
     } else {
-      handOverIfRefused();
+      handOverIfStoreUnavailable();
     }
   }
 
@@ -143,54 +145,56 @@
    * falls behind with all starts of the cell until the others suspect it, and a suspicion that its
    * late answers allay does so again and again. The pause of one handover is shorter.
    */
-  private void handOverToQuicker() {
-    slowedAgainAt = timers.nowMillis() + SLOWED_AGAIN_MILLIS;
-    int own = pace.measureMicros();
-    offer(peer -> true, all -> quickerThan(own, all), pace::isSlowed);
+  private void handOverToFasterInstance() {
+    nextSpeedHandoverAtMillis = timers.nowMillis() + SPEED_HANDOVER_INTERVAL_MILLIS;
+    int own = speedMonitor.measureMicros();
+    findSuccessor(peer -> true, all -> fasterThan(own, all), speedMonitor::isSlowed);
   }
 
-  private static List<Peer> quickerThan(int micros, List<Peer> all) {
+  private static List<Peer> fasterThan(int micros, List<Peer> all) {
     return all.stream()
-        .filter(peer -> (long) QUICKER_TIMES * peer.asSuccessor().workMicros() < micros)
+        .filter(peer -> (long) MIN_SPEED_RATIO * peer.asSuccessor().workMicros() < micros)
         .collect(Collectors.toCollection(ArrayList::new));
   }
 
-  private void handOverToLeave() {
+  private void handOverForShutdown() {
     if (ownership.isSafeToShutDown()) {
-      left.tryComplete();
+      leavePromise.tryComplete();
     } else if (ownership.isOwner()) {
-      offer(
-              peer -> peer.sinceAskedMillis(timers.nowMillis()) >= ASK_AGAIN_MILLIS,
+      findSuccessor(
+              peer ->
+                  peer.millisSinceTakeOverRequest(timers.nowMillis())
+                      >= REPEAT_REQUEST_DELAY_MILLIS,
               all -> all,
               () -> true)
           .onSuccess(
               taken -> {
                 // An owner that has learnt of its successor has nothing more to give up.
                 if (ownership.isSafeToShutDown()) {
-                  left.tryComplete();
+                  leavePromise.tryComplete();
                 }
               });
     }
   }
 
   /** The store may refuse this machine and serve the others: another instance should try. */
-  private void handOverIfRefused() {
-    if (!refused()) {
-      turn = 0;
-    } else if (timers.nowMillis() >= askOnAt) {
-      askOnAt = timers.nowMillis() + ASK_ON_MILLIS;
-      offer(peer -> true, this::nextInTurn, this::refused);
+  private void handOverIfStoreUnavailable() {
+    if (!isStoreUnavailable()) {
+      rotationOffset = 0;
+    } else if (timers.nowMillis() >= nextRoundAtMillis) {
+      nextRoundAtMillis = timers.nowMillis() + ROUND_INTERVAL_MILLIS;
+      findSuccessor(peer -> true, this::nextRound, this::isStoreUnavailable);
     }
   }
 
-  private List<Peer> nextInTurn(List<Peer> all) {
-    Collections.rotate(all, -turn);
-    turn += ASKED_IN_A_ROW;
-    return new ArrayList<>(all.subList(0, Math.min(ASKED_IN_A_ROW, all.size())));
+  private List<Peer> nextRound(List<Peer> all) {
+    Collections.rotate(all, -rotationOffset);
+    rotationOffset += CANDIDATES_PER_ROUND;
+    return new ArrayList<>(all.subList(0, Math.min(CANDIDATES_PER_ROUND, all.size())));
   }
 
-  private boolean refused() {
-    return ownership.isStoreUnavailableFor(REFUSED_MILLIS);
+  private boolean isStoreUnavailable() {
+    return ownership.isStoreUnavailableFor(STORE_UNAVAILABLE_MILLIS);
   }
 
   /**
@@ -201,40 +205,41 @@
    * @param wanted tells whether a successor is still wanted
    * @return whether one has said that it has taken over
    */
-  private Future<Boolean> offer(
+  private Future<Boolean> findSuccessor(
       Predicate<Peer> eligible, UnaryOperator<List<Peer>> chosen, BooleanSupplier wanted) {
     List<Peer> due = peers.stream().filter(eligible).toList();
     if (due.isEmpty()) {
       return Future.succeededFuture(false);
     }
     handingOver = true;
-    return measure(due).compose(measured -> handOver(chosen.apply(ordered(due)), wanted));
+    return measureSpeeds(due)
+        .compose(measured -> handOver(chosen.apply(sortedByPreference(due)), wanted));
   }
 
-  private static List<Peer> ordered(List<Peer> due) {
-    return Successor.ordered(due.stream().map(Peer::asSuccessor).toList()).stream()
+  private static List<Peer> sortedByPreference(List<Peer> due) {
+    return Successor.sortedByPreference(due.stream().map(Peer::asSuccessor).toList()).stream()
         .map(Successor::peer)
         .collect(Collectors.toCollection(ArrayList::new));
   }
 
-  private Future<Void> measure(List<Peer> due) {
+  private Future<Void> measureSpeeds(List<Peer> due) {
     Promise<Void> measured = Promise.promise();
     List<Future<LinkReply>> replies = new ArrayList<>();
     for (Peer peer : due) {
-      peer.paced(Successor.NO_ANSWER);
+      peer.recordMeasurement(Successor.NO_ANSWER_MICROS);
       replies.add(
           peer.link()
-              .ask(new LinkRequest.MeasurePace(), TAKE_OVER_MILLIS)
-              .onSuccess(reply -> paced(peer, reply)));
+              .ask(new LinkRequest.MeasurePace(), TAKE_OVER_TIMEOUT_MILLIS)
+              .onSuccess(reply -> recordMeasurement(peer, reply)));
     }
     Future.join(replies).onComplete(all -> measured.tryComplete());
-    timers.after(PACE_PATIENCE, measured::tryComplete);
+    timers.after(MEASUREMENT_TIMEOUT, measured::tryComplete);
     return measured.future();
   }
 
-  private static void paced(Peer peer, LinkReply reply) {
+  private static void recordMeasurement(Peer peer, LinkReply reply) {
     if (reply instanceof LinkReply.Number micros) {
-      peer.paced(micros.number());
+      peer.recordMeasurement(micros.number());
     }
   }
 
@@ -252,17 +257,17 @@
     }
     handingOver = true;
     Peer next = candidates.remove(0);
-    next.askedToTakeOver(timers.nowMillis());
-    resting = !refused();
-    if (resting) {
-      ownership.pauseWriting(REST_MILLIS);
+    next.recordTakeOverRequest(timers.nowMillis());
+    writingPaused = !isStoreUnavailable();
+    if (writingPaused) {
+      ownership.pauseWriting(WRITE_PAUSE_MILLIS);
     }
     return next.link()
-        .ask(new LinkRequest.TakeOver(), TAKE_OVER_MILLIS)
-        .transform((reply, error) -> answered(next, reply, error, candidates, wanted));
+        .ask(new LinkRequest.TakeOver(), TAKE_OVER_TIMEOUT_MILLIS)
+        .transform((reply, error) -> handleTakeOverReply(next, reply, error, candidates, wanted));
   }
 
-  private Future<Boolean> answered(
+  private Future<Boolean> handleTakeOverReply(
       Peer next, LinkReply reply, Throwable error, List<Peer> candidates, BooleanSupplier wanted) {
     boolean taken = reply instanceof LinkReply.Noted;
     log.event(
@@ -286,21 +291,21 @@
     if (error != null) {
       // An instance that has taken over closes its link to the former owner, often before its
       // reply. The next append tells so in a moment; asking the next one would make two.
-      resume(FENCE_DELAY.toMillis());
-      return pause().compose(paused -> handOver(candidates, wanted));
+      resumeWriting(FENCE_DELAY.toMillis());
+      return awaitFenceDelay().compose(paused -> handOver(candidates, wanted));
     }
-    resume(0);
+    resumeWriting(0);
     return handOver(candidates, wanted);
   }
 
-  private void resume(long startsRestMillis) {
-    if (resting) {
-      resting = false;
+  private void resumeWriting(long startsRestMillis) {
+    if (writingPaused) {
+      writingPaused = false;
       ownership.resumeWriting(startsRestMillis);
     }
   }
 
-  private Future<Void> pause() {
+  private Future<Void> awaitFenceDelay() {
     Promise<Void> paused = Promise.promise();
     timers.after(FENCE_DELAY, paused::tryComplete);
     return paused.future();
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
@@ -49,35 +49,35 @@
   /** The advisor serves one call at a time for each instance; more connections queue there. */
   private static final int ADVICE_CONNECTIONS = 16;
 
-  private static final int CONNECT_MILLIS = 500;
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
   /** A sample takes some 20 us; three tell that the machine has turned slow. */
-  private static final Duration PACE_PERIOD = Duration.ofMillis(250);
+  private static final Duration SPEED_SAMPLE_PERIOD = Duration.ofMillis(250);
 
   /** Longer than a takeover. */
-  private static final long EXPLAIN_MILLIS = 2_000;
+  private static final long EXPLAIN_TIMEOUT_MILLIS = 2_000;
 
   /**
    * Without an owner for this long, callers are better served elsewhere. A usual takeover is
    * shorter, and an instance that leaves the rotation needs a second to come back.
    */
-  private static final long OWNERLESS_MILLIS = 3_000;
+  private static final long MAX_OWNERLESS_MILLIS = 3_000;
 
   private final NodeSettings settings;
   private final EventLog log;
-  private final LongSupplier wall;
-  private final ProcessorSpeedMonitor pace;
-  private ConfigurationWatcher configuration;
+  private final LongSupplier wallClock;
+  private final ProcessorSpeedMonitor speedMonitor;
+  private ConfigurationWatcher configurationWatcher;
   private Ownership ownership;
   private OwnerGateway gateway;
-  private volatile FrontServer front;
-  private volatile boolean stopping;
-  private volatile long endsAtNanos;
+  private volatile FrontServer frontServer;
+  private volatile boolean shutdownRequested;
+  private volatile long shutdownDeadlineNanos;
   private boolean draining;
-  private final Promise<Void> callersGone = Promise.promise();
+  private final Promise<Void> allCallersGone = Promise.promise();
   private volatile long ownerlessMillis;
   private Handover handover;
-  private AdviceClient advisor;
+  private AdviceClient advisorClient;
   private VertxTimerService timers;
 
   /**
@@ -94,19 +94,19 @@
   Node(NodeSettings settings, EventLog log, LongSupplier wall, ProcessorSpeedMonitor pace) {
     this.settings = settings;
     this.log = log;
-    this.wall = wall;
-    this.pace = pace;
+    this.wallClock = wall;
+    this.speedMonitor = pace;
   }
 
   @Override
   public Future<?> start() {
-    if (stopping) {
+    if (shutdownRequested) {
       return Future.failedFuture("the instance was told to end before it had started");
     }
     timers = new VertxTimerService(vertx, context);
-    SuspensionDetector pauses = new SuspensionDetector(timers::nowMillis, wall);
+    SuspensionDetector pauses = new SuspensionDetector(timers::nowMillis, wallClock);
     StoreClient store = new StoreClient(new HttpCalls(vertx, STORE_CONNECTIONS), settings.store());
-    advisor =
+    advisorClient =
         settings.advisor() == null
             ? null
             : new AdviceClient(new HttpCalls(vertx, ADVICE_CONNECTIONS), settings.advisor());
@@ -115,13 +115,13 @@
             store,
             new WorkerClient(new HttpCalls(vertx, WORKER_CONNECTIONS)),
             timers,
-            wall,
+            wallClock,
             pauses,
             log,
-            settings.cell(),
+            settings.cellTerms(),
             settings.workerHeartbeatMillis());
     String peerAddress = "" + settings.advertisedPeer();
-    OwnerDirectory directory = new OwnerDirectory(store, timers, log, this::ownerChanged);
+    OwnerDirectory directory = new OwnerDirectory(store, timers, log, this::handleOwnerChange);
     Candidate self = new Candidate(peerAddress, settings.strength());
     ownership =
         new Ownership(
@@ -131,24 +131,26 @@
             settings.groupLifetimeMillis(),
             directory);
     ownership.addAdvisorClient(settings.address(), (request, timeout) -> advise(request));
-    configuration =
+    configurationWatcher =
         new ConfigurationWatcher(
-            store, timers, pauses, log, settings.revokeMillis(), this::configured);
-    handover = new Handover(ownership, pace, timers, log);
+            store, timers, pauses, log, settings.revokeMillis(), this::applyConfiguration);
+    handover = new Handover(ownership, speedMonitor, timers, log);
     gateway =
         new OwnerGateway(
             vertx.createNetClient(
-                new NetClientOptions().setConnectTimeout(CONNECT_MILLIS).setTcpNoDelay(true)),
+                new NetClientOptions()
+                    .setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
+                    .setTcpNoDelay(true)),
             timers,
             log,
             directory,
             ownership,
             this::answerPeer,
             self,
-            pace);
+            speedMonitor);
     timers.every(Duration.ofMillis(100), () -> ownerlessMillis = gateway.ownerlessMillis());
-    timers.every(PACE_PERIOD, pace::sample);
-    configuration.start();
+    timers.every(SPEED_SAMPLE_PERIOD, speedMonitor::sample);
+    configurationWatcher.start();
     directory.start();
     gateway.start();
     // Callers that find nobody listening use up one of their few tries, so the front comes first.
@@ -160,11 +162,11 @@
               PeerHandler answers = new PeerHandler();
               Link link = new Link(socket, answers, timers);
               String address = socket.remoteAddress().hostAddress();
-              answers.peer = handover.linked(link, address);
+              answers.peer = handover.addPeer(link, address);
               Runnable forget = ownership.addAdvisorClient(address, link::ask);
               link.onClose(
                   () -> {
-                    handover.unlinked(answers.peer);
+                    handover.removePeer(answers.peer);
                     forget.run();
                   });
             })
@@ -184,26 +186,32 @@
           public Future<?> start() {
             FrontServer server =
                 new FrontServer(
-                    vertx, control, configuration, gateway::ask, Node.this::ready, wall, log);
-            front = server;
+                    vertx,
+                    control,
+                    configurationWatcher,
+                    gateway::ask,
+                    Node.this::isReady,
+                    wallClock,
+                    log);
+            frontServer = server;
             drainIfStopping();
             return server.listen(settings.front(), settings.ready());
           }
         });
   }
 
-  private boolean ready() {
-    return !stopping
-        && configuration.current() != null
-        && configuration.isFresh()
-        && ownerlessMillis < OWNERLESS_MILLIS;
+  private boolean isReady() {
+    return !shutdownRequested
+        && configurationWatcher.current() != null
+        && configurationWatcher.isFresh()
+        && ownerlessMillis < MAX_OWNERLESS_MILLIS;
   }
 
-  private void configured(ClusterConfiguration newer) {
+  private void applyConfiguration(ClusterConfiguration newer) {
     ownership.configure(newer.customers());
   }
 
-  private void ownerChanged(OwnerRecord owner) {
+  private void handleOwnerChange(OwnerRecord owner) {
     ownership.observeOwner(owner);
     gateway.ownerChanged();
   }
@@ -216,7 +224,7 @@
     @Override
     public Future<LinkReply> answer(LinkRequest request) {
       if (request instanceof LinkRequest.Introduce introduce) {
-        peer.introduced(introduce, timers.nowMillis());
+        peer.recordIntroduction(introduce, timers.nowMillis());
         return Future.succeededFuture(new LinkReply.Noted());
       }
       return answerPeer(request);
@@ -233,7 +241,9 @@
     }
     if (request instanceof LinkRequest.MeasurePace) {
       return Future.succeededFuture(
-          stopping ? new LinkReply.Failed() : new LinkReply.Number(pace.measureMicros()));
+          shutdownRequested
+              ? new LinkReply.Failed()
+              : new LinkReply.Number(speedMonitor.measureMicros()));
     }
     if (request instanceof LinkRequest.TakeOver) {
       return ownership
@@ -244,10 +254,10 @@
   }
 
   private Future<LinkReply> advise(LinkRequest.Advise request) {
-    if (advisor == null) {
+    if (advisorClient == null) {
       return Future.succeededFuture(new LinkReply.Failed());
     }
-    return advisor
+    return advisorClient
         .advise(request.step(), request.workers(), request.timeoutMillis())
         .map(advice -> (LinkReply) new LinkReply.Tickets(advice.tickets(), advice.validMillis()))
         .otherwise(
@@ -267,23 +277,23 @@
    * @return done when this instance neither owns the cell nor is about to, or that time is over
    */
   public Future<Void> leave(Context control, long processEndsAtNanos) {
-    endsAtNanos = processEndsAtNanos;
-    stopping = true;
+    shutdownDeadlineNanos = processEndsAtNanos;
+    shutdownRequested = true;
     drainIfStopping();
     Promise<Void> left = Promise.promise();
     if (control == null) {
       left.complete();
     } else {
-      control.runOnContext(none -> giveUpCell().onComplete(left));
+      control.runOnContext(none -> handOverCell().onComplete(left));
     }
     return left.future();
   }
 
-  private Future<Void> giveUpCell() {
+  private Future<Void> handOverCell() {
     if (handover == null) {
       return Future.succeededFuture();
     }
-    long left = TimeUnit.NANOSECONDS.toMillis(endsAtNanos - System.nanoTime());
+    long left = TimeUnit.NANOSECONDS.toMillis(shutdownDeadlineNanos - System.nanoTime());
     return handover.leave(Math.max(0, left));
   }
 
@@ -292,7 +302,7 @@
    *
    * @return done when nothing is ordered or written any more
    */
-  public Future<Void> abdicate() {
+  public Future<Void> stepDown() {
     Promise<Void> done = Promise.promise();
     Context control = context;
     if (control == null) {
@@ -314,10 +324,10 @@
    * whichever of the two comes second begins to send the callers away.
    */
   private synchronized void drainIfStopping() {
-    FrontServer server = front;
-    if (stopping && server != null && !draining) {
+    FrontServer server = frontServer;
+    if (shutdownRequested && server != null && !draining) {
       draining = true;
-      server.drain(endsAtNanos).onComplete(callersGone);
+      server.drain(shutdownDeadlineNanos).onComplete(allCallersGone);
     }
   }
 
@@ -326,8 +336,8 @@
    *
    * @return done when the balancer has noticed and no caller is connected
    */
-  public Future<Void> callersGone() {
-    return front == null ? Future.succeededFuture() : callersGone.future();
+  public Future<Void> callersDisconnected() {
+    return frontServer == null ? Future.succeededFuture() : allCallersGone.future();
   }
 
   /**
@@ -336,7 +346,7 @@
    * @return the counts, since {@link #leave} if that was called
    */
   public DrainReport drainReport() {
-    FrontServer server = front;
+    FrontServer server = frontServer;
     return server == null ? DrainReport.NONE : server.report();
   }
 
@@ -346,7 +356,7 @@
    * @return done when all are closed
    */
   public Future<Void> closeFront() {
-    FrontServer server = front;
+    FrontServer server = frontServer;
     return server == null ? Future.succeededFuture() : server.close();
   }
 
@@ -361,7 +371,7 @@
     context.runOnContext(
         none ->
             gateway
-                .ask(new LinkRequest.Explain(id), EXPLAIN_MILLIS)
+                .ask(new LinkRequest.Explain(id), EXPLAIN_TIMEOUT_MILLIS)
                 .onSuccess(
                     reply ->
                         explained.complete(
@@ -376,7 +386,7 @@
    *
    * @return true while the process should go on
    */
-  public boolean busy() {
+  public boolean hasConnections() {
     return drainReport().connections() > 0;
   }
 
@@ -385,8 +395,8 @@
    *
    * @return true from {@link #leave} on
    */
-  public boolean stopping() {
-    return stopping;
+  public boolean isStopping() {
+    return shutdownRequested;
   }
 
   Context controlContext() {
--- a/daemon/src/main/java/org/hickorypier/daemon/node/NodeMain.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/NodeMain.java
@@ -29,8 +29,8 @@
 
   private static final String PART = "node";
   private static final String EXPLAIN_PATH = "/explain/";
-  private static final int CANNOT_START = 1;
-  private static final int CANNOT_USE = 2;
+  private static final int EXIT_START_FAILED = 1;
+  private static final int EXIT_INVALID_USAGE = 2;
 
   /** Metrics can wait until a restarted process owns the cell and works off what has waited. */
   private static final long METRICS_DELAY_MILLIS = 3_000;
@@ -47,7 +47,7 @@
       startFromFlags(arguments);
     } catch (ParseException | SettingsFileException error) {
       System.err.println("hickorypier: " + error.getMessage());
-      System.exit(CANNOT_USE);
+      System.exit(EXIT_INVALID_USAGE);
     }
   }
 
@@ -59,11 +59,12 @@
    * @throws ParseException if a flag cannot be used
    * @throws SettingsFileException if the settings file cannot be used
    */
-  static Started startFromFlags(String[] arguments) throws ParseException, SettingsFileException {
+  static StartedInstance startFromFlags(String[] arguments)
+      throws ParseException, SettingsFileException {
     CommandLine line = new DefaultParser().parse(options(), arguments);
     Path file = Path.of(line.getOptionValue("settings"));
     NodeSettings settings = NodeSettings.read(file);
-    Started started = start(settings, System::currentTimeMillis);
+    StartedInstance started = start(settings, System::currentTimeMillis);
     try {
       HangupSignal.onHangup(() -> reload(file, settings, started.log()));
     } catch (ReflectiveOperationException error) {
@@ -73,12 +74,12 @@
         .deployed()
         .onFailure(
             error -> {
-              if (started.ending().getAsBoolean()) {
+              if (started.isStopping().getAsBoolean()) {
                 return;
               }
               started.log().event(PART, "cannot-start", "error", describe(error));
               started.log().close();
-              Runtime.getRuntime().halt(CANNOT_START);
+              Runtime.getRuntime().halt(EXIT_START_FAILED);
             });
     return started;
   }
@@ -91,8 +92,8 @@
    * @param deployed done when the instance listens
    * @param ending tells whether the instance was told to end, so that it need not start
    */
-  public record Started(
-      Vertx vertx, LineLog log, Future<String> deployed, BooleanSupplier ending) {}
+  public record StartedInstance(
+      Vertx vertx, LineLog log, Future<String> deployed, BooleanSupplier isStopping) {}
 
   /**
    * Starts an instance in this process.
@@ -101,7 +102,7 @@
    * @param wall the time of day, milliseconds since 1970
    * @return the instance
    */
-  public static Started start(NodeSettings settings, LongSupplier wall) {
+  public static StartedInstance start(NodeSettings settings, LongSupplier wall) {
     LineLog lines = new LineLog(settings.name(), System::currentTimeMillis, System.out);
     MeteredLog log = new MeteredLog(lines);
     LibraryLog.install(log);
@@ -111,17 +112,19 @@
     vertx.exceptionHandler(error -> log.event(PART, "fault", "error", describe(error)));
     Node node = new Node(settings, log, wall);
     log.event(PART, "starting", "front", settings.front(), "store", settings.store());
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> end(node, settings, lines), "shutdown"));
+    Runtime.getRuntime()
+        .addShutdownHook(new Thread(() -> shutDown(node, settings, lines), "shutdown"));
     Future<String> deployed =
         vertx
             .deployVerticle(node)
             .onSuccess(id -> log.event(PART, "started", "peer_port", settings.peerPort()));
-    vertx.setTimer(METRICS_DELAY_MILLIS, id -> serveOperators(vertx, settings, node, lines, log));
-    return new Started(vertx, lines, deployed, node::stopping);
+    vertx.setTimer(
+        METRICS_DELAY_MILLIS, id -> serveOperatorEndpoints(vertx, settings, node, lines, log));
+    return new StartedInstance(vertx, lines, deployed, node::isStopping);
   }
 
   /** Metrics as text at any path, and what a submission waits for at /explain/ID. */
-  private static void serveOperators(
+  private static void serveOperatorEndpoints(
       Vertx vertx, NodeSettings settings, Node node, LineLog lines, MeteredLog log) {
     PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     Gauge.builder("hickorypier.log.dropped", lines, LineLog::dropped)
@@ -185,8 +188,8 @@
     }
   }
 
-  private static void end(Node node, NodeSettings settings, LineLog log) {
-    new GracefulEnd(node, settings.graceMillis(), log).run();
+  private static void shutDown(Node node, NodeSettings settings, LineLog log) {
+    new GracefulShutdown(node, settings.graceMillis(), log).run();
     log.close();
     // The runtime's own way out takes a busy machine 0.3 s and more, with all sockets open.
     Runtime.getRuntime().halt(0);
--- a/daemon/src/main/java/org/hickorypier/daemon/node/NodeSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/NodeSettings.java
@@ -23,7 +23,7 @@
  * @param ready where the balancer asks whether it takes connections
  * @param store where the platform's store listens
  * @param advisor where the advisor listens, or null where there is none
- * @param cell the figures for the owner of a cell
+ * @param cellTerms the figures for the owner of a cell
  * @param strength what the machine can carry as an owner
  * @param revokeMillis within this time a withdrawn key must stop working
  * @param groupLifetimeMillis after so long without a sign a member loses its partitions
@@ -40,7 +40,7 @@
     ServiceAddress ready,
     ServiceAddress store,
     ServiceAddress advisor,
-    CellTerms cell,
+    CellTerms cellTerms,
     Strength strength,
     long revokeMillis,
     long groupLifetimeMillis,
@@ -51,15 +51,15 @@
    * After so long without a sign the group deals a lost owner's cell to another instance. Three
    * signs are missed then; shorter, and an answer of the store that takes 0.3 s costs a takeover.
    */
-  private static final long WANTED_LIFETIME_MILLIS = 1_500;
+  private static final long MIN_GROUP_LIFETIME_MILLIS = 1_500;
 
-  private static final double LEAST_PROCESSOR_SHARE = 0.01;
-  private static final double LEAST_LINK_MEGABITS = 0.1;
+  private static final double MIN_PROCESSOR_SHARE = 0.01;
+  private static final double MIN_LINK_MEGABITS = 0.1;
 
   /** Shorter than three reads of the configuration, and each lost answer would refuse callers. */
-  private static final long LEAST_REVOKE_MILLIS = 500;
+  private static final long MIN_REVOKE_MILLIS = 500;
 
-  private static final long SECOND_MILLIS = 1_000;
+  private static final long MILLIS_PER_SECOND = 1_000;
 
   /**
    * Reads the settings.
@@ -86,9 +86,9 @@
   public static NodeSettings decode(JsonObject json) throws SettingsFileException {
     Reader reader = new Reader(json);
     long lifetime =
-        Math.max(WANTED_LIFETIME_MILLIS, (long) reader.number("leastGroupLifetimeMillis", 1));
-    long grace = Math.round(reader.number("graceSeconds", 1) * SECOND_MILLIS);
-    long kept = Math.round(reader.number("stateKeptSeconds", 1) * SECOND_MILLIS);
+        Math.max(MIN_GROUP_LIFETIME_MILLIS, (long) reader.number("leastGroupLifetimeMillis", 1));
+    long grace = Math.round(reader.number("graceSeconds", 1) * MILLIS_PER_SECOND);
+    long kept = Math.round(reader.number("stateKeptSeconds", 1) * MILLIS_PER_SECOND);
     return new NodeSettings(
         reader.text("name"),
         reader.text("address"),
@@ -106,10 +106,10 @@
             (long) reader.number("gangMillis", 1),
             kept),
         Strength.of(
-            reader.number("processorShare", LEAST_PROCESSOR_SHARE)
-                * reader.number("processorSpeed", LEAST_PROCESSOR_SHARE),
-            reader.number("linkMegabits", LEAST_LINK_MEGABITS)),
-        (long) reader.number("revokeMillis", LEAST_REVOKE_MILLIS),
+            reader.number("processorShare", MIN_PROCESSOR_SHARE)
+                * reader.number("processorSpeed", MIN_PROCESSOR_SHARE),
+            reader.number("linkMegabits", MIN_LINK_MEGABITS)),
+        (long) reader.number("revokeMillis", MIN_REVOKE_MILLIS),
         lifetime,
         grace,
         (long) reader.number("workerHeartbeatMillis", 1));
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Peer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Peer.java
@@ -6,14 +6,14 @@
 /** An instance that has opened a link to this one. Belongs to the control thread. */
 final class Peer {
 
-  private static final long NEVER = Long.MIN_VALUE / 2;
+  private static final long NEVER_ASKED_MILLIS = Long.MIN_VALUE / 2;
 
   private final Link link;
   private final String address;
   private int strength;
-  private long startedAt;
-  private long askedAt = NEVER;
-  private int workMicros = Successor.NO_ANSWER;
+  private long startedAtMillis;
+  private long askedAtMillis = NEVER_ASKED_MILLIS;
+  private int workMicros = Successor.NO_ANSWER_MICROS;
 
   Peer(Link link, String address) {
     this.link = link;
@@ -28,27 +28,27 @@
     return address;
   }
 
-  void introduced(LinkRequest.Introduce introduce, long nowMillis) {
+  void recordIntroduction(LinkRequest.Introduce introduce, long nowMillis) {
     strength = introduce.strength();
-    startedAt = nowMillis - introduce.ageMillis();
+    startedAtMillis = nowMillis - introduce.ageMillis();
   }
 
   Successor asSuccessor() {
-    return new Successor(this, strength, startedAt, workMicros);
+    return new Successor(this, strength, startedAtMillis, workMicros);
   }
 
   /** Takes notice of how long the piece of work takes it, in microseconds. */
-  void paced(int micros) {
+  void recordMeasurement(int micros) {
     workMicros = micros;
   }
 
   /** Takes notice that it is asked to take over. */
-  void askedToTakeOver(long nowMillis) {
-    askedAt = nowMillis;
+  void recordTakeOverRequest(long nowMillis) {
+    askedAtMillis = nowMillis;
   }
 
   /** Returns how long ago it was last asked to take over, in milliseconds. */
-  long sinceAskedMillis(long nowMillis) {
-    return nowMillis - askedAt;
+  long millisSinceTakeOverRequest(long nowMillis) {
+    return nowMillis - askedAtMillis;
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
@@ -29,22 +29,22 @@
  */
 public final class Rehearsal {
 
-  private static final long MOST_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
   private static final int SUBMISSIONS = 20;
-  private static final int POLLS = 200;
-  private static final long POLL_MILLIS = 20;
-  private static final long CALL_MILLIS = 3_000;
+  private static final int MAX_POLLS = 200;
+  private static final long POLL_INTERVAL_MILLIS = 20;
+  private static final long CALL_TIMEOUT_MILLIS = 3_000;
   private static final int OK = 200;
   private static final Map<String, String> HEADERS =
       Map.of("Host", RehearsalPlatform.HOST, "Authorization", "Bearer " + RehearsalPlatform.KEY);
 
-  private final HttpCalls calls;
+  private final HttpCalls httpCalls;
   private final Vertx vertx;
-  private final CountDownLatch done = new CountDownLatch(SUBMISSIONS);
+  private final CountDownLatch remainingSubmissions = new CountDownLatch(SUBMISSIONS);
 
   private Rehearsal(Vertx vertx) {
     this.vertx = vertx;
-    this.calls = new HttpCalls(vertx, 2);
+    this.httpCalls = new HttpCalls(vertx, 2);
   }
 
   /**
@@ -62,7 +62,7 @@
     CountDownLatch listening = new CountDownLatch(1);
     Future<ServiceAddress> platform =
         new RehearsalPlatform(platformVertx).listen().onSuccess(address -> listening.countDown());
-    boolean up = listening.await(MOST_SECONDS, TimeUnit.SECONDS);
+    boolean up = listening.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (!up) {
       System.exit(1);
     }
@@ -71,7 +71,7 @@
     final NodeSettings second = NodeSettings.decode(settings("second", platform.result()));
     Path file = Files.createTempFile("rehearsal", ".json");
     Files.writeString(file, written.encode());
-    NodeMain.Started started = NodeMain.startFromFlags(new String[] {"--settings=" + file});
+    NodeMain.StartedInstance started = NodeMain.startFromFlags(new String[] {"--settings=" + file});
     Files.delete(file);
     Rehearsal rehearsal = new Rehearsal(started.vertx());
     started
@@ -81,19 +81,19 @@
                 started
                     .vertx()
                     .deployVerticle(new Node(second, started.log(), System::currentTimeMillis)))
-        .onSuccess(id -> rehearsal.handIn(first, second, 0));
-    boolean finished = rehearsal.done.await(MOST_SECONDS, TimeUnit.SECONDS);
+        .onSuccess(id -> rehearsal.submitFrom(first, second, 0));
+    boolean finished = rehearsal.remainingSubmissions.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     System.exit(finished ? 0 : 1);
   }
 
-  private void handIn(NodeSettings first, NodeSettings second, int number) {
+  private void submitFrom(NodeSettings first, NodeSettings second, int number) {
     if (number == SUBMISSIONS) {
       return;
     }
     NodeSettings to = number % 2 == 0 ? first : second;
     String path = RehearsalPlatform.PREFIX + "%016x".formatted(number);
     boolean cancelled = number % 5 == 4;
-    submit(to, path, POLLS)
+    submit(to, path, MAX_POLLS)
         .compose(none -> call(to.ready(), HttpMethod.GET, "/", null))
         .compose(none -> call(to.front(), HttpMethod.GET, RehearsalPlatform.PREFIX, null))
         .compose(
@@ -101,43 +101,50 @@
                 cancelled
                     ? call(to.front(), HttpMethod.DELETE, path, null)
                     : Future.succeededFuture(""))
-        .onComplete(none -> awaitEnd(to, path, POLLS, () -> handIn(first, second, number + 1)));
+        .onComplete(
+            none ->
+                awaitCompletion(to, path, MAX_POLLS, () -> submitFrom(first, second, number + 1)));
   }
 
   /** Hands a submission in; again while there is no owner yet. */
   private Future<String> submit(NodeSettings to, String path, int tries) {
-    return calls
+    return httpCalls
         .call(
-            to.front(), HttpMethod.POST, path, HEADERS, RehearsalPlatform.submission(), CALL_MILLIS)
+            to.front(),
+            HttpMethod.POST,
+            path,
+            HEADERS,
+            RehearsalPlatform.submission(),
+            CALL_TIMEOUT_MILLIS)
         .compose(
             reply ->
                 reply.status() == OK || tries == 0
                     ? Future.succeededFuture("")
-                    : pause().compose(over -> submit(to, path, tries - 1)));
+                    : awaitPollInterval().compose(over -> submit(to, path, tries - 1)));
   }
 
-  private Future<Void> pause() {
+  private Future<Void> awaitPollInterval() {
     Promise<Void> over = Promise.promise();
-    vertx.setTimer(POLL_MILLIS, id -> over.complete());
+    vertx.setTimer(POLL_INTERVAL_MILLIS, id -> over.complete());
     return over.future();
   }
 
-  private void awaitEnd(NodeSettings to, String path, int polls, Runnable next) {
+  private void awaitCompletion(NodeSettings to, String path, int polls, Runnable next) {
     call(to.front(), HttpMethod.GET, path, null)
         .onSuccess(
             state -> {
               if (state.contains("completed") || state.contains("cancelled")) {
-                done.countDown();
+                remainingSubmissions.countDown();
                 next.run();
               } else if (polls > 0) {
-                pause().onSuccess(over -> awaitEnd(to, path, polls - 1, next));
+                awaitPollInterval().onSuccess(over -> awaitCompletion(to, path, polls - 1, next));
               }
             });
   }
 
   private Future<String> call(ServiceAddress address, HttpMethod method, String path, Buffer body) {
-    return calls
-        .call(address, method, path, HEADERS, body, CALL_MILLIS)
+    return httpCalls
+        .call(address, method, path, HEADERS, body, CALL_TIMEOUT_MILLIS)
         .map(reply -> reply.body().toString());
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Successor.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Successor.java
@@ -15,33 +15,34 @@
  *
  * @param peer the instance
  * @param strength what its machine can carry
- * @param startedAt when it was started, by the owner's steady clock, in milliseconds
+ * @param startedAtMillis when it was started, by the owner's steady clock, in milliseconds
  * @param workMicros how long a fixed piece of work takes it now, in microseconds, or {@link
  *     #NO_ANSWER}
  */
-record Successor(Peer peer, int strength, long startedAt, int workMicros) {
+record Successor(Peer peer, int strength, long startedAtMillis, int workMicros) {
 
   /** Of an instance that does not answer in time. */
-  static final int NO_ANSWER = Integer.MAX_VALUE;
+  static final int NO_ANSWER_MICROS = Integer.MAX_VALUE;
 
   /** The best first of those that are not slow. */
-  static final Comparator<Successor> ORDER =
+  static final Comparator<Successor> PREFERENCE_ORDER =
       Comparator.comparingInt((Successor each) -> -each.strength)
-          .thenComparingLong(each -> -each.startedAt);
+          .thenComparingLong(each -> -each.startedAtMillis);
 
   /** A process that was just started takes up to three times as long as an old one. */
-  private static final long SLOW_TIMES = 4;
+  private static final long SLOWNESS_RATIO = 4;
 
   /** Orders instances, the best first; slow ones and those without an answer come last. */
-  static List<Successor> ordered(List<Successor> all) {
-    long quickest = all.stream().mapToLong(Successor::workMicros).min().orElse(NO_ANSWER);
+  static List<Successor> sortedByPreference(List<Successor> all) {
+    long quickest = all.stream().mapToLong(Successor::workMicros).min().orElse(NO_ANSWER_MICROS);
     List<Successor> ordered = new ArrayList<>(all);
     ordered.sort(
-        Comparator.comparing((Successor each) -> each.slowerThan(quickest)).thenComparing(ORDER));
+        Comparator.comparing((Successor each) -> each.isSlow(quickest))
+            .thenComparing(PREFERENCE_ORDER));
     return ordered;
   }
 
-  private boolean slowerThan(long quickest) {
-    return workMicros > SLOW_TIMES * quickest || workMicros == NO_ANSWER;
+  private boolean isSlow(long quickest) {
+    return workMicros > SLOWNESS_RATIO * quickest || workMicros == NO_ANSWER_MICROS;
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/node/LogSamples.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/LogSamples.java
@@ -25,13 +25,13 @@
    */
   public static void main(String[] arguments) throws Exception {
     Path folder = Files.createDirectories(Path.of(arguments[0]));
-    refusedThoughThereWasRoom(folder);
-    lateAfterLostWorker(folder);
-    outcomeNotKnown(folder);
+    writeRefusedSample(folder);
+    writeLateSample(folder);
+    writeUnknownOutcomeSample(folder);
   }
 
-  private static void refusedThoughThereWasRoom(Path folder) throws Exception {
-    try (SmallCluster cluster = logged(folder, "refused", 2, 50)) {
+  private static void writeRefusedSample(Path folder) throws Exception {
+    try (SmallCluster cluster = clusterLoggingTo(folder, "refused", 2, 50)) {
       SmallCluster.Instance instance = startWithOwner(cluster);
       cluster.storeServer.gate().plan(FaultPlan.always("append", Fault.UNAVAILABLE));
       // The first caller meets the outage before the owner knows of it, and waits in vain.
@@ -40,16 +40,16 @@
         throw new IllegalStateException("not refused");
       }
       cluster.storeServer.gate().plan(FaultPlan.NONE);
-      cluster.until(() -> cluster.submit(instance, "5c0e7a21d94b36f1", 1).status() == 200);
-      cluster.until(() -> cluster.state(instance, "5c0e7a21d94b36f1").equals("completed"));
+      cluster.waitUntil(() -> cluster.submit(instance, "5c0e7a21d94b36f1", 1).status() == 200);
+      cluster.waitUntil(() -> cluster.state(instance, "5c0e7a21d94b36f1").equals("completed"));
     }
   }
 
-  private static void lateAfterLostWorker(Path folder) throws Exception {
-    try (SmallCluster cluster = logged(folder, "late", 2, 1_500)) {
+  private static void writeLateSample(Path folder) throws Exception {
+    try (SmallCluster cluster = clusterLoggingTo(folder, "late", 2, 1_500)) {
       SmallCluster.Instance instance = startWithOwner(cluster);
       cluster.submit(instance, "5c0e7a21d94b36f2", 1);
-      cluster.until(() -> cluster.starts().size() == 2);
+      cluster.waitUntil(() -> cluster.starts().size() == 2);
       String start = "5c0e7a21d94b36f2.0.0.0#1";
       int holder = cluster.workers.get(0).history().contains(start) ? 0 : 1;
       cluster
@@ -57,12 +57,12 @@
           .get(holder)
           .gate()
           .plan(FaultPlan.always("", Fault.SILENT_BEFORE_EFFECT));
-      cluster.until(() -> cluster.state(instance, "5c0e7a21d94b36f2").equals("completed"));
+      cluster.waitUntil(() -> cluster.state(instance, "5c0e7a21d94b36f2").equals("completed"));
     }
   }
 
-  private static void outcomeNotKnown(Path folder) throws Exception {
-    try (SmallCluster cluster = logged(folder, "unknown", 2, 50)) {
+  private static void writeUnknownOutcomeSample(Path folder) throws Exception {
+    try (SmallCluster cluster = clusterLoggingTo(folder, "unknown", 2, 50)) {
       SmallCluster.Instance instance = startWithOwner(cluster);
       cluster.storeServer.gate().plan(FaultPlan.always("append", Fault.SILENT_BEFORE_EFFECT));
       int status = cluster.submit(instance, "5c0e7a21d94b36f3", 1).status();
@@ -70,19 +70,19 @@
         throw new IllegalStateException("status " + status);
       }
       cluster.storeServer.gate().plan(FaultPlan.NONE);
-      cluster.until(() -> cluster.state(instance, "5c0e7a21d94b36f3").equals("completed"));
+      cluster.waitUntil(() -> cluster.state(instance, "5c0e7a21d94b36f3").equals("completed"));
     }
   }
 
   private static SmallCluster.Instance startWithOwner(SmallCluster cluster) throws Exception {
     SmallCluster.Instance instance = cluster.start();
-    cluster.until(() -> cluster.submit(instance, "5c0e7a21d94b36f0", 1).status() == 200);
-    cluster.until(() -> cluster.state(instance, "5c0e7a21d94b36f0").equals("completed"));
+    cluster.waitUntil(() -> cluster.submit(instance, "5c0e7a21d94b36f0", 1).status() == 200);
+    cluster.waitUntil(() -> cluster.state(instance, "5c0e7a21d94b36f0").equals("completed"));
     return instance;
   }
 
-  private static SmallCluster logged(Path folder, String name, int workers, long workMillis)
-      throws Exception {
+  private static SmallCluster clusterLoggingTo(
+      Path folder, String name, int workers, long workMillis) throws Exception {
     SmallCluster cluster = new SmallCluster(workers, workMillis);
     OutputStream stream = Files.newOutputStream(folder.resolve(name + ".log"));
     LineLog log = new LineLog("instance-0", System::currentTimeMillis, stream);
--- a/daemon/src/test/java/org/hickorypier/daemon/node/NodeSettingsTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/NodeSettingsTest.java
@@ -9,7 +9,7 @@
 
 class NodeSettingsTest {
 
-  private static JsonObject usable() {
+  private static JsonObject validSettings() {
     return new JsonObject()
         .put("name", "front-1")
         .put("address", "10.1.0.17")
@@ -32,24 +32,24 @@
   }
 
   @Test
-  void usableFileIsRead() throws SettingsFileException {
-    NodeSettings settings = NodeSettings.decode(usable());
+  void validSettingsAreDecoded() throws SettingsFileException {
+    NodeSettings settings = NodeSettings.decode(validSettings());
     assertThat(settings.advisor()).isNull();
     assertThat(settings.graceMillis()).isEqualTo(6_000);
     assertThat(settings.groupLifetimeMillis()).isEqualTo(1_500);
-    assertThat(settings.cell().leaseMillis()).isEqualTo(3_500);
+    assertThat(settings.cellTerms().leaseMillis()).isEqualTo(3_500);
     assertThat(settings.strength()).isEqualTo(Strength.of(0.36, 7));
   }
 
   @Test
-  void valueThatCannotBeUsedIsNamedWithItsRange() {
-    assertThatThrownBy(() -> NodeSettings.decode(usable().put("front", "10.1.0.17:99999")))
+  void invalidValueIsReportedWithAllowedRange() {
+    assertThatThrownBy(() -> NodeSettings.decode(validSettings().put("front", "10.1.0.17:99999")))
         .isInstanceOf(SettingsFileException.class)
         .hasMessageContaining("front is 10.1.0.17:99999")
         .hasMessageContaining("1 to 65535");
-    assertThatThrownBy(() -> NodeSettings.decode(usable().put("gangMillis", "soon")))
+    assertThatThrownBy(() -> NodeSettings.decode(validSettings().put("gangMillis", "soon")))
         .hasMessageContaining("gangMillis is soon");
-    assertThatThrownBy(() -> NodeSettings.decode(usable().putNull("name")))
+    assertThatThrownBy(() -> NodeSettings.decode(validSettings().putNull("name")))
         .hasMessageContaining("name is null");
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/node/NodeTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/NodeTest.java
@@ -15,25 +15,25 @@
 /** The whole path over the stand-ins: callers, instances, store, workers. */
 class NodeTest {
 
-  private static final String ID = "5c0e7a21d94b36f%x";
+  private static final String ID_FORMAT = "5c0e7a21d94b36f%x";
 
   /** A task that lasts runs again at the latest so long after its last run. */
-  private static final long LASTING_TASK_RESTART_MILLIS = 9_000;
+  private static final long MAX_PERSISTENT_RESTART_MILLIS = 9_000;
 
   /** A step has waited for so long, at least, when the log tells what it waits for. */
-  private static final long WAIT_TOLD_AFTER_MILLIS = 2_000;
+  private static final long MIN_LOGGED_WAIT_MILLIS = 2_000;
 
   @Test
-  void submissionIsAcceptedRunAndShownAsCompleted() throws Exception {
+  void submissionIsAcceptedRunAndReportedAsCompleted() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 50)) {
       SmallCluster.Instance first = cluster.start();
       SmallCluster.Instance second = cluster.start();
-      String id = ID.formatted(1);
+      String id = ID_FORMAT.formatted(1);
       assertThat(cluster.submit(second, id, 3).status()).isEqualTo(200);
-      cluster.until(() -> cluster.state(first, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(first, id).equals("completed"));
       assertThat(cluster.state(second, id)).isEqualTo("completed");
       assertThat(cluster.starts()).hasSize(3).doesNotHaveDuplicates();
-      assertThat(cluster.state(first, ID.formatted(2))).isEqualTo("410");
+      assertThat(cluster.state(first, ID_FORMAT.formatted(2))).isEqualTo("410");
     }
   }
 
@@ -43,15 +43,15 @@
    * starts twice.
    */
   @Test
-  void successorFindsRunningTasks() throws Exception {
+  void successorAdoptsRunningTasks() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 1_500)) {
       SmallCluster.Instance owner = cluster.start();
       SmallCluster.Instance other = cluster.start();
-      String id = ID.formatted(3);
+      String id = ID_FORMAT.formatted(3);
       assertThat(cluster.submit(other, id, 4).status()).isEqualTo(200);
-      cluster.until(() -> cluster.starts().size() == 4);
+      cluster.waitUntil(() -> cluster.starts().size() == 4);
       cluster.kill(owner);
-      cluster.until(() -> cluster.state(other, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(other, id).equals("completed"));
       assertThat(cluster.starts()).hasSize(4).doesNotHaveDuplicates();
     }
   }
@@ -62,19 +62,19 @@
    * killed, the weak one owns the cell again, so that callers are served by what is left.
    */
   @Test
-  void strongMachineTakesTheCellOverAndWeakOneStepsInWhenItIsLost() throws Exception {
+  void strongerMachineTakesOverAndWeakerOneReplacesItAfterCrash() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 300)) {
       SmallCluster.Instance weak = cluster.start(Strength.of(0.36, 7));
-      String id = ID.formatted(1);
+      String id = ID_FORMAT.formatted(1);
       assertThat(cluster.submit(weak, id, 3).status()).isEqualTo(200);
       SmallCluster.Instance strong = cluster.start(Strength.of(1.5, 140));
-      cluster.until(() -> cluster.told(strong, "owner-gained"));
-      cluster.until(() -> cluster.state(weak, id).equals("completed"));
-      cluster.until(() -> cluster.told(weak, "owner-lost"));
+      cluster.waitUntil(() -> cluster.hasLogged(strong, "owner-gained"));
+      cluster.waitUntil(() -> cluster.state(weak, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.hasLogged(weak, "owner-lost"));
       cluster.kill(strong);
-      String later = ID.formatted(2);
-      cluster.until(() -> cluster.submit(weak, later, 2).status() == 200);
-      cluster.until(() -> cluster.state(weak, later).equals("completed"));
+      String later = ID_FORMAT.formatted(2);
+      cluster.waitUntil(() -> cluster.submit(weak, later, 2).status() == 200);
+      cluster.waitUntil(() -> cluster.state(weak, later).equals("completed"));
       assertThat(cluster.starts()).hasSize(5).doesNotHaveDuplicates();
     }
   }
@@ -84,13 +84,13 @@
    * the append is repeated under its number, and the submission is accepted once.
    */
   @Test
-  void lostAnswerOfTheStoreIsSettledByRepetition() throws Exception {
+  void lostStoreReplyIsResolvedByRetry() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       cluster.storeServer.gate().plan(FaultPlan.once("append", Fault.RESET_AFTER_EFFECT));
-      String id = ID.formatted(4);
+      String id = ID_FORMAT.formatted(4);
       assertThat(cluster.submit(instance, id, 1).status()).isEqualTo(200);
-      cluster.until(() -> cluster.state(instance, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(instance, id).equals("completed"));
       assertThat(cluster.starts()).hasSize(1);
     }
   }
@@ -100,7 +100,7 @@
    * Each caller gets its acceptance, each task runs once, and all is in the journal in the end.
    */
   @Test
-  void appendsUnderWaySurviveLostAnswers() throws Exception {
+  void concurrentAppendsSurviveLostReplies() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 20)) {
       SmallCluster.Instance instance = cluster.start();
       Fault[] faults = {Fault.RESET_AFTER_EFFECT, Fault.UNAVAILABLE, Fault.RESET_BEFORE_EFFECT};
@@ -110,7 +110,7 @@
       }
       for (int index = 0; index < 12; index++) {
         String id = "a%015x".formatted(index);
-        cluster.until(() -> cluster.state(instance, id).equals("completed"));
+        cluster.waitUntil(() -> cluster.state(instance, id).equals("completed"));
       }
       assertThat(cluster.starts()).hasSize(24).doesNotHaveDuplicates();
     }
@@ -121,23 +121,23 @@
    * for one that it does not know, the owner must not say that there is none.
    */
   @Test
-  void ownerWithoutProofDoesNotSayThatSomethingIsUnknown() throws Exception {
+  void ownerWithoutProofDoesNotReportSubmissionAsUnknown() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
-      String id = ID.formatted(10);
+      String id = ID_FORMAT.formatted(10);
       assertThat(cluster.state(instance, id)).isEqualTo("410");
       cluster.storeServer.gate().plan(FaultPlan.always("append", Fault.UNAVAILABLE));
-      cluster.until(() -> cluster.state(instance, id).equals("503"));
+      cluster.waitUntil(() -> cluster.state(instance, id).equals("503"));
     }
   }
 
   @Test
-  void withdrawnKeyIsRefusedAndAnUnknownQueueIsNotFound() throws Exception {
+  void revokedKeyIsRefusedAndUnknownQueueIsNotFound() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
-      assertThat(cluster.submit(instance, ID.formatted(5), 1).status()).isEqualTo(200);
+      assertThat(cluster.submit(instance, ID_FORMAT.formatted(5), 1).status()).isEqualTo(200);
       cluster.configure("another-key");
-      cluster.until(() -> cluster.submit(instance, ID.formatted(6), 1).status() == 401);
+      cluster.waitUntil(() -> cluster.submit(instance, ID_FORMAT.formatted(6), 1).status() == 401);
       assertThat(
               cluster.call(instance.settings().front(), HttpMethod.GET, "/nowhere/", null).status())
           .isEqualTo(404);
@@ -149,14 +149,14 @@
    * from the newest of each key and go on serving.
    */
   @Test
-  void forgottenHistoryCostsNothing() throws Exception {
+  void instancesKeepServingAfterHistoryIsDiscarded() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       cluster.store.forgetHistory();
       cluster.configure(SmallCluster.KEY);
-      String id = ID.formatted(7);
-      cluster.until(() -> cluster.submit(instance, id, 1).status() == 200);
-      cluster.until(() -> cluster.state(instance, id).equals("completed"));
+      String id = ID_FORMAT.formatted(7);
+      cluster.waitUntil(() -> cluster.submit(instance, id, 1).status() == 200);
+      cluster.waitUntil(() -> cluster.state(instance, id).equals("completed"));
     }
   }
 
@@ -164,9 +164,9 @@
   void cancelledSubmissionStopsAndStaysCancelled() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 60_000)) {
       SmallCluster.Instance instance = cluster.start();
-      String id = ID.formatted(8);
+      String id = ID_FORMAT.formatted(8);
       assertThat(cluster.submit(instance, id, 1).status()).isEqualTo(200);
-      cluster.until(() -> cluster.starts().size() == 1);
+      cluster.waitUntil(() -> cluster.starts().size() == 1);
       assertThat(
               cluster
                   .call(
@@ -186,17 +186,17 @@
    * hands the cell over at once, and the other instance goes on with the tasks that run.
    */
   @Test
-  void leavingOwnerHandsOverAndSendsCallersElsewhere() throws Exception {
+  void stoppingOwnerHandsOverAndDrainsCallers() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 1_000)) {
       SmallCluster.Instance owner = cluster.start();
       final SmallCluster.Instance other = cluster.start();
-      String id = ID.formatted(11);
+      String id = ID_FORMAT.formatted(11);
       cluster.submit(owner, id, 2);
-      cluster.until(() -> cluster.starts().size() == 2);
+      cluster.waitUntil(() -> cluster.starts().size() == 2);
       SmallCluster.await(
           owner.node().leave(owner.node().controlContext(), System.nanoTime() + 3_000_000_000L));
       assertThat(cluster.ready(owner)).isFalse();
-      cluster.until(() -> cluster.state(owner, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(owner, id).equals("completed"));
       assertThat(cluster.state(other, id)).isEqualTo("completed");
       assertThat(cluster.starts()).hasSize(2).doesNotHaveDuplicates();
       assertThat(cluster.events).anyMatch(event -> event.contains("the owner asked for it"));
@@ -204,13 +204,13 @@
   }
 
   @Test
-  void operatorLearnsWhereSubmissionStandsFromAnyInstance() throws Exception {
+  void anyInstanceExplainsSubmissionToOperator() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 60_000)) {
       SmallCluster.Instance first = cluster.start();
       SmallCluster.Instance second = cluster.start();
-      String id = ID.formatted(12);
+      String id = ID_FORMAT.formatted(12);
       cluster.submit(first, id, 20);
-      cluster.until(() -> cluster.starts().size() == 16);
+      cluster.waitUntil(() -> cluster.starts().size() == 16);
       String told = SmallCluster.await(second.node().explain(id));
       assertThat(told).contains("0 of 20 done").contains("on w0").contains("waits for room: 0");
       assertThat(SmallCluster.await(second.node().explain("nobody"))).contains("is not known");
@@ -218,13 +218,13 @@
   }
 
   @Test
-  void badInputIsNamedWithItsRange() throws Exception {
+  void invalidInputIsReportedWithAllowedRange() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       assertThat(cluster.submit(instance, "no-id", 1).body().toString())
           .contains("no-id")
           .contains("16 hexadecimal digits");
-      assertThat(cluster.submit(instance, ID.formatted(9), -1).body().toString())
+      assertThat(cluster.submit(instance, ID_FORMAT.formatted(9), -1).body().toString())
           .contains("-1")
           .contains("1 to 100000");
     }
@@ -237,14 +237,14 @@
    * journal.
    */
   @Test
-  void ownerThatStandsStillIsReplaced() throws Exception {
+  void unresponsiveOwnerIsReplaced() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
-      cluster.standStillOwner();
-      SmallCluster.Instance instance = cluster.startUnowned(Strength.UNKNOWN);
-      String id = ID.formatted(12);
+      cluster.installUnresponsiveOwner();
+      SmallCluster.Instance instance = cluster.startWithoutOwner(Strength.UNKNOWN);
+      String id = ID_FORMAT.formatted(12);
       assertThat(cluster.submit(instance, id, 1).status()).as("%s", cluster.events).isEqualTo(200);
-      assertThat(cluster.told(instance, "owner-suspected")).isTrue();
-      cluster.until(() -> cluster.state(instance, id).equals("completed"));
+      assertThat(cluster.hasLogged(instance, "owner-suspected")).isTrue();
+      cluster.waitUntil(() -> cluster.state(instance, id).equals("completed"));
     }
   }
 
@@ -256,7 +256,7 @@
    * caller knows at once that it may send it elsewhere.
    */
   @Test
-  void keptConnectionIsClosedBeforeTheProcessEnds() throws Exception {
+  void keptAliveConnectionIsClosedBeforeProcessExits() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       NetSocket caller = cluster.connect(instance.settings().front());
@@ -268,10 +268,10 @@
       SmallCluster.await(answered.future());
       SmallCluster.await(
           instance.node().leave(instance.node().controlContext(), System.nanoTime()));
-      assertThat(instance.node().busy()).isTrue();
+      assertThat(instance.node().hasConnections()).isTrue();
       SmallCluster.await(instance.node().closeFront());
       SmallCluster.await(closed.future());
-      cluster.until(() -> !instance.node().busy());
+      cluster.waitUntil(() -> !instance.node().hasConnections());
     }
   }
 
@@ -281,7 +281,7 @@
    * cell to the quick instance; an instance as slow as itself would gain nothing and is not asked.
    */
   @Test
-  void slowedOwnerHandsOverToQuickInstance() throws Exception {
+  void slowedOwnerHandsOverToFasterInstance() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       final SmallCluster.Instance owner = cluster.start();
       final AtomicLong ownersWork = cluster.latestWorkNanos;
@@ -290,14 +290,14 @@
       final SmallCluster.Instance slow = cluster.start();
       long began = System.nanoTime();
       // Half a minute's samples tell what is usual; some seconds are the least.
-      cluster.until(() -> System.nanoTime() - began > TimeUnit.SECONDS.toNanos(5));
+      cluster.waitUntil(() -> System.nanoTime() - began > TimeUnit.SECONDS.toNanos(5));
       ownersWork.set(100_000);
-      cluster.until(() -> cluster.told(quick, "owner-gained"));
-      cluster.until(() -> cluster.told(owner, "owner-lost"));
-      assertThat(cluster.told(slow, "taking-over")).isFalse();
-      String id = ID.formatted(13);
+      cluster.waitUntil(() -> cluster.hasLogged(quick, "owner-gained"));
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "owner-lost"));
+      assertThat(cluster.hasLogged(slow, "taking-over")).isFalse();
+      String id = ID_FORMAT.formatted(13);
       assertThat(cluster.submit(owner, id, 1).status()).isEqualTo(200);
-      cluster.until(() -> cluster.state(owner, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(owner, id).equals("completed"));
     }
   }
 
@@ -308,39 +308,39 @@
    * tells all, also the named one, which has come back and takes the cell up again.
    */
   @Test
-  void claimThatWasNeverAnnouncedIsAnnouncedByWhoeverFindsIt() throws Exception {
+  void unannouncedClaimIsAnnouncedByInstanceThatFindsIt() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       final SmallCluster.Instance owner = cluster.start();
       SmallCluster.Instance named = cluster.start();
       cluster.claimFor(named, 2);
-      cluster.until(() -> cluster.told(owner, "owner-lost"));
-      cluster.until(() -> cluster.told(named, "owner-gained"));
-      String id = ID.formatted(14);
-      cluster.until(() -> cluster.submit(owner, id, 1).status() == 200);
-      cluster.until(() -> cluster.state(named, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "owner-lost"));
+      cluster.waitUntil(() -> cluster.hasLogged(named, "owner-gained"));
+      String id = ID_FORMAT.formatted(14);
+      cluster.waitUntil(() -> cluster.submit(owner, id, 1).status() == 200);
+      cluster.waitUntil(() -> cluster.state(named, id).equals("completed"));
     }
   }
 
   /** A successor waited 9.87 s from its own takeover for a worker that had left before it. */
   @Test
-  void lastingTaskOfDepartedWorkerRunsAgainAfterPlannedHandover() throws Exception {
+  void persistentTaskOfRemovedWorkerRestartsAfterPlannedHandover() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 60_000)) {
       final SmallCluster.Instance owner = cluster.start();
       final SmallCluster.Instance successor = cluster.start();
-      assertThat(cluster.submitLasting(owner, ID.formatted(15)).status()).isEqualTo(200);
-      cluster.until(() -> cluster.starts().size() == 1);
+      assertThat(cluster.submitPersistent(owner, ID_FORMAT.formatted(15)).status()).isEqualTo(200);
+      cluster.waitUntil(() -> cluster.starts().size() == 1);
       int departing = cluster.workers.get(0).history().isEmpty() ? 1 : 0;
       cluster.drain(departing, 6_000);
-      cluster.until(() -> cluster.told(owner, "worker-draining"));
-      cluster.depart(departing);
-      cluster.until(() -> cluster.told(owner, "worker-silent"));
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "worker-draining"));
+      cluster.removeWorker(departing);
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "worker-silent"));
       cluster.leave(owner, TimeUnit.MINUTES.toMillis(1));
-      cluster.until(() -> cluster.told(successor, "owner-gained"));
-      cluster.unlist(departing);
-      cluster.until(() -> cluster.starts().size() == 2);
+      cluster.waitUntil(() -> cluster.hasLogged(successor, "owner-gained"));
+      cluster.deleteWorkerEntry(departing);
+      cluster.waitUntil(() -> cluster.starts().size() == 2);
       assertThat(cluster.workers.get(1 - departing).history()).hasSize(1);
-      assertThat(cluster.waitsForWorker(successor, "w" + departing))
-          .allMatch(left -> WAIT_TOLD_AFTER_MILLIS + left <= LASTING_TASK_RESTART_MILLIS);
+      assertThat(cluster.loggedWorkerWaitsMillis(successor, "w" + departing))
+          .allMatch(left -> MIN_LOGGED_WAIT_MILLIS + left <= MAX_PERSISTENT_RESTART_MILLIS);
     }
   }
 
@@ -350,15 +350,15 @@
     try (SmallCluster cluster = new SmallCluster(1, 60_000)) {
       SmallCluster.Instance first = cluster.start();
       cluster.limitToOneProcessor();
-      cluster.until(() -> cluster.told(first, "version-in-force [version, 6"));
-      assertThat(cluster.submit(first, ID.formatted(1), 4).status()).isEqualTo(200);
-      cluster.until(() -> cluster.starts().size() == 1);
+      cluster.waitUntil(() -> cluster.hasLogged(first, "version-in-force [version, 6"));
+      assertThat(cluster.submit(first, ID_FORMAT.formatted(1), 4).status()).isEqualTo(200);
+      cluster.waitUntil(() -> cluster.starts().size() == 1);
       cluster.hideConfiguration();
       NodeSettings settings = cluster.settings(Strength.UNKNOWN);
       SmallCluster.await(cluster.vertx.deployVerticle(cluster.newNode(settings)));
       cluster.kill(first);
       String successor = settings.name();
-      cluster.until(
+      cluster.waitUntil(
           () ->
               cluster.starts().size() > 1
                   || cluster.eventsSince(successor + " owner owner-gained").stream()
--- a/daemon/src/test/java/org/hickorypier/daemon/node/RawCaller.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/RawCaller.java
@@ -14,14 +14,14 @@
 final class RawCaller {
 
   private final NetSocket socket;
-  private final StringBuffer answers = new StringBuffer();
-  private final Promise<Void> closed = Promise.promise();
+  private final StringBuffer receivedText = new StringBuffer();
+  private final Promise<Void> socketClosed = Promise.promise();
 
   RawCaller(NetSocket socket) {
     this.socket = socket;
-    socket.handler(bytes -> answers.append(bytes.toString(StandardCharsets.UTF_8)));
-    socket.closeHandler(closed::tryComplete);
-    socket.exceptionHandler(error -> closed.tryComplete());
+    socket.handler(bytes -> receivedText.append(bytes.toString(StandardCharsets.UTF_8)));
+    socket.closeHandler(socketClosed::tryComplete);
+    socket.exceptionHandler(error -> socketClosed.tryComplete());
   }
 
   RawCaller write(String text) {
@@ -30,7 +30,7 @@
   }
 
   /** Sends a whole request for a queue that nobody has, which any instance answers by itself. */
-  RawCaller askNowhere() {
+  RawCaller requestUnknownQueue() {
     return write("GET /nowhere/ HTTP/1.1\r\nHost: nowhere\r\n\r\n");
   }
 
@@ -53,29 +53,29 @@
         + "\r\n";
   }
 
-  int answerCount() {
-    return answerCount("");
+  int responseCount() {
+    return responseCount("");
   }
 
   /** Returns how many answers with a status were read. */
-  int answerCount(String status) {
-    return answers().split("HTTP/1.1 " + status, -1).length - 1;
+  int responseCount(String status) {
+    return receivedText().split("HTTP/1.1 " + status, -1).length - 1;
   }
 
   /** Returns all that was read, answer after answer. */
-  String answers() {
-    return answers.toString();
+  String receivedText() {
+    return receivedText.toString();
   }
 
-  boolean answered() {
-    return answers.length() > 0;
+  boolean hasResponse() {
+    return receivedText.length() > 0;
   }
 
-  boolean closed() {
-    return closed.future().isComplete();
+  boolean isClosed() {
+    return socketClosed.future().isComplete();
   }
 
   void awaitClosed() throws InterruptedException, ExecutionException, TimeoutException {
-    SmallCluster.await(closed.future());
+    SmallCluster.await(socketClosed.future());
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/node/ShutdownTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/ShutdownTest.java
@@ -16,7 +16,7 @@
 /** What callers see of an instance that ends gracefully. */
 class ShutdownTest {
 
-  private static final String STALLED = "Content-Length: 100\r\n\r\n{\"S";
+  private static final String STALLED_BODY = "Content-Length: 100\r\n\r\n{\"S";
 
   private static RawCaller caller(SmallCluster cluster, SmallCluster.Instance instance)
       throws Exception {
@@ -30,18 +30,18 @@
    * was read and never answered. The stalled caller learns that its request has not run.
    */
   @Test
-  void stalledBodyKeepsNoOtherConnectionOpen() throws Exception {
+  void stalledBodyDoesNotKeepOtherConnectionsOpen() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
-      RawCaller idle = caller(cluster, instance).askNowhere();
-      cluster.until(idle::answered);
+      RawCaller idle = caller(cluster, instance).requestUnknownQueue();
+      cluster.waitUntil(idle::hasResponse);
       RawCaller stalled = caller(cluster, instance);
-      stalled.write(RawCaller.head("POST", "5c0e7a21d94b36f1") + STALLED);
+      stalled.write(RawCaller.head("POST", "5c0e7a21d94b36f1") + STALLED_BODY);
       SmallCluster.await(cluster.leave(instance, 0));
       SmallCluster.await(instance.node().closeFront());
       idle.awaitClosed();
       stalled.awaitClosed();
-      assertThat(stalled.answers()).startsWith("HTTP/1.1 503").contains("Retry-After");
+      assertThat(stalled.receivedText()).startsWith("HTTP/1.1 503").contains("Retry-After");
     }
   }
 
@@ -52,16 +52,16 @@
    * the balancer sends no new ones.
    */
   @Test
-  void unusedConnectionsDoNotHoldUpTheEnd() throws Exception {
+  void unusedConnectionsDoNotDelayShutdown() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
-      RawCaller idle = caller(cluster, instance).askNowhere();
-      cluster.until(idle::answered);
+      RawCaller idle = caller(cluster, instance).requestUnknownQueue();
+      cluster.waitUntil(idle::hasResponse);
       final RawCaller neverUsed = caller(cluster, instance);
       cluster.leave(instance, TimeUnit.MINUTES.toMillis(1));
       idle.awaitClosed();
       neverUsed.awaitClosed();
-      cluster.until(() -> !instance.node().busy());
+      cluster.waitUntil(() -> !instance.node().hasConnections());
     }
   }
 
@@ -70,18 +70,18 @@
    * that overlooks the header does not send its next request on it.
    */
   @Test
-  void connectionIsClosedAfterTheAnswerThatSaysSo() throws Exception {
+  void connectionIsClosedAfterResponseAnnouncesIt() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
-      RawCaller earlier = caller(cluster, instance).askNowhere();
-      cluster.until(earlier::answered);
+      RawCaller earlier = caller(cluster, instance).requestUnknownQueue();
+      cluster.waitUntil(earlier::hasResponse);
       final RawCaller caller = caller(cluster, instance);
       cluster.leave(instance, TimeUnit.MINUTES.toMillis(1));
       // Requests are counted anew from the moment in which the front begins to send callers away.
-      cluster.until(() -> instance.node().drainReport().read() == 0);
-      caller.askNowhere();
+      cluster.waitUntil(() -> instance.node().drainReport().read() == 0);
+      caller.requestUnknownQueue();
       caller.awaitClosed();
-      assertThat(caller.answers()).startsWith("HTTP/1.1 404").containsIgnoringCase("close");
+      assertThat(caller.receivedText()).startsWith("HTTP/1.1 404").containsIgnoringCase("close");
     }
   }
 
@@ -93,14 +93,14 @@
    * connections whose submission it had read, and the submission was accepted ("queued").
    */
   @Test
-  void requestOfTheLastMomentIsAnsweredOrWasNotRead() throws Exception {
+  void requestDuringCloseIsAnsweredOrNotRead() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       final SmallCluster.Instance owner = cluster.start();
       SmallCluster.Instance instance = cluster.start();
       List<RawCaller> callers = new ArrayList<>();
       for (int index = 0; index < 60; index++) {
-        RawCaller caller = caller(cluster, instance).askNowhere();
-        cluster.until(caller::answered);
+        RawCaller caller = caller(cluster, instance).requestUnknownQueue();
+        cluster.waitUntil(caller::hasResponse);
         callers.add(caller);
       }
       SmallCluster.await(cluster.leave(instance, 500));
@@ -115,7 +115,7 @@
       cluster.kill(instance);
       for (int index = 0; index < callers.size(); index++) {
         callers.get(index).awaitClosed();
-        boolean answered = callers.get(index).answers().split("HTTP/1.1 ").length == 3;
+        boolean answered = callers.get(index).receivedText().split("HTTP/1.1 ").length == 3;
         String state = cluster.state(owner, "a%015x".formatted(index));
         assertThat(answered || state.equals("410")).as("caller %d, %s", index, state).isTrue();
       }
@@ -127,14 +127,14 @@
    * all and its connection stayed open; it learns that its request is malformed.
    */
   @Test
-  void malformedChunkIsAnswered() throws Exception {
+  void malformedChunkIsRejected() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       RawCaller caller = caller(cluster, instance);
       caller.write(RawCaller.head("POST", "5c0e7a21d94b36f2") + "Transfer-Encoding: chunked\r\n");
       caller.write("\r\nno-number\r\n{}\r\n");
       caller.awaitClosed();
-      assertThat(caller.answers()).startsWith("HTTP/1.1 400");
+      assertThat(caller.receivedText()).startsWith("HTTP/1.1 400");
     }
   }
 
@@ -143,7 +143,7 @@
    * could end the process. It is refused beyond the size that a body may have.
    */
   @Test
-  void endlessBodyIsRefused() throws Exception {
+  void oversizedChunkedBodyIsRejected() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       RawCaller caller = caller(cluster, instance);
@@ -153,8 +153,8 @@
       for (int index = 0; index < 5; index++) {
         caller.write(chunk);
       }
-      cluster.until(caller::answered);
-      assertThat(caller.answers()).startsWith("HTTP/1.1 413").contains("262144");
+      cluster.waitUntil(caller::hasResponse);
+      assertThat(caller.receivedText()).startsWith("HTTP/1.1 413").contains("262144");
     }
   }
 
@@ -163,14 +163,14 @@
    * stay open for good; it ends when the time is over that the caller said it would wait.
    */
   @Test
-  void stalledBodyEndsWithTheCallersTime() throws Exception {
+  void stalledBodyTimesOutAtCallerDeadline() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       RawCaller caller = caller(cluster, instance);
       String deadline = "Hickorypier-Deadline-Ms: 200\r\n";
-      caller.write(RawCaller.head("POST", "5c0e7a21d94b36f4") + deadline + STALLED);
+      caller.write(RawCaller.head("POST", "5c0e7a21d94b36f4") + deadline + STALLED_BODY);
       caller.awaitClosed();
-      assertThat(caller.answers()).startsWith("HTTP/1.1 408");
+      assertThat(caller.receivedText()).startsWith("HTTP/1.1 408");
     }
   }
 
@@ -180,14 +180,14 @@
    * them. Nothing of it starts.
    */
   @Test
-  void instanceToldToEndBeforeItsStartTakesNoCallers() throws Exception {
+  void instanceStoppedBeforeStartAcceptsNoCallers() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       Node node = cluster.newNode();
       SmallCluster.await(node.leave(null, System.nanoTime()));
       assertThat(cluster.vertx.deployVerticle(node).toCompletionStage())
           .failsWithin(20, TimeUnit.SECONDS);
       assertThat(node.drainReport()).isEqualTo(DrainReport.NONE);
-      assertThat(node.callersGone().isComplete()).isTrue();
+      assertThat(node.callersDisconnected().isComplete()).isTrue();
     }
   }
 
@@ -196,20 +196,20 @@
    * nothing of it. Its first answer closes the connection, and the end waits for no other caller.
    */
   @Test
-  void instanceToldToEndWhileItStartsSendsItsCallersAway() throws Exception {
+  void instanceStoppedDuringStartDrainsCallers() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       NodeSettings settings = cluster.settings(Strength.UNKNOWN);
       Node node = cluster.newNode(settings);
       var deployed = cluster.vertx.deployVerticle(node);
-      cluster.until(() -> node.controlContext() != null);
+      cluster.waitUntil(() -> node.controlContext() != null);
       node.leave(node.controlContext(), System.nanoTime() + TimeUnit.MINUTES.toNanos(1));
       if (SmallCluster.await(deployed.otherwise("")).isEmpty()) {
         return;
       }
-      RawCaller caller = new RawCaller(cluster.connect(settings.front())).askNowhere();
+      RawCaller caller = new RawCaller(cluster.connect(settings.front())).requestUnknownQueue();
       caller.awaitClosed();
-      assertThat(caller.answers()).startsWith("HTTP/1.1 ").containsIgnoringCase("close");
-      SmallCluster.await(node.callersGone());
+      assertThat(caller.receivedText()).startsWith("HTTP/1.1 ").containsIgnoringCase("close");
+      SmallCluster.await(node.callersDisconnected());
     }
   }
 
@@ -220,21 +220,21 @@
    * "given-up", reason "no owner", "ownerless_ms" 4401 some 10 ms after "owner-lost".
    */
   @Test
-  void requestWaitsAtTheFormerOwnerForItsSuccessor() throws Exception {
+  void requestAtFormerOwnerWaitsForSuccessor() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance owner = cluster.start();
       long gained = System.nanoTime();
-      cluster.until(() -> System.nanoTime() - gained > TimeUnit.MILLISECONDS.toNanos(1_900));
+      cluster.waitUntil(() -> System.nanoTime() - gained > TimeUnit.MILLISECONDS.toNanos(1_900));
       cluster.leave(owner, TimeUnit.MINUTES.toMillis(1));
-      owner.node().abdicate();
-      cluster.until(() -> cluster.told(owner, "owner-lost"));
+      owner.node().stepDown();
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "owner-lost"));
       String deadline = "Hickorypier-Deadline-Ms: 20000\r\n\r\n";
       RawCaller caller = caller(cluster, owner);
       caller.write(RawCaller.head("GET", "5c0e7a21d94b36f5") + deadline);
-      SmallCluster.Instance successor = cluster.startUnowned(Strength.UNKNOWN);
-      cluster.until(() -> cluster.told(successor, "owner-gained"));
-      cluster.until(caller::answered);
-      assertThat(caller.answers()).startsWith("HTTP/1.1 410");
+      SmallCluster.Instance successor = cluster.startWithoutOwner(Strength.UNKNOWN);
+      cluster.waitUntil(() -> cluster.hasLogged(successor, "owner-gained"));
+      cluster.waitUntil(caller::hasResponse);
+      assertThat(caller.receivedText()).startsWith("HTTP/1.1 410");
     }
   }
 
@@ -244,19 +244,19 @@
    * came back, though the owner lived on for seconds. It goes on serving until one has come back.
    */
   @Test
-  void ownerWithoutSuccessorServesUntilOneComes() throws Exception {
+  void stoppingOwnerServesUntilSuccessorStarts() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance owner = cluster.start();
       SmallCluster.Instance other = cluster.start();
       cluster.leave(other, TimeUnit.MINUTES.toMillis(1));
-      cluster.until(() -> !cluster.ready(other));
+      cluster.waitUntil(() -> !cluster.ready(other));
       final Future<Void> left = cluster.leave(owner, TimeUnit.MINUTES.toMillis(1));
-      cluster.until(() -> cluster.told(owner, "handover"));
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "handover"));
       assertThat(cluster.submit(owner, "5c0e7a21d94b36f6", 1).status()).isEqualTo(200);
-      SmallCluster.Instance back = cluster.startUnowned(Strength.UNKNOWN);
-      cluster.until(() -> cluster.told(back, "owner-gained"));
+      SmallCluster.Instance back = cluster.startWithoutOwner(Strength.UNKNOWN);
+      cluster.waitUntil(() -> cluster.hasLogged(back, "owner-gained"));
       SmallCluster.await(left);
-      cluster.until(() -> cluster.state(back, "5c0e7a21d94b36f6").equals("completed"));
+      cluster.waitUntil(() -> cluster.state(back, "5c0e7a21d94b36f6").equals("completed"));
     }
   }
 
@@ -266,22 +266,22 @@
    * was, for nine seconds of one play. It becomes the owner and hands over in its turn.
    */
   @Test
-  void instanceToldToEndInItsTakeoverBecomesTheOwnerAndHandsOver() throws Exception {
+  void instanceStoppedDuringTakeoverBecomesOwnerAndHandsOver() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance owner = cluster.start();
       SmallCluster.Instance second = cluster.start();
       cluster.log =
           (part, event, fields) -> {
-            if (event.equals("taking-over") && !second.node().stopping()) {
+            if (event.equals("taking-over") && !second.node().isStopping()) {
               cluster.leave(second, TimeUnit.MINUTES.toMillis(1));
             }
           };
       cluster.leave(owner, TimeUnit.MINUTES.toMillis(1));
-      cluster.until(() -> cluster.told(second, "owner-gained"));
+      cluster.waitUntil(() -> cluster.hasLogged(second, "owner-gained"));
       assertThat(cluster.submit(second, "5c0e7a21d94b36f7", 1).status()).isEqualTo(200);
-      SmallCluster.Instance back = cluster.startUnowned(Strength.UNKNOWN);
-      cluster.until(() -> cluster.told(back, "owner-gained"));
-      cluster.until(() -> cluster.state(back, "5c0e7a21d94b36f7").equals("completed"));
+      SmallCluster.Instance back = cluster.startWithoutOwner(Strength.UNKNOWN);
+      cluster.waitUntil(() -> cluster.hasLogged(back, "owner-gained"));
+      cluster.waitUntil(() -> cluster.state(back, "5c0e7a21d94b36f7").equals("completed"));
     }
   }
 
@@ -291,7 +291,7 @@
    * seconds ("owner-suspected", silent 220 to 490 ms). It goes to the quick one.
    */
   @Test
-  void cellIsNotHandedToSlowInstance() throws Exception {
+  void cellIsNotHandedOverToSlowInstance() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       cluster.workNanos = 20_000;
       final SmallCluster.Instance owner = cluster.start();
@@ -299,8 +299,8 @@
       cluster.workNanos = 100_000;
       final SmallCluster.Instance slow = cluster.start();
       SmallCluster.await(cluster.leave(owner, TimeUnit.MINUTES.toMillis(1)));
-      cluster.until(() -> cluster.told(quick, "owner-gained"));
-      assertThat(cluster.told(slow, "taking-over")).isFalse();
+      cluster.waitUntil(() -> cluster.hasLogged(quick, "owner-gained"));
+      assertThat(cluster.hasLogged(slow, "taking-over")).isFalse();
     }
   }
 
@@ -313,7 +313,7 @@
    * the others for the sake of the successor, waited in vain for three seconds ("alone").
    */
   @Test
-  void successorFindsTheJournalAtRest() throws Exception {
+  void ownerPausesWritingDuringHandover() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       final SmallCluster.Instance owner = cluster.start();
       final SmallCluster.Instance successor = cluster.start();
@@ -331,18 +331,18 @@
               });
       // Calls to the store take their time, so that appends come between its answers.
       cluster.storeServer.gate().plan(new FaultPlan("", Fault.NONE, -1, 10));
-      cluster.until(() -> submitted.get() > 100);
+      cluster.waitUntil(() -> submitted.get() > 100);
       SmallCluster.await(cluster.leave(owner, TimeUnit.MINUTES.toMillis(1)));
-      cluster.until(() -> cluster.told(successor, "owner-gained"));
-      assertThat(cluster.told(successor, "owner-gained [epoch, 2,")).isTrue();
+      cluster.waitUntil(() -> cluster.hasLogged(successor, "owner-gained"));
+      assertThat(cluster.hasLogged(successor, "owner-gained [epoch, 2,")).isTrue();
       assertThat(cluster.eventsSince("instance-1 ownership taking-over"))
           .noneMatch(event -> event.startsWith("instance-0 run ordered"));
       cluster.vertx.cancelTimer(load);
       // A cluster that is taken down under load can hang: its clients refuse calls by throwing.
-      cluster.until(
-          () -> callers.stream().mapToInt(RawCaller::answerCount).sum() == submitted.get());
-      long accepted = callers.stream().mapToLong(each -> each.answerCount("200 OK")).sum();
-      cluster.until(() -> cluster.starts().size() >= accepted);
+      cluster.waitUntil(
+          () -> callers.stream().mapToInt(RawCaller::responseCount).sum() == submitted.get());
+      long accepted = callers.stream().mapToLong(each -> each.responseCount("200 OK")).sum();
+      cluster.waitUntil(() -> cluster.starts().size() >= accepted);
     }
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
@@ -54,10 +54,10 @@
   static final String HOST = "queue.example";
   static final String PREFIX = "/queue/";
   static final String KEY = "key-of-the-customer";
-  private static final long MOST_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
 
   final Vertx vertx = Vertx.vertx();
-  final InMemoryStore store = new InMemoryStore(4, SmallCluster::now);
+  final InMemoryStore store = new InMemoryStore(4, SmallCluster::nowMillis);
   private final StandInOperator operator =
       new StandInOperator(
           store, HOST, PREFIX, new QueueTerms("q", "service", 0, 3, 2, 1_000, Optional.empty()));
@@ -67,7 +67,7 @@
   private final List<HttpServer> workerListeners = new ArrayList<>();
   final List<Instance> instances = new ArrayList<>();
   final List<String> events = java.util.Collections.synchronizedList(new ArrayList<>());
-  private final HttpCalls calls = new HttpCalls(vertx, 20);
+  private final HttpCalls httpCalls = new HttpCalls(vertx, 20);
   private final ServiceAddress storeAddress;
   EventLog log = (part, event, fields) -> {};
   Runnable onClose = () -> {};
@@ -84,50 +84,51 @@
   SmallCluster(int workerCount, long workMillis) throws Exception {
     storeAddress = address(await(storeServer.listen(0)));
     for (int index = 0; index < workerCount; index++) {
-      long started = now();
+      long started = nowMillis();
       InMemoryExecutor worker =
           new InMemoryExecutor(
               "w" + index,
               System.currentTimeMillis(),
               Workload.steady(workMillis),
               RunObserver.NONE,
-              () -> now() - started,
+              () -> nowMillis() - started,
               (millis, task) -> vertx.setTimer(Math.max(1, millis), id -> task.run()));
       ExecutorServer server = new ExecutorServer(vertx, worker);
       HttpServer listener = await(server.listen(0));
       workers.add(worker);
       workerServers.add(server);
       workerListeners.add(listener);
-      list(index, entry(index));
+      putWorkerEntry(index, workerEntry(index));
     }
     configure(KEY);
   }
 
-  private JsonObject entry(int worker) {
+  private JsonObject workerEntry(int worker) {
     return workers.get(worker).entry("service", "" + address(workerListeners.get(worker)));
   }
 
-  private void list(int worker, JsonObject entry) {
+  private void putWorkerEntry(int worker, JsonObject entry) {
     store.put("keyed.servers", workers.get(worker).id(), entry.toBuffer().getBytes());
   }
 
   /** Lets a worker say that it drains. */
   void drain(int worker, long remainingMillis) {
-    list(worker, entry(worker).put("State", "draining").put("RemainingMs", remainingMillis));
+    putWorkerEntry(
+        worker, workerEntry(worker).put("State", "draining").put("RemainingMs", remainingMillis));
   }
 
   /** Takes a worker away for good: what runs there ends. */
-  void depart(int worker) throws Exception {
+  void removeWorker(int worker) throws Exception {
     await(workerListeners.get(worker).close());
     workers.get(worker).crash();
   }
 
   /** Removes a worker's entry. */
-  void unlist(int worker) {
+  void deleteWorkerEntry(int worker) {
     store.put("keyed.servers", workers.get(worker).id(), null);
   }
 
-  private static long now() {
+  private static long nowMillis() {
     return System.nanoTime() / 1_000_000;
   }
 
@@ -175,7 +176,7 @@
   }
 
   /** Puts an owner in place that takes connections and answers nothing. */
-  void standStillOwner() throws Exception {
+  void installUnresponsiveOwner() throws Exception {
     NetServer silent =
         await(
             vertx
@@ -204,7 +205,7 @@
   }
 
   private void write(String topic, String key, byte[] value, int epoch) throws Exception {
-    StoreClient client = new StoreClient(calls, storeAddress);
+    StoreClient client = new StoreClient(httpCalls, storeAddress);
     List<KeyedRecord> records = List.of(new KeyedRecord(key, value));
     await(client.append(new Append(topic, 0, records, OptionalLong.empty(), "owner", epoch, 1)));
   }
@@ -214,19 +215,19 @@
   }
 
   Instance start(Strength strength) throws Exception {
-    Instance instance = startUnowned(strength);
+    Instance instance = startWithoutOwner(strength);
     // An instance is ready for up to 3 s without an owner, and may refuse meanwhile.
-    until(() -> instances.stream().anyMatch(each -> told(each, "owner-gained")));
+    waitUntil(() -> instances.stream().anyMatch(each -> hasLogged(each, "owner-gained")));
     return instance;
   }
 
   /** Starts an instance without waiting for an owner. */
-  Instance startUnowned(Strength strength) throws Exception {
+  Instance startWithoutOwner(Strength strength) throws Exception {
     NodeSettings settings = settings(strength);
     Node node = newNode(settings);
     Instance instance = new Instance(settings, node, await(vertx.deployVerticle(node)));
     instances.add(instance);
-    until(() -> ready(instance));
+    waitUntil(() -> ready(instance));
     return instance;
   }
 
@@ -249,7 +250,7 @@
   }
 
   /** Tells whether an instance has logged an event. */
-  boolean told(Instance instance, String event) {
+  boolean hasLogged(Instance instance, String event) {
     synchronized (events) {
       return events.stream()
           .anyMatch(line -> line.startsWith(instance.settings().name()) && line.contains(event));
@@ -257,7 +258,7 @@
   }
 
   /** Returns for how long an instance has said that long waiting steps wait for a worker yet. */
-  List<Long> waitsForWorker(Instance instance, String worker) {
+  List<Long> loggedWorkerWaitsMillis(Instance instance, String worker) {
     Pattern figure = Pattern.compile(" step-waits .* " + worker + " for (\\d+) ms");
     synchronized (events) {
       return events.stream()
@@ -302,7 +303,7 @@
   }
 
   /** Hands in one task that lasts. */
-  HttpReply submitLasting(Instance instance, String id) {
+  HttpReply submitPersistent(Instance instance, String id) {
     return submit(instance, id, step(1).put("Persistent", true));
   }
 
@@ -325,7 +326,7 @@
     Map<String, String> headers = Map.of("Host", HOST, "Authorization", "Bearer " + KEY);
     try {
       return await(
-          calls
+          httpCalls
               .call(address, method, path, headers, body, 5_000)
               .otherwise(new HttpReply(0, Buffer.buffer())));
     } catch (InterruptedException | ExecutionException | TimeoutException error) {
@@ -345,8 +346,8 @@
   }
 
   /** Waits for a condition; the test fails if it does not come about. */
-  void until(BooleanSupplier condition) throws InterruptedException {
-    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_SECONDS);
+  void waitUntil(BooleanSupplier condition) throws InterruptedException {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadline) {
         throw new AssertionError("the condition did not come about; events: " + events);
@@ -357,7 +358,7 @@
 
   static <T> T await(Future<T> future)
       throws InterruptedException, ExecutionException, TimeoutException {
-    return future.toCompletionStage().toCompletableFuture().get(MOST_SECONDS, TimeUnit.SECONDS);
+    return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @Override
--- a/daemon/src/test/java/org/hickorypier/daemon/node/SuccessorTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/SuccessorTest.java
@@ -21,19 +21,19 @@
    * 2 s.
    */
   @Test
-  void instanceThatTheRestartHasPassedComesFirst() {
+  void mostRecentlyStartedInstanceComesFirst() {
     Successor old = instance(750, -60_000);
     Successor passedFirst = instance(750, 2_000);
     Successor passedLast = instance(750, 4_000);
-    assertThat(List.of(old, passedFirst, passedLast).stream().sorted(Successor.ORDER))
+    assertThat(List.of(old, passedFirst, passedLast).stream().sorted(Successor.PREFERENCE_ORDER))
         .containsExactly(passedLast, passedFirst, old);
   }
 
   @Test
-  void strongerMachineComesFirstWhateverItsAge() {
+  void strongerMachineComesFirstRegardlessOfStartTime() {
     Successor weak = instance(360, 4_000);
     Successor strong = instance(1_500, -60_000);
-    assertThat(List.of(weak, strong).stream().sorted(Successor.ORDER))
+    assertThat(List.of(weak, strong).stream().sorted(Successor.PREFERENCE_ORDER))
         .containsExactly(strong, weak);
   }
 
@@ -43,26 +43,26 @@
    * two seconds, and callers waited through the next takeover.
    */
   @Test
-  void slowMachineComesLastThoughItWasStartedLast() {
+  void slowMachineComesLastEvenIfStartedLast() {
     Successor slow = quick(4_000, 95);
-    Successor silent = quick(5_000, Successor.NO_ANSWER);
+    Successor silent = quick(5_000, Successor.NO_ANSWER_MICROS);
     Successor quick = quick(-60_000, 19);
     Successor restarted = quick(2_000, 57);
-    assertThat(Successor.ordered(List.of(slow, silent, quick, restarted)))
+    assertThat(Successor.sortedByPreference(List.of(slow, silent, quick, restarted)))
         .containsExactly(restarted, quick, silent, slow);
   }
 
   @Test
-  void nobodyIsSlowWhereAllTakeAsLong() {
+  void instancesOfSimilarSpeedAreNotTreatedAsSlow() {
     Successor old = quick(-60_000, 100);
     Successor young = quick(2_000, 120);
-    assertThat(Successor.ordered(List.of(old, young))).containsExactly(young, old);
+    assertThat(Successor.sortedByPreference(List.of(old, young))).containsExactly(young, old);
   }
 
   @Test
-  void withoutAnyAnswerTheUsualOrderHolds() {
-    Successor old = quick(-60_000, Successor.NO_ANSWER);
-    Successor young = quick(2_000, Successor.NO_ANSWER);
-    assertThat(Successor.ordered(List.of(old, young))).containsExactly(young, old);
+  void instancesWithoutMeasurementAreOrderedByPreference() {
+    Successor old = quick(-60_000, Successor.NO_ANSWER_MICROS);
+    Successor young = quick(2_000, Successor.NO_ANSWER_MICROS);
+    assertThat(Successor.sortedByPreference(List.of(old, young))).containsExactly(young, old);
   }
 }
