--- a/daemon/src/main/java/org/hickorypier/daemon/node/GracefulShutdown.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/GracefulShutdown.java
@@ -7,24 +7,27 @@
 import org.hickorypier.daemon.front.DrainReport;
 
 /**
- * The end of a process: the cell is handed over, the callers are sent away, what they still ask is
- * answered.
+ * Shuts an instance down gracefully: hands the cell over and drains the callers' connections, while
+ * requests that still arrive are answered.
  *
- * <p>Invariant: it is over before the platform kills the process, whatever hangs. Runs on a thread
- * of its own, the process's shutdown hook; a second signal changes nothing, since the runtime runs
- * its hooks once.
+ * <p>Invariant: the shutdown finishes before the platform kills the process, even if a step hangs.
+ * Confined to the thread of the process's shutdown hook; a second signal has no effect, since the
+ * runtime runs its hooks once.
  */
 final class GracefulShutdown {
 
   private static final String PART = "node";
 
-  /** Left of the time to end for the last connections, the log and the runtime itself. */
+  /** Part of the grace period kept for the last connections, the log and the runtime's exit. */
   private static final long EXIT_RESERVE_MILLIS = 900;
 
-  /** Of the reserve; the log takes 100 ms at most, and a slow machine all else. */
+  /**
+   * Part of the reserve for closing connections. Of what remains the log takes at most 100 ms, and
+   * the rest is margin for a slow machine.
+   */
   private static final long CLOSE_TIMEOUT_MILLIS = 600;
 
-  /** Of the reserve; it is done in one turn of the control thread. */
+  /** Part of the reserve. Stepping down takes one task of the control thread. */
   private static final long STEP_DOWN_TIMEOUT_MILLIS = 50;
 
   private final Node node;
@@ -38,43 +41,50 @@
     this.log = log;
   }
 
-  /** Runs until the callers have gone, or the time that a process has to end is nearly over. */
+  /**
+   * Blocks until the callers have disconnected and their server is closed, or the grace period,
+   * less the time that the log and the runtime's exit take, has passed.
+   */
   void run() {
-    DrainReport before = node.drainReport();
+    DrainReport initialReport = node.drainReport();
     log.event(
         PART,
         "stopping",
         "grace_ms",
         graceMillis,
         "connections",
-        before.connections(),
+        initialReport.connections(),
         "open",
-        before.open());
-    long most = Math.max(0, graceMillis - EXIT_RESERVE_MILLIS);
-    long endsAt = startNanos + TimeUnit.MILLISECONDS.toNanos(most);
-    Future<Void> left = node.leave(node.controlContext(), endsAt);
-    boolean cellLeft = await(left, most);
-    long cellLeftMillis = elapsedMillis();
-    boolean callersGone = await(node.callersDisconnected(), most - elapsedMillis());
+        initialReport.open());
+    long drainMillis = Math.max(0, graceMillis - EXIT_RESERVE_MILLIS);
+    long drainDeadlineNanos = startNanos + TimeUnit.MILLISECONDS.toNanos(drainMillis);
+    Future<Void> handover = node.leave(node.controlContext(), drainDeadlineNanos);
+    boolean cellHandedOver = await(handover, drainMillis);
+    long handoverMillis = elapsedMillis();
+    boolean callersDrained = await(node.callersDisconnected(), drainMillis - elapsedMillis());
     logProgress(
-        "stopped", "cell_left_ms", cellLeft ? cellLeftMillis : -1, "callers_gone", callersGone);
+        "stopped",
+        "cell_left_ms",
+        cellHandedOver ? handoverMillis : -1,
+        "callers_gone",
+        callersDrained);
     boolean closed = await(node.closeFront(), CLOSE_TIMEOUT_MILLIS);
     await(node.stepDown(), STEP_DOWN_TIMEOUT_MILLIS);
     logProgress("closed", "in_time", closed, "grace_ms", graceMillis);
   }
 
   private void logProgress(
-      String event, String name, Object value, String other, Object otherValue) {
+      String event, String field, Object value, String secondField, Object secondValue) {
     DrainReport report = node.drainReport();
     log.event(
         PART,
         event,
         "after_ms",
         elapsedMillis(),
-        name,
+        field,
         value,
-        other,
-        otherValue,
+        secondField,
+        secondValue,
         "connections",
         report.connections(),
         "open",
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Handover.java
@@ -19,13 +19,15 @@
 import org.hickorypier.daemon.time.TimerService;
 
 /**
- * Gives the cell to another instance when this one ends, or when the store refuses it.
+ * Hands the cell over to another instance when this one shuts down, when the store is unavailable
+ * to it, or when its machine has become slow.
  *
- * <p>Failure: the owner ends while all others are being restarted, or ends in its very takeover.
- * Symptom: the cell has no owner until an instance comes back, and no caller is served. Safeguard:
- * an owner that ends goes on as the owner until another has taken over, and asks each instance that
- * comes. It is enough because the claim of the successor, not the resignation of the predecessor,
- * passes the cell on. Belongs to the control thread.
+ * <p>If the owner shuts down while all other instances are being restarted, or during its own
+ * takeover, giving up the cell at once would leave it without an owner until an instance comes
+ * back, and no caller would be served. Therefore an owner that shuts down remains the owner until
+ * another instance has taken over, and asks every instance that connects. This is sufficient
+ * because the claim of the successor, not the resignation of the predecessor, transfers the cell.
+ * Confined to the control thread.
  */
 final class Handover {
 
@@ -34,40 +36,50 @@
   private static final Duration CHECK_PERIOD = Duration.ofMillis(100);
 
   /**
-   * Instances that a refused owner asks in a row. Where the store serves two thirds of the
-   * machines, three find one of those 24 times in 25; where it is away for all, every further
-   * question only adds to its load.
+   * Number of instances that an owner without a store asks in one round. If the store serves two
+   * thirds of the machines, three instances include one of those in 24 of 25 cases; if the store is
+   * unavailable to all, every further request only adds to its load.
    */
   private static final int CANDIDATES_PER_ROUND = 3;
 
-  /** Pause after so many, in milliseconds; the store is back in seconds if it is away for all. */
+  /**
+   * Time between two rounds, in milliseconds. A store that is unavailable to all instances is back
+   * within seconds.
+   */
   private static final long ROUND_INTERVAL_MILLIS = 300;
 
-  /** One refused or lost append is repeated; after this time it is no chance any more. */
+  /**
+   * Time without a successful append after which the store counts as unavailable. A single refused
+   * or lost append is retried; a failure that lasts this long is not a coincidence.
+   */
   private static final long STORE_UNAVAILABLE_MILLIS = 150;
 
-  /** An instance that did not take over may be taking over already, or the store refuses it. */
+  /**
+   * Time before an instance that did not take over is asked again. It may already be taking over,
+   * or the store may refuse it.
+   */
   private static final long REPEAT_REQUEST_DELAY_MILLIS = 500;
 
-  /** A successor's first orders reach the workers, and its record the store, within this time. */
+  /** Within this time a successor's first orders reach the workers, and its record the store. */
   private static final Duration FENCE_DELAY = Duration.ofMillis(300);
 
-  /** Reading the journal and writing the owner record takes some 100 ms on a busy machine. */
+  /** Reading the journal and writing the owner record take about 100 ms on a busy machine. */
   private static final long TAKE_OVER_TIMEOUT_MILLIS = 900;
 
   /**
-   * A quick successor reads the journal and claims the cell within some 50 ms, one that finds much
-   * to read within 100; callers that hand something in wait for it.
+   * Longest time for which this owner stops writing during a takeover request. A fast successor
+   * reads the journal and claims the cell within about 50 ms, one with much to read within 100 ms;
+   * callers that submit work wait meanwhile.
    */
   private static final long WRITE_PAUSE_MILLIS = 250;
 
-  /** Most instances answer within 10 ms; one that takes longer than this is no good successor. */
+  /** Most instances answer within 10 ms; one that takes longer than this is a poor successor. */
   private static final Duration MEASUREMENT_TIMEOUT = Duration.ofMillis(60);
 
-  /** A slowed owner looks for a quicker one at most so often, in milliseconds. */
+  /** Minimum time between two searches of a slowed owner for a faster instance. */
   private static final long SPEED_HANDOVER_INTERVAL_MILLIS = 3_000;
 
-  /** A successor has to be so much quicker than this instance to be worth the pause. */
+  /** Factor by which a successor must be faster than this instance to justify the pause. */
   private static final int MIN_SPEED_RATIO = 2;
 
   private final Ownership ownership;
@@ -79,8 +91,9 @@
   private boolean handingOver;
 
   /**
-   * An owner that the store refuses does not rest: it writes nothing anyway, and where the store is
-   * away for all, nobody takes over and what was accepted has to go on.
+   * Whether writing is paused for a takeover request. An owner without a store does not pause: it
+   * writes nothing anyway, and if the store is unavailable to all instances, nobody takes over and
+   * accepted work has to go on.
    */
   private boolean writingPaused;
 
@@ -88,9 +101,10 @@
   private long nextSpeedHandoverAtMillis;
   private int rotationOffset;
 
-  Handover(Ownership ownership, ProcessorSpeedMonitor pace, TimerService timers, EventLog log) {
+  Handover(
+      Ownership ownership, ProcessorSpeedMonitor speedMonitor, TimerService timers, EventLog log) {
     this.ownership = ownership;
-    this.speedMonitor = pace;
+    this.speedMonitor = speedMonitor;
     this.timers = timers;
     this.log = log;
   }
@@ -99,7 +113,7 @@
     timers.every(CHECK_PERIOD, this::checkHandover);
   }
 
-  /** Takes notice of an instance that has opened a link to this one. */
+  /** Adds an instance that has opened a link to this one. */
   Peer addPeer(Link link, String address) {
     Peer peer = new Peer(link, address);
     peers.add(peer);
@@ -111,15 +125,16 @@
   }
 
   /**
-   * Begins to look for a successor, since the process ends.
+   * Starts to search for a successor, since the process is about to exit.
    *
-   * @param leftMillis the time until then, in milliseconds
-   * @return done when this instance neither owns the cell nor is about to, or that time is over
+   * @param timeoutMillis the time until the process exits, in milliseconds
+   * @return completes when this instance neither owns the cell nor is taking it over, or after the
+   *     timeout
    */
-  Future<Void> leave(long leftMillis) {
+  Future<Void> leave(long timeoutMillis) {
     if (leavePromise == null) {
       leavePromise = Promise.promise();
-      timers.after(Duration.ofMillis(leftMillis), leavePromise::tryComplete);
+      timers.after(Duration.ofMillis(timeoutMillis), leavePromise::tryComplete);
       ownership.leave().onComplete(written -> checkHandover());
     }
     return leavePromise.future();
@@ -141,9 +156,10 @@
   }
 
   /**
-   * Load: the owner's machine turns several times slower and goes on answering. Harm prevented: it
-   * falls behind with all starts of the cell until the others suspect it, and a suspicion that its
-   * late answers allay does so again and again. The pause of one handover is shorter.
+   * Hands the cell over if another instance is much faster. An owner whose machine becomes several
+   * times slower but still answers falls behind with all starts of the cell until the others
+   * suspect it; its late answers clear the suspicion again and again. One handover causes a shorter
+   * pause.
    */
   private void handOverToFasterInstance() {
     nextSpeedHandoverAtMillis = timers.nowMillis() + SPEED_HANDOVER_INTERVAL_MILLIS;
@@ -168,8 +184,8 @@
               all -> all,
               () -> true)
           .onSuccess(
-              taken -> {
-                // An owner that has learnt of its successor has nothing more to give up.
+              takenOver -> {
+                // An owner that has learned of its successor has already given the cell up.
                 if (ownership.isSafeToShutDown()) {
                   leavePromise.tryComplete();
                 }
@@ -177,7 +193,7 @@
     }
   }
 
-  /** The store may refuse this machine and serve the others: another instance should try. */
+  /** Asks other instances to take over, since the store may refuse only this machine. */
   private void handOverIfStoreUnavailable() {
     if (!isStoreUnavailable()) {
       rotationOffset = 0;
@@ -198,34 +214,34 @@
   }
 
   /**
-   * Asks instances how quick they are, and then one after another to take over.
+   * Measures the speed of instances, and then asks them one after another to take over.
    *
-   * @param eligible which instances to ask
-   * @param chosen chooses among them, which come the best first
-   * @param wanted tells whether a successor is still wanted
-   * @return whether one has said that it has taken over
+   * @param eligible selects the instances to measure
+   * @param selection selects candidates from a list with the preferred instance first
+   * @param stillNeeded tells whether a successor is still needed
+   * @return whether an instance has confirmed that it has taken over
    */
   private Future<Boolean> findSuccessor(
-      Predicate<Peer> eligible, UnaryOperator<List<Peer>> chosen, BooleanSupplier wanted) {
-    List<Peer> due = peers.stream().filter(eligible).toList();
-    if (due.isEmpty()) {
+      Predicate<Peer> eligible, UnaryOperator<List<Peer>> selection, BooleanSupplier stillNeeded) {
+    List<Peer> asked = peers.stream().filter(eligible).toList();
+    if (asked.isEmpty()) {
       return Future.succeededFuture(false);
     }
     handingOver = true;
-    return measureSpeeds(due)
-        .compose(measured -> handOver(chosen.apply(sortedByPreference(due)), wanted));
+    return measureSpeeds(asked)
+        .compose(measured -> handOver(selection.apply(sortedByPreference(asked)), stillNeeded));
   }
 
-  private static List<Peer> sortedByPreference(List<Peer> due) {
-    return Successor.sortedByPreference(due.stream().map(Peer::asSuccessor).toList()).stream()
+  private static List<Peer> sortedByPreference(List<Peer> asked) {
+    return Successor.sortedByPreference(asked.stream().map(Peer::asSuccessor).toList()).stream()
         .map(Successor::peer)
         .collect(Collectors.toCollection(ArrayList::new));
   }
 
-  private Future<Void> measureSpeeds(List<Peer> due) {
+  private Future<Void> measureSpeeds(List<Peer> asked) {
     Promise<Void> measured = Promise.promise();
     List<Future<LinkReply>> replies = new ArrayList<>();
-    for (Peer peer : due) {
+    for (Peer peer : asked) {
       peer.recordMeasurement(Successor.NO_ANSWER_MICROS);
       replies.add(
           peer.link()
@@ -244,14 +260,14 @@
   }
 
   /**
-   * Asks one instance after another to take over, until one has.
+   * Asks one instance after another to take over, until one has done so.
    *
    * @param candidates the instances, in order
-   * @param wanted tells whether a successor is still wanted
-   * @return whether one has said that it has taken over
+   * @param stillNeeded tells whether a successor is still needed
+   * @return whether an instance has confirmed that it has taken over
    */
-  private Future<Boolean> handOver(List<Peer> candidates, BooleanSupplier wanted) {
-    if (candidates.isEmpty() || !ownership.isOwner() || !wanted.getAsBoolean()) {
+  private Future<Boolean> handOver(List<Peer> candidates, BooleanSupplier stillNeeded) {
+    if (candidates.isEmpty() || !ownership.isOwner() || !stillNeeded.getAsBoolean()) {
       handingOver = false;
       return Future.succeededFuture(false);
     }
@@ -264,12 +280,17 @@
     }
     return next.link()
         .ask(new LinkRequest.TakeOver(), TAKE_OVER_TIMEOUT_MILLIS)
-        .transform((reply, error) -> handleTakeOverReply(next, reply, error, candidates, wanted));
+        .transform(
+            (reply, error) -> handleTakeOverReply(next, reply, error, candidates, stillNeeded));
   }
 
   private Future<Boolean> handleTakeOverReply(
-      Peer next, LinkReply reply, Throwable error, List<Peer> candidates, BooleanSupplier wanted) {
-    boolean taken = reply instanceof LinkReply.Noted;
+      Peer next,
+      LinkReply reply,
+      Throwable error,
+      List<Peer> candidates,
+      BooleanSupplier stillNeeded) {
+    boolean takenOver = reply instanceof LinkReply.Noted;
     log.event(
         PART,
         "handover",
@@ -278,30 +299,31 @@
         "work_us",
         next.asSuccessor().workMicros(),
         "taken",
-        taken,
+        takenOver,
         "answered",
         error == null,
         "left",
         candidates.size());
-    if (taken) {
+    if (takenOver) {
       handingOver = false;
       ownership.completeHandover();
       return Future.succeededFuture(true);
     }
     if (error != null) {
-      // An instance that has taken over closes its link to the former owner, often before its
-      // reply. The next append tells so in a moment; asking the next one would make two.
+      // An instance that has taken over closes its link to the former owner, often before its reply
+      // is sent. The next append shows soon whether it has; asking another instance at once could
+      // produce two takeovers.
       resumeWriting(FENCE_DELAY.toMillis());
-      return awaitFenceDelay().compose(paused -> handOver(candidates, wanted));
+      return awaitFenceDelay().compose(paused -> handOver(candidates, stillNeeded));
     }
     resumeWriting(0);
-    return handOver(candidates, wanted);
+    return handOver(candidates, stillNeeded);
   }
 
-  private void resumeWriting(long startsRestMillis) {
+  private void resumeWriting(long startDelayMillis) {
     if (writingPaused) {
       writingPaused = false;
-      ownership.resumeWriting(startsRestMillis);
+      ownership.resumeWriting(startDelayMillis);
     }
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/node/HangupSignal.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/HangupSignal.java
@@ -4,10 +4,10 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Runs an action on SIGHUP, which otherwise ends the process.
+ * Runs an action on SIGHUP, which by default terminates the process.
  *
- * <p>The runtime's signal class is no public interface and its use cannot pass the compiler without
- * a warning, so it is reached by reflection. Stateless.
+ * <p>The runtime's signal class is not a public interface, and the compiler warns about every
+ * direct use of it, so this class uses reflection. Stateless.
  */
 final class HangupSignal {
 
@@ -17,10 +17,10 @@
   private HangupSignal() {}
 
   /**
-   * Installs the action.
+   * Installs a handler for SIGHUP.
    *
-   * @param action what to run, on a thread of the runtime's
-   * @throws ReflectiveOperationException if this runtime has no such class
+   * @param action runs on a thread of the runtime at each signal
+   * @throws ReflectiveOperationException if this runtime lacks the signal class or its methods
    */
   static void onHangup(Runnable action) throws ReflectiveOperationException {
     Class<?> signal = Class.forName(SIGNAL);
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
@@ -32,34 +32,40 @@
 import org.hickorypier.platform.store.StoreClient;
 
 /**
- * One instance: all parts, wired on two threads, one for control state and one for traffic.
+ * One instance of the scheduler: creates all parts and connects them on two threads, one for
+ * control state and one for callers' traffic.
  *
- * <p>{@link #stop} may be called from any thread; the rest belongs to the control thread.
+ * <p>Confined to the control thread, except for the methods that are documented to be callable from
+ * any thread.
  */
 public final class Node extends VerticleBase {
 
   private static final String PART = "node";
 
-  /** Connections to one worker: one renewal that waits, and the orders of a gang beside it. */
+  /** Connections to one worker: one waiting lease renewal, and the orders of a gang beside it. */
   private static final int WORKER_CONNECTIONS = 5;
 
-  /** Reads that wait, one append, one sign to the group, one list of workers, and some to spare. */
+  /**
+   * Connections to the store: long-polling reads, one append, one heartbeat to the group, one list
+   * of workers, and some spare ones.
+   */
   private static final int STORE_CONNECTIONS = 8;
 
-  /** The advisor serves one call at a time for each instance; more connections queue there. */
+  /** The advisor serves one call at a time for each instance and queues further connections. */
   private static final int ADVICE_CONNECTIONS = 16;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-  /** A sample takes some 20 us; three tell that the machine has turned slow. */
+  /** A sample takes about 20 us; three slow samples show that the machine has become slow. */
   private static final Duration SPEED_SAMPLE_PERIOD = Duration.ofMillis(250);
 
-  /** Longer than a takeover. */
+  /** Longer than a takeover takes. */
   private static final long EXPLAIN_TIMEOUT_MILLIS = 2_000;
 
   /**
-   * Without an owner for this long, callers are better served elsewhere. A usual takeover is
-   * shorter, and an instance that leaves the rotation needs a second to come back.
+   * Time without a known owner after which this instance reports that it is not ready, so that
+   * other instances serve the callers. A usual takeover is shorter, and the balancer needs a second
+   * to add an instance again that it has taken out of rotation.
    */
   private static final long MAX_OWNERLESS_MILLIS = 3_000;
 
@@ -84,39 +90,43 @@
    * Creates the instance.
    *
    * @param settings its settings
-   * @param log takes the events
-   * @param wall the time of day, milliseconds since 1970
+   * @param log receives its events
+   * @param wallClock supplies the time of day, in milliseconds since 1970
    */
-  public Node(NodeSettings settings, EventLog log, LongSupplier wall) {
-    this(settings, log, wall, new ProcessorSpeedMonitor(ProcessorSpeedMonitor::runWorkload));
+  public Node(NodeSettings settings, EventLog log, LongSupplier wallClock) {
+    this(settings, log, wallClock, new ProcessorSpeedMonitor(ProcessorSpeedMonitor::runWorkload));
   }
 
-  Node(NodeSettings settings, EventLog log, LongSupplier wall, ProcessorSpeedMonitor pace) {
+  Node(
+      NodeSettings settings,
+      EventLog log,
+      LongSupplier wallClock,
+      ProcessorSpeedMonitor speedMonitor) {
     this.settings = settings;
     this.log = log;
-    this.wallClock = wall;
-    this.speedMonitor = pace;
+    this.wallClock = wallClock;
+    this.speedMonitor = speedMonitor;
   }
 
   @Override
   public Future<?> start() {
     if (shutdownRequested) {
-      return Future.failedFuture("the instance was told to end before it had started");
+      return Future.failedFuture("the instance was shut down before it started");
     }
     timers = new VertxTimerService(vertx, context);
-    SuspensionDetector pauses = new SuspensionDetector(timers::nowMillis, wallClock);
+    SuspensionDetector suspensionDetector = new SuspensionDetector(timers::nowMillis, wallClock);
     StoreClient store = new StoreClient(new HttpCalls(vertx, STORE_CONNECTIONS), settings.store());
     advisorClient =
         settings.advisor() == null
             ? null
             : new AdviceClient(new HttpCalls(vertx, ADVICE_CONNECTIONS), settings.advisor());
-    OwnerDependencies instruments =
+    OwnerDependencies dependencies =
         new OwnerDependencies(
             store,
             new WorkerClient(new HttpCalls(vertx, WORKER_CONNECTIONS)),
             timers,
             wallClock,
-            pauses,
+            suspensionDetector,
             log,
             settings.cellTerms(),
             settings.workerHeartbeatMillis());
@@ -125,7 +135,7 @@
     Candidate self = new Candidate(peerAddress, settings.strength());
     ownership =
         new Ownership(
-            instruments,
+            dependencies,
             settings.name() + "@" + peerAddress,
             self,
             settings.groupLifetimeMillis(),
@@ -133,7 +143,12 @@
     ownership.addAdvisorClient(settings.address(), (request, timeout) -> advise(request));
     configurationWatcher =
         new ConfigurationWatcher(
-            store, timers, pauses, log, settings.revokeMillis(), this::applyConfiguration);
+            store,
+            timers,
+            suspensionDetector,
+            log,
+            settings.revokeMillis(),
+            this::applyConfiguration);
     handover = new Handover(ownership, speedMonitor, timers, log);
     gateway =
         new OwnerGateway(
@@ -153,21 +168,22 @@
     configurationWatcher.start();
     directory.start();
     gateway.start();
-    // Callers that find nobody listening use up one of their few tries, so the front comes first.
+    // A caller whose connection is refused uses up one of its few attempts, so the front starts
+    // first.
     Future<?> traffic = startTraffic(context);
     return vertx
         .createNetServer()
         .connectHandler(
             socket -> {
-              PeerHandler answers = new PeerHandler();
-              Link link = new Link(socket, answers, timers);
+              PeerHandler handler = new PeerHandler();
+              Link link = new Link(socket, handler, timers);
               String address = socket.remoteAddress().hostAddress();
-              answers.peer = handover.addPeer(link, address);
-              Runnable forget = ownership.addAdvisorClient(address, link::ask);
+              handler.peer = handover.addPeer(link, address);
+              Runnable removeAdvisorClient = ownership.addAdvisorClient(address, link::ask);
               link.onClose(
                   () -> {
-                    handover.removePeer(answers.peer);
-                    forget.run();
+                    handover.removePeer(handler.peer);
+                    removeAdvisorClient.run();
                   });
             })
         .listen(settings.peerPort(), settings.address())
@@ -207,8 +223,8 @@
         && ownerlessMillis < MAX_OWNERLESS_MILLIS;
   }
 
-  private void applyConfiguration(ClusterConfiguration newer) {
-    ownership.configure(newer.customers());
+  private void applyConfiguration(ClusterConfiguration newConfiguration) {
+    ownership.configure(newConfiguration.customers());
   }
 
   private void handleOwnerChange(OwnerRecord owner) {
@@ -216,7 +232,7 @@
     gateway.ownerChanged();
   }
 
-  /** Answers one instance that has opened a link to this one. */
+  /** Answers the requests of one instance that has opened a link to this one. */
   private final class PeerHandler implements LinkHandler {
 
     private Peer peer;
@@ -269,12 +285,13 @@
   }
 
   /**
-   * Ends the instance gracefully; called from the process's shutdown hook, at any moment of a
-   * start.
+   * Starts the graceful shutdown of the instance. The process's shutdown hook calls it, also while
+   * the instance starts; callable from any thread.
    *
    * @param control the context of this verticle, or null if it has none yet
-   * @param processEndsAtNanos when the process ends, as {@link System#nanoTime} tells
-   * @return done when this instance neither owns the cell nor is about to, or that time is over
+   * @param processEndsAtNanos when the process exits, by {@link System#nanoTime}
+   * @return completes when this instance neither owns the cell nor is taking it over, or when that
+   *     time has passed
    */
   public Future<Void> leave(Context control, long processEndsAtNanos) {
     shutdownDeadlineNanos = processEndsAtNanos;
@@ -298,9 +315,10 @@
   }
 
   /**
-   * Stops deciding at once, whether or not a successor has taken over; called from any thread.
+   * Gives up the ownership of the cell at once, whether or not a successor has taken over; callable
+   * from any thread.
    *
-   * @return done when nothing is ordered or written any more
+   * @return completes when this instance sends no further orders and writes no further records
    */
   public Future<Void> stepDown() {
     Promise<Void> done = Promise.promise();
@@ -319,9 +337,10 @@
   }
 
   /**
-   * Failure: the instance is told to end while it starts. Symptom: its front begins to listen
-   * afterwards, takes requests for their full time, and the process ends beneath them. Safeguard:
-   * whichever of the two comes second begins to send the callers away.
+   * Starts to drain the callers' connections once the shutdown was requested and the front server
+   * exists, whichever comes second. If the instance is shut down while it starts, its front server
+   * would otherwise begin to listen afterwards and accept requests with their full deadline, and
+   * the process would exit before they are answered.
    */
   private synchronized void drainIfStopping() {
     FrontServer server = frontServer;
@@ -332,18 +351,19 @@
   }
 
   /**
-   * Tells when the callers have gone after {@link #leave}; called from any thread.
+   * Returns the end of the drain that {@link #leave} starts; callable from any thread.
    *
-   * @return done when the balancer has noticed and no caller is connected
+   * @return completes when the balancer has noticed the shutdown and no caller is connected; at
+   *     once if there is no front server
    */
   public Future<Void> callersDisconnected() {
     return frontServer == null ? Future.succeededFuture() : allCallersGone.future();
   }
 
   /**
-   * Returns what has become of the callers; called from any thread.
+   * Returns the counts of connections and requests; callable from any thread.
    *
-   * @return the counts, since {@link #leave} if that was called
+   * @return the counts, from {@link #leave} on if that was called
    */
   public DrainReport drainReport() {
     FrontServer server = frontServer;
@@ -351,9 +371,9 @@
   }
 
   /**
-   * Closes the callers' connections, a moment before the process ends; called from any thread.
+   * Closes the callers' connections shortly before the process exits; callable from any thread.
    *
-   * @return done when all are closed
+   * @return completes when all are closed
    */
   public Future<Void> closeFront() {
     FrontServer server = frontServer;
@@ -361,10 +381,10 @@
   }
 
   /**
-   * Explains to an operator where a submission stands; called from any thread.
+   * Explains the state of a submission to an operator; callable from any thread.
    *
    * @param id the submission's id
-   * @return lines of text, from the owner wherever it is
+   * @return lines of text from the owner, whichever instance that is
    */
   public Future<String> explain(String id) {
     Promise<String> explained = Promise.promise();
@@ -382,16 +402,16 @@
   }
 
   /**
-   * Tells whether callers are connected or waiting.
+   * Tells whether callers are connected; callable from any thread.
    *
-   * @return true while the process should go on
+   * @return true while the process should continue to run
    */
   public boolean hasConnections() {
     return drainReport().connections() > 0;
   }
 
   /**
-   * Tells whether the instance was told to end; may be asked from any thread.
+   * Tells whether the instance is shutting down; callable from any thread.
    *
    * @return true from {@link #leave} on
    */
--- a/daemon/src/main/java/org/hickorypier/daemon/node/NodeMain.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/NodeMain.java
@@ -20,10 +20,10 @@
 import org.hickorypier.daemon.report.MeteredLog;
 
 /**
- * Runs one instance of the scheduler on the platform.
+ * Command that runs one instance of the scheduler on the platform.
  *
- * <p>Exit codes: 0 after a graceful end, 1 if the instance could not start, 2 if a flag or the
- * settings file cannot be used.
+ * <p>Exit codes: 0 after a graceful shutdown, 1 if the instance could not start, 2 if a flag or the
+ * settings file is invalid.
  */
 public final class NodeMain {
 
@@ -32,7 +32,10 @@
   private static final int EXIT_START_FAILED = 1;
   private static final int EXIT_INVALID_USAGE = 2;
 
-  /** Metrics can wait until a restarted process owns the cell and works off what has waited. */
+  /**
+   * Metrics start late, so that a restarted process first takes the cell over and clears its
+   * backlog.
+   */
   private static final long METRICS_DELAY_MILLIS = 3_000;
 
   private NodeMain() {}
@@ -40,7 +43,7 @@
   /**
    * Starts the instance.
    *
-   * @param arguments the flags
+   * @param arguments the command-line flags
    */
   public static void main(String[] arguments) {
     try {
@@ -54,10 +57,10 @@
   /**
    * Starts the instance that the flags describe.
    *
-   * @param arguments the flags
+   * @param arguments the command-line flags
    * @return the instance
-   * @throws ParseException if a flag cannot be used
-   * @throws SettingsFileException if the settings file cannot be used
+   * @throws ParseException if a flag is missing or invalid
+   * @throws SettingsFileException if the settings file is invalid
    */
   static StartedInstance startFromFlags(String[] arguments)
       throws ParseException, SettingsFileException {
@@ -85,12 +88,12 @@
   }
 
   /**
-   * A process with its instance.
+   * An instance that is starting or running in this process.
    *
-   * @param vertx runs the input and output
-   * @param log takes the events
-   * @param deployed done when the instance listens
-   * @param ending tells whether the instance was told to end, so that it need not start
+   * @param vertx runs its input and output
+   * @param log receives its events
+   * @param deployed completes when the instance listens
+   * @param ending tells whether the instance is shutting down, so that it need not start
    */
   public record StartedInstance(
       Vertx vertx, LineLog log, Future<String> deployed, BooleanSupplier isStopping) {}
@@ -99,10 +102,10 @@
    * Starts an instance in this process.
    *
    * @param settings its settings
-   * @param wall the time of day, milliseconds since 1970
+   * @param wallClock supplies the time of day, in milliseconds since 1970
    * @return the instance
    */
-  public static StartedInstance start(NodeSettings settings, LongSupplier wall) {
+  public static StartedInstance start(NodeSettings settings, LongSupplier wallClock) {
     LineLog lines = new LineLog(settings.name(), System::currentTimeMillis, System.out);
     MeteredLog log = new MeteredLog(lines);
     LibraryLog.install(log);
@@ -110,7 +113,7 @@
         (thread, error) -> log.event(PART, "fault", "thread", thread.getName(), "error", error));
     Vertx vertx = vertx();
     vertx.exceptionHandler(error -> log.event(PART, "fault", "error", describe(error)));
-    Node node = new Node(settings, log, wall);
+    Node node = new Node(settings, log, wallClock);
     log.event(PART, "starting", "front", settings.front(), "store", settings.store());
     Runtime.getRuntime()
         .addShutdownHook(new Thread(() -> shutDown(node, settings, lines), "shutdown"));
@@ -123,7 +126,9 @@
     return new StartedInstance(vertx, lines, deployed, node::isStopping);
   }
 
-  /** Metrics as text at any path, and what a submission waits for at /explain/ID. */
+  /**
+   * Serves the explanation of a submission at /explain/ID and metrics as text at any other path.
+   */
   private static void serveOperatorEndpoints(
       Vertx vertx, NodeSettings settings, Node node, LineLog lines, MeteredLog log) {
     PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -156,7 +161,7 @@
                 .longOpt("settings")
                 .hasArg()
                 .required()
-                .desc("the settings file")
+                .desc("path of the settings file")
                 .get());
   }
 
@@ -178,11 +183,14 @@
     return error + (trace.length == 0 ? "" : " at " + trace[0]);
   }
 
-  /** Addresses and bounds hold for the life of a process; a change is told and needs a restart. */
-  private static void reload(Path file, NodeSettings present, LineLog log) {
+  /**
+   * Validates the settings file and logs whether it differs from the settings in use. Addresses and
+   * limits are fixed for the life of a process; a change needs a restart.
+   */
+  private static void reload(Path file, NodeSettings current, LineLog log) {
     try {
-      NodeSettings newer = NodeSettings.read(file);
-      log.event(PART, "reloaded", "changed", !newer.equals(present));
+      NodeSettings updated = NodeSettings.read(file);
+      log.event(PART, "reloaded", "changed", !updated.equals(current));
     } catch (SettingsFileException error) {
       log.event(PART, "reload-refused", "error", error.getMessage());
     }
@@ -191,7 +199,8 @@
   private static void shutDown(Node node, NodeSettings settings, LineLog log) {
     new GracefulShutdown(node, settings.graceMillis(), log).run();
     log.close();
-    // The runtime's own way out takes a busy machine 0.3 s and more, with all sockets open.
+    // The regular exit of the runtime takes 0.3 s and more on a busy machine, with all sockets
+    // open.
     Runtime.getRuntime().halt(0);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/NodeSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/NodeSettings.java
@@ -10,25 +10,28 @@
 import org.hickorypier.platform.http.ServiceAddress;
 
 /**
- * The settings of one instance, read from the JSON file that the platform fills in.
+ * The settings of one instance, read from the JSON file that the platform provides.
  *
  * <p>Immutable.
  *
  * @param name the instance's name
  * @param address its address
- * @param peerPort where it listens for other instances
- * @param advertisedPeer where other instances reach it, which differs behind a forwarder
- * @param metricsPort where metrics are served as text, or 0 for nowhere
- * @param front where callers reach it
- * @param ready where the balancer asks whether it takes connections
- * @param store where the platform's store listens
- * @param advisor where the advisor listens, or null where there is none
- * @param cellTerms the figures for the owner of a cell
- * @param strength what the machine can carry as an owner
- * @param revokeMillis within this time a withdrawn key must stop working
- * @param groupLifetimeMillis after so long without a sign a member loses its partitions
- * @param graceMillis how long a process may take to end after SIGTERM
- * @param workerHeartbeatMillis how often a worker writes its entry in the list of workers
+ * @param peerPort the port on which it listens for other instances
+ * @param advertisedPeer the address at which other instances reach it, which differs from its own
+ *     behind a forwarder
+ * @param metricsPort the port on which metrics are served as text, or 0 for none
+ * @param front the address at which callers reach it
+ * @param ready the address of the readiness check of the load balancer
+ * @param store the address of the platform's store
+ * @param advisor the address of the advisor, or null if there is none
+ * @param cellTerms the durations that the owner of a cell applies
+ * @param strength the load that the machine can carry as an owner
+ * @param revokeMillis the time within which a revoked key must stop working
+ * @param groupLifetimeMillis the time without a heartbeat after which a group member loses its
+ *     partitions
+ * @param graceMillis the time that a process has to exit after SIGTERM
+ * @param workerHeartbeatMillis the interval at which a worker writes its entry in the list of
+ *     workers
  */
 public record NodeSettings(
     String name,
@@ -48,25 +51,30 @@
     long workerHeartbeatMillis) {
 
   /**
-   * After so long without a sign the group deals a lost owner's cell to another instance. Three
-   * signs are missed then; shorter, and an answer of the store that takes 0.3 s costs a takeover.
+   * Time without a heartbeat after which the group assigns a lost owner's cell to another instance.
+   * Three heartbeats are missed by then; with a shorter time, a reply of the store that takes 0.3 s
+   * causes a takeover.
    */
   private static final long MIN_GROUP_LIFETIME_MILLIS = 1_500;
 
   private static final double MIN_PROCESSOR_SHARE = 0.01;
   private static final double MIN_LINK_MEGABITS = 0.1;
 
-  /** Shorter than three reads of the configuration, and each lost answer would refuse callers. */
+  /**
+   * The time of three reads of the configuration. With a shorter time, each lost reply would lead
+   * to refused callers.
+   */
   private static final long MIN_REVOKE_MILLIS = 500;
 
   private static final long MILLIS_PER_SECOND = 1_000;
 
   /**
-   * Reads the settings.
+   * Reads the settings file.
    *
    * @param file the file
    * @return the settings
-   * @throws SettingsFileException if a value is missing or of another type; it names the value
+   * @throws SettingsFileException if the file cannot be read, or if a value is missing, of another
+   *     type or out of range; the message names the value
    */
   public static NodeSettings read(Path file) throws SettingsFileException {
     try {
@@ -81,14 +89,16 @@
    *
    * @param json the file's content
    * @return the settings
-   * @throws SettingsFileException if a value is missing or of another type; it names the value
+   * @throws SettingsFileException if a value is missing, of another type or out of range; the
+   *     message names the value
    */
   public static NodeSettings decode(JsonObject json) throws SettingsFileException {
     Reader reader = new Reader(json);
-    long lifetime =
+    long groupLifetimeMillis =
         Math.max(MIN_GROUP_LIFETIME_MILLIS, (long) reader.number("leastGroupLifetimeMillis", 1));
-    long grace = Math.round(reader.number("graceSeconds", 1) * MILLIS_PER_SECOND);
-    long kept = Math.round(reader.number("stateKeptSeconds", 1) * MILLIS_PER_SECOND);
+    long graceMillis = Math.round(reader.number("graceSeconds", 1) * MILLIS_PER_SECOND);
+    long stateRetentionMillis =
+        Math.round(reader.number("stateKeptSeconds", 1) * MILLIS_PER_SECOND);
     return new NodeSettings(
         reader.text("name"),
         reader.text("address"),
@@ -104,18 +114,18 @@
         CellTerms.of(
             (long) reader.number("longestLeaseMillis", 1),
             (long) reader.number("gangMillis", 1),
-            kept),
+            stateRetentionMillis),
         Strength.of(
             reader.number("processorShare", MIN_PROCESSOR_SHARE)
                 * reader.number("processorSpeed", MIN_PROCESSOR_SHARE),
             reader.number("linkMegabits", MIN_LINK_MEGABITS)),
         (long) reader.number("revokeMillis", MIN_REVOKE_MILLIS),
-        lifetime,
-        grace,
+        groupLifetimeMillis,
+        graceMillis,
         (long) reader.number("workerHeartbeatMillis", 1));
   }
 
-  /** Reads values, and names the one that cannot be used. */
+  /** Reads values and reports an invalid one by its name. */
   private record Reader(JsonObject json) {
 
     String text(String name) throws SettingsFileException {
@@ -123,15 +133,15 @@
         return text;
       }
       throw new SettingsFileException(
-          name + " is " + json.getValue(name) + ", wanted is a text that is not empty", null);
+          name + " is " + json.getValue(name) + "; expected a non-empty string", null);
     }
 
-    double number(String name, double least) throws SettingsFileException {
-      if (json.getValue(name) instanceof Number number && number.doubleValue() >= least) {
+    double number(String name, double minimum) throws SettingsFileException {
+      if (json.getValue(name) instanceof Number number && number.doubleValue() >= minimum) {
         return number.doubleValue();
       }
       throw new SettingsFileException(
-          name + " is " + json.getValue(name) + ", wanted is a number from " + least, null);
+          name + " is " + json.getValue(name) + "; expected a number of at least " + minimum, null);
     }
 
     ServiceAddress service(String name) throws SettingsFileException {
@@ -140,7 +150,7 @@
         return ServiceAddress.parse(text);
       } catch (IllegalArgumentException error) {
         throw new SettingsFileException(
-            name + " is " + text + ", wanted is host:port with a port from 1 to 65535", error);
+            name + " is " + text + "; expected host:port with a port from 1 to 65535", error);
       }
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Peer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Peer.java
@@ -3,7 +3,7 @@
 import org.hickorypier.daemon.link.Link;
 import org.hickorypier.daemon.link.LinkRequest;
 
-/** An instance that has opened a link to this one. Belongs to the control thread. */
+/** An instance that has opened a link to this one. Confined to the control thread. */
 final class Peer {
 
   private static final long NEVER_ASKED_MILLIS = Long.MIN_VALUE / 2;
@@ -37,17 +37,17 @@
     return new Successor(this, strength, startedAtMillis, workMicros);
   }
 
-  /** Takes notice of how long the piece of work takes it, in microseconds. */
+  /** Records how long the benchmark workload takes this instance, in microseconds. */
   void recordMeasurement(int micros) {
     workMicros = micros;
   }
 
-  /** Takes notice that it is asked to take over. */
+  /** Records that this instance is asked to take over. */
   void recordTakeOverRequest(long nowMillis) {
     askedAtMillis = nowMillis;
   }
 
-  /** Returns how long ago it was last asked to take over, in milliseconds. */
+  /** Returns the time since this instance was last asked to take over, in milliseconds. */
   long millisSinceTakeOverRequest(long nowMillis) {
     return nowMillis - askedAtMillis;
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
@@ -20,12 +20,14 @@
 import org.hickorypier.platform.rehearsal.RehearsalPlatform;
 
 /**
- * Starts two instances on loopback over a platform of its own, hands work in, and ends.
+ * Training run that starts two instances on loopback over a stand-in platform, submits work, and
+ * exits.
  *
- * <p>The build runs it to write the archive of loaded classes. A restarted process loads from it
- * all that an owner needs, down to the classes that the runtime makes for lambdas; without those of
- * an owner at work, the way from the first line to the first accepted submission took half as long
- * again. Exit codes: 0 if the work was done, 1 if not.
+ * <p>The build runs it to write the archive of loaded classes (class-data sharing). A restarted
+ * process loads from the archive every class that an owner needs, including those that the runtime
+ * generates for lambdas; without the classes of a working owner, the time from the first log line
+ * to the first accepted submission was half as long again. Exit codes: 0 if the work was completed,
+ * 1 if not.
  */
 public final class Rehearsal {
 
@@ -50,9 +52,9 @@
   /**
    * Runs the rehearsal.
    *
-   * @param arguments none
+   * @param arguments not used
    * @throws IOException if no port is free, or the settings file cannot be written
-   * @throws InterruptedException if the runtime ends first
+   * @throws InterruptedException if the runtime exits first
    * @throws ParseException if the flags of an instance have changed
    * @throws SettingsFileException if the format of the settings has changed
    */
@@ -62,15 +64,15 @@
     CountDownLatch listening = new CountDownLatch(1);
     Future<ServiceAddress> platform =
         new RehearsalPlatform(platformVertx).listen().onSuccess(address -> listening.countDown());
-    boolean up = listening.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    if (!up) {
+    boolean platformListening = listening.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    if (!platformListening) {
       System.exit(1);
     }
-    JsonObject written = settings("first", platform.result());
-    final NodeSettings first = NodeSettings.decode(written);
+    JsonObject firstSettings = settings("first", platform.result());
+    final NodeSettings first = NodeSettings.decode(firstSettings);
     final NodeSettings second = NodeSettings.decode(settings("second", platform.result()));
     Path file = Files.createTempFile("rehearsal", ".json");
-    Files.writeString(file, written.encode());
+    Files.writeString(file, firstSettings.encode());
     NodeMain.StartedInstance started = NodeMain.startFromFlags(new String[] {"--settings=" + file});
     Files.delete(file);
     Rehearsal rehearsal = new Rehearsal(started.vertx());
@@ -90,27 +92,28 @@
     if (number == SUBMISSIONS) {
       return;
     }
-    NodeSettings to = number % 2 == 0 ? first : second;
+    NodeSettings target = number % 2 == 0 ? first : second;
     String path = RehearsalPlatform.PREFIX + "%016x".formatted(number);
     boolean cancelled = number % 5 == 4;
-    submit(to, path, MAX_POLLS)
-        .compose(none -> call(to.ready(), HttpMethod.GET, "/", null))
-        .compose(none -> call(to.front(), HttpMethod.GET, RehearsalPlatform.PREFIX, null))
+    submit(target, path, MAX_POLLS)
+        .compose(none -> call(target.ready(), HttpMethod.GET, "/", null))
+        .compose(none -> call(target.front(), HttpMethod.GET, RehearsalPlatform.PREFIX, null))
         .compose(
             none ->
                 cancelled
-                    ? call(to.front(), HttpMethod.DELETE, path, null)
+                    ? call(target.front(), HttpMethod.DELETE, path, null)
                     : Future.succeededFuture(""))
         .onComplete(
             none ->
-                awaitCompletion(to, path, MAX_POLLS, () -> submitFrom(first, second, number + 1)));
+                awaitCompletion(
+                    target, path, MAX_POLLS, () -> submitFrom(first, second, number + 1)));
   }
 
-  /** Hands a submission in; again while there is no owner yet. */
-  private Future<String> submit(NodeSettings to, String path, int tries) {
+  /** Sends a submission and retries while it is not accepted, since there may be no owner yet. */
+  private Future<String> submit(NodeSettings target, String path, int remainingAttempts) {
     return httpCalls
         .call(
-            to.front(),
+            target.front(),
             HttpMethod.POST,
             path,
             HEADERS,
@@ -118,9 +121,10 @@
             CALL_TIMEOUT_MILLIS)
         .compose(
             reply ->
-                reply.status() == OK || tries == 0
+                reply.status() == OK || remainingAttempts == 0
                     ? Future.succeededFuture("")
-                    : awaitPollInterval().compose(over -> submit(to, path, tries - 1)));
+                    : awaitPollInterval()
+                        .compose(over -> submit(target, path, remainingAttempts - 1)));
   }
 
   private Future<Void> awaitPollInterval() {
@@ -129,15 +133,17 @@
     return over.future();
   }
 
-  private void awaitCompletion(NodeSettings to, String path, int polls, Runnable next) {
-    call(to.front(), HttpMethod.GET, path, null)
+  private void awaitCompletion(
+      NodeSettings target, String path, int remainingPolls, Runnable next) {
+    call(target.front(), HttpMethod.GET, path, null)
         .onSuccess(
             state -> {
               if (state.contains("completed") || state.contains("cancelled")) {
                 remainingSubmissions.countDown();
                 next.run();
-              } else if (polls > 0) {
-                awaitPollInterval().onSuccess(over -> awaitCompletion(to, path, polls - 1, next));
+              } else if (remainingPolls > 0) {
+                awaitPollInterval()
+                    .onSuccess(over -> awaitCompletion(target, path, remainingPolls - 1, next));
               }
             });
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/SettingsFileException.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/SettingsFileException.java
@@ -1,13 +1,13 @@
 package org.hickorypier.daemon.node;
 
-/** The settings file cannot be used. */
+/** Thrown if the settings file cannot be read or holds an invalid value. */
 public final class SettingsFileException extends Exception {
 
   /**
    * Creates the exception.
    *
-   * @param message the value and what is allowed
-   * @param cause the error of the layer below, or null
+   * @param message names the setting, its value and the allowed values
+   * @param cause the underlying error, or null
    */
   public SettingsFileException(String message, Throwable cause) {
     super(message, cause);
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Successor.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Successor.java
@@ -5,44 +5,51 @@
 import java.util.List;
 
 /**
- * An instance that the owner may hand over to.
+ * A candidate that the owner may hand the cell over to.
  *
- * <p>Load: a rolling restart stops one instance every two seconds, while some machines are several
- * times slower than usual. Harm prevented: the cell was handed to instances that the restart had
- * still before it, five owners in ten seconds, each a pause for all callers; and to slow ones,
- * which fell behind and were replaced within two seconds. Of machines that are alike the one that
- * was started last comes first, since a rolling restart has passed it. Immutable.
+ * <p>The order of candidates matters when a rolling restart stops one instance every two seconds
+ * while some machines are several times slower than usual. Handing over to instances that were
+ * still to be restarted led to five owners in ten seconds, each with a pause for all callers; slow
+ * instances fell behind and were replaced within two seconds. Among machines of equal strength the
+ * one that was started last comes first, since a rolling restart has already passed it. Immutable.
  *
  * @param peer the instance
- * @param strength what its machine can carry
- * @param startedAtMillis when it was started, by the owner's steady clock, in milliseconds
- * @param workMicros how long a fixed piece of work takes it now, in microseconds, or {@link
- *     #NO_ANSWER}
+ * @param strength the load that its machine can carry
+ * @param startedAtMillis when it was started, by the owner's monotonic clock, in milliseconds
+ * @param workMicros how long the benchmark workload takes it now, in microseconds, or {@link
+ *     #NO_ANSWER_MICROS}
  */
 record Successor(Peer peer, int strength, long startedAtMillis, int workMicros) {
 
-  /** Of an instance that does not answer in time. */
+  /** Stands for the measurement of an instance that does not answer in time. */
   static final int NO_ANSWER_MICROS = Integer.MAX_VALUE;
 
-  /** The best first of those that are not slow. */
+  /** Orders instances that are not slow, the preferred one first. */
   static final Comparator<Successor> PREFERENCE_ORDER =
-      Comparator.comparingInt((Successor each) -> -each.strength)
-          .thenComparingLong(each -> -each.startedAtMillis);
+      Comparator.comparingInt((Successor candidate) -> -candidate.strength)
+          .thenComparingLong(candidate -> -candidate.startedAtMillis);
 
-  /** A process that was just started takes up to three times as long as an old one. */
+  /**
+   * Multiple of the fastest measurement above which an instance counts as slow. A process that was
+   * just started takes up to three times as long as one that has run for a while.
+   */
   private static final long SLOWNESS_RATIO = 4;
 
-  /** Orders instances, the best first; slow ones and those without an answer come last. */
+  /**
+   * Returns the instances with the preferred one first; slow instances and those without a
+   * measurement come last.
+   */
   static List<Successor> sortedByPreference(List<Successor> all) {
-    long quickest = all.stream().mapToLong(Successor::workMicros).min().orElse(NO_ANSWER_MICROS);
+    long fastestMicros =
+        all.stream().mapToLong(Successor::workMicros).min().orElse(NO_ANSWER_MICROS);
     List<Successor> ordered = new ArrayList<>(all);
     ordered.sort(
-        Comparator.comparing((Successor each) -> each.isSlow(quickest))
+        Comparator.comparing((Successor candidate) -> candidate.isSlow(fastestMicros))
             .thenComparing(PREFERENCE_ORDER));
     return ordered;
   }
 
-  private boolean isSlow(long quickest) {
-    return workMicros > SLOWNESS_RATIO * quickest || workMicros == NO_ANSWER_MICROS;
+  private boolean isSlow(long fastestMicros) {
+    return workMicros > SLOWNESS_RATIO * fastestMicros || workMicros == NO_ANSWER_MICROS;
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/package-info.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/package-info.java
@@ -1,2 +1,5 @@
-/** One instance of the scheduler on the platform: its settings, its parts, its start and end. */
+/**
+ * One instance of the scheduler on the platform: settings, wiring of its parts, start, handover of
+ * the cell and graceful shutdown.
+ */
 package org.hickorypier.daemon.node;
