--- a/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
@@ -297,21 +297,21 @@
     shutdownDeadlineNanos = processEndsAtNanos;
     shutdownRequested = true;
     drainIfStopping();
-    Promise<Void> left = Promise.promise();
+    Promise<Void> handedOver = Promise.promise();
     if (control == null) {
-      left.complete();
+      handedOver.complete();
     } else {
-      control.runOnContext(none -> handOverCell().onComplete(left));
+      control.runOnContext(none -> handOverCell().onComplete(handedOver));
     }
-    return left.future();
+    return handedOver.future();
   }
 
   private Future<Void> handOverCell() {
     if (handover == null) {
       return Future.succeededFuture();
     }
-    long left = TimeUnit.NANOSECONDS.toMillis(shutdownDeadlineNanos - System.nanoTime());
-    return handover.leave(Math.max(0, left));
+    long remainingMillis = TimeUnit.NANOSECONDS.toMillis(shutdownDeadlineNanos - System.nanoTime());
+    return handover.leave(Math.max(0, remainingMillis));
   }
 
   /**
--- a/daemon/src/main/java/org/hickorypier/daemon/node/NodeMain.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/NodeMain.java
@@ -93,7 +93,7 @@
    * @param vertx runs its input and output
    * @param log receives its events
    * @param deployed completes when the instance listens
-   * @param ending tells whether the instance is shutting down, so that it need not start
+   * @param isStopping tells whether the instance is shutting down, so that it need not start
    */
   public record StartedInstance(
       Vertx vertx, LineLog log, Future<String> deployed, BooleanSupplier isStopping) {}
--- a/daemon/src/test/java/org/hickorypier/daemon/node/LogSamples.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/LogSamples.java
@@ -11,33 +11,35 @@
 /**
  * Writes the logs that docs/OPERATIONS.md explains: three failed requests over the stand-ins.
  *
- * <p>Run by hand when events change; the page and the logs beside its test are replaced together.
+ * <p>Run manually when log events change; the logs on that page and those in the test resources are
+ * then replaced together.
  */
 final class LogSamples {
 
   private LogSamples() {}
 
   /**
-   * Plays the three failures.
+   * Reproduces the three failures.
    *
-   * @param arguments the folder to write to
-   * @throws Exception if an instance does not do what the sample shows
+   * @param arguments the directory to write to
+   * @throws Exception if an instance does not behave as the sample shows
    */
   public static void main(String[] arguments) throws Exception {
-    Path folder = Files.createDirectories(Path.of(arguments[0]));
-    writeRefusedSample(folder);
-    writeLateSample(folder);
-    writeUnknownOutcomeSample(folder);
+    Path directory = Files.createDirectories(Path.of(arguments[0]));
+    writeRefusedSample(directory);
+    writeLateSample(directory);
+    writeUnknownOutcomeSample(directory);
   }
 
-  private static void writeRefusedSample(Path folder) throws Exception {
-    try (SmallCluster cluster = clusterLoggingTo(folder, "refused", 2, 50)) {
+  private static void writeRefusedSample(Path directory) throws Exception {
+    try (SmallCluster cluster = clusterLoggingTo(directory, "refused", 2, 50)) {
       SmallCluster.Instance instance = startWithOwner(cluster);
       cluster.storeServer.gate().plan(FaultPlan.always("append", Fault.UNAVAILABLE));
-      // The first caller meets the outage before the owner knows of it, and waits in vain.
+      // The first caller submits before the owner has detected the outage and waits for an
+      // acceptance that does not come.
       cluster.submit(instance, "5c0e7a21d94b36f9", 1);
       if (cluster.submit(instance, "5c0e7a21d94b36f1", 1).status() != 503) {
-        throw new IllegalStateException("not refused");
+        throw new IllegalStateException("the submission was not refused");
       }
       cluster.storeServer.gate().plan(FaultPlan.NONE);
       cluster.waitUntil(() -> cluster.submit(instance, "5c0e7a21d94b36f1", 1).status() == 200);
@@ -45,8 +47,8 @@
     }
   }
 
-  private static void writeLateSample(Path folder) throws Exception {
-    try (SmallCluster cluster = clusterLoggingTo(folder, "late", 2, 1_500)) {
+  private static void writeLateSample(Path directory) throws Exception {
+    try (SmallCluster cluster = clusterLoggingTo(directory, "late", 2, 1_500)) {
       SmallCluster.Instance instance = startWithOwner(cluster);
       cluster.submit(instance, "5c0e7a21d94b36f2", 1);
       cluster.waitUntil(() -> cluster.starts().size() == 2);
@@ -61,13 +63,13 @@
     }
   }
 
-  private static void writeUnknownOutcomeSample(Path folder) throws Exception {
-    try (SmallCluster cluster = clusterLoggingTo(folder, "unknown", 2, 50)) {
+  private static void writeUnknownOutcomeSample(Path directory) throws Exception {
+    try (SmallCluster cluster = clusterLoggingTo(directory, "unknown", 2, 50)) {
       SmallCluster.Instance instance = startWithOwner(cluster);
       cluster.storeServer.gate().plan(FaultPlan.always("append", Fault.SILENT_BEFORE_EFFECT));
       int status = cluster.submit(instance, "5c0e7a21d94b36f3", 1).status();
       if (status != 504) {
-        throw new IllegalStateException("status " + status);
+        throw new IllegalStateException("expected status 504, was " + status);
       }
       cluster.storeServer.gate().plan(FaultPlan.NONE);
       cluster.waitUntil(() -> cluster.state(instance, "5c0e7a21d94b36f3").equals("completed"));
@@ -82,9 +84,9 @@
   }
 
   private static SmallCluster clusterLoggingTo(
-      Path folder, String name, int workers, long workMillis) throws Exception {
+      Path directory, String name, int workers, long workMillis) throws Exception {
     SmallCluster cluster = new SmallCluster(workers, workMillis);
-    OutputStream stream = Files.newOutputStream(folder.resolve(name + ".log"));
+    OutputStream stream = Files.newOutputStream(directory.resolve(name + ".log"));
     LineLog log = new LineLog("instance-0", System::currentTimeMillis, stream);
     cluster.log = log;
     cluster.onClose =
--- a/daemon/src/test/java/org/hickorypier/daemon/node/NodeTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/NodeTest.java
@@ -12,15 +12,15 @@
 import org.hickorypier.standins.fault.FaultPlan;
 import org.junit.jupiter.api.Test;
 
-/** The whole path over the stand-ins: callers, instances, store, workers. */
+/** Tests instances end to end over the stand-ins: callers, instances, store and workers. */
 class NodeTest {
 
   private static final String ID_FORMAT = "5c0e7a21d94b36f%x";
 
-  /** A task that lasts runs again at the latest so long after its last run. */
+  /** Longest time from the last run of a persistent task to its next run. */
   private static final long MAX_PERSISTENT_RESTART_MILLIS = 9_000;
 
-  /** A step has waited for so long, at least, when the log tells what it waits for. */
+  /** Shortest time that a step has waited when the log reports what it waits for. */
   private static final long MIN_LOGGED_WAIT_MILLIS = 2_000;
 
   @Test
@@ -38,9 +38,9 @@
   }
 
   /**
-   * The owner's process is killed while the caller's tasks run. Another instance takes over, finds
-   * the submission in the journal and the runs at the workers, and shows it as completed; no task
-   * starts twice.
+   * Guards against tasks that start twice when the owner's process is killed while they run.
+   * Another instance takes over, finds the submission in the journal and the runs at the workers,
+   * and reports the submission as completed.
    */
   @Test
   void successorAdoptsRunningTasks() throws Exception {
@@ -57,9 +57,9 @@
   }
 
   /**
-   * A weak machine is the first to own the cell. When a strong one starts, it takes the cell over;
-   * the caller's submission, accepted by the weak one, completes there. When the strong one is
-   * killed, the weak one owns the cell again, so that callers are served by what is left.
+   * A weak machine owns the cell first. A stronger one takes the cell over when it starts, and the
+   * submission that the weak machine accepted completes there. When the strong machine is killed,
+   * the weak one owns the cell again, so that the remaining instance serves callers.
    */
   @Test
   void strongerMachineTakesOverAndWeakerOneReplacesItAfterCrash() throws Exception {
@@ -72,16 +72,16 @@
       cluster.waitUntil(() -> cluster.state(weak, id).equals("completed"));
       cluster.waitUntil(() -> cluster.hasLogged(weak, "owner-lost"));
       cluster.kill(strong);
-      String later = ID_FORMAT.formatted(2);
-      cluster.waitUntil(() -> cluster.submit(weak, later, 2).status() == 200);
-      cluster.waitUntil(() -> cluster.state(weak, later).equals("completed"));
+      String laterId = ID_FORMAT.formatted(2);
+      cluster.waitUntil(() -> cluster.submit(weak, laterId, 2).status() == 200);
+      cluster.waitUntil(() -> cluster.state(weak, laterId).equals("completed"));
       assertThat(cluster.starts()).hasSize(5).doesNotHaveDuplicates();
     }
   }
 
   /**
-   * The store carries out an append and its answer is lost. The caller is not told anything untrue:
-   * the append is repeated under its number, and the submission is accepted once.
+   * Guards against a wrong answer to the caller when the store executes an append and its reply is
+   * lost. The append is retried with the same sequence number, and the submission is accepted once.
    */
   @Test
   void lostStoreReplyIsResolvedByRetry() throws Exception {
@@ -96,8 +96,9 @@
   }
 
   /**
-   * The store loses answers of appends, before and after their effect, while several are under way.
-   * Each caller gets its acceptance, each task runs once, and all is in the journal in the end.
+   * Guards against lost or doubled records when the store loses replies of appends, before and
+   * after their effect, while several appends are pending. Each caller gets its acceptance, each
+   * task runs once, and every record reaches the journal.
    */
   @Test
   void concurrentAppendsSurviveLostReplies() throws Exception {
@@ -117,8 +118,9 @@
   }
 
   /**
-   * The owner has lost the store; a successor may have taken over and accepted submissions. Asked
-   * for one that it does not know, the owner must not say that there is none.
+   * Guards against a false "unknown" from an owner that has lost the store. A successor may have
+   * taken over and accepted submissions, so the owner must not report a submission that it does not
+   * know as nonexistent.
    */
   @Test
   void ownerWithoutProofDoesNotReportSubmissionAsUnknown() throws Exception {
@@ -145,8 +147,8 @@
   }
 
   /**
-   * The operator's and the workers' history is forgotten while the instances follow it. They start
-   * from the newest of each key and go on serving.
+   * The store discards the history of the operator's and the workers' records while the instances
+   * read it. The instances restart from the newest record of each key and continue to serve.
    */
   @Test
   void instancesKeepServingAfterHistoryIsDiscarded() throws Exception {
@@ -182,8 +184,9 @@
   }
 
   /**
-   * The owner gets SIGTERM while callers are connected. It sends them elsewhere with their answers,
-   * hands the cell over at once, and the other instance goes on with the tasks that run.
+   * The owner shuts down, as on SIGTERM, while callers are connected. It tells them with its
+   * responses to reconnect elsewhere and hands the cell over at once, and the other instance
+   * continues the running tasks.
    */
   @Test
   void stoppingOwnerHandsOverAndDrainsCallers() throws Exception {
@@ -211,8 +214,11 @@
       String id = ID_FORMAT.formatted(12);
       cluster.submit(first, id, 20);
       cluster.waitUntil(() -> cluster.starts().size() == 16);
-      String told = SmallCluster.await(second.node().explain(id));
-      assertThat(told).contains("0 of 20 done").contains("on w0").contains("waits for room: 0");
+      String explanation = SmallCluster.await(second.node().explain(id));
+      assertThat(explanation)
+          .contains("0 of 20 done")
+          .contains("on w0")
+          .contains("waits for room: 0");
       assertThat(SmallCluster.await(second.node().explain("nobody"))).contains("is not known");
     }
   }
@@ -231,10 +237,10 @@
   }
 
   /**
-   * The owner's machine stands still: its connections stay open, and nothing refuses or answers.
-   * The group's partition belongs to that member for a minute. A caller's submission is accepted
-   * all the same, since the instance misses a sign of life and finds no trace of one in the
-   * journal.
+   * Guards against an outage when the owner's machine hangs: its connections stay open but are
+   * neither refused nor answered, and it stays the group's member for the partition for a minute. A
+   * submission is still accepted, since the other instance receives no heartbeat from the owner and
+   * finds no recent record of it in the journal.
    */
   @Test
   void unresponsiveOwnerIsReplaced() throws Exception {
@@ -249,11 +255,12 @@
   }
 
   /**
-   * A caller keeps its connection open through a graceful shutdown of the instance and sends its
-   * next request just as the process ends. Its way out took up to 0.3 s with all connections open:
-   * the logs show requests read 2 to 22 ms after "stopped", with "busy" true, and the process gone
-   * before their answer. The connection is closed by then, so the request is not read, and the
-   * caller knows at once that it may send it elsewhere.
+   * Guards against requests that are read but never answered. A caller keeps its connection open
+   * during a graceful shutdown and sends its next request just as the process exits. The exit took
+   * up to 0.3 s with all connections open: the logs showed requests read 2 to 22 ms after
+   * "stopped", with "busy" true, and the process was gone before it answered. The connection is now
+   * closed before the exit, so the request is not read, and the caller knows at once that it may
+   * send it elsewhere.
    */
   @Test
   void keptAliveConnectionIsClosedBeforeProcessExits() throws Exception {
@@ -276,23 +283,24 @@
   }
 
   /**
-   * The owner's machine turns five times slower and goes on answering. Callers used to wait for it
-   * until its neighbour's load was over, since nothing was lost and nobody took over. It hands the
-   * cell to the quick instance; an instance as slow as itself would gain nothing and is not asked.
+   * Guards against callers that wait for a slow owner. The owner's machine becomes five times
+   * slower but still answers; since it was not lost, nobody took over until the load of a neighbour
+   * on the machine had ended. The owner hands the cell over to the fast instance; an instance as
+   * slow as the owner would bring no gain and is not asked.
    */
   @Test
   void slowedOwnerHandsOverToFasterInstance() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       final SmallCluster.Instance owner = cluster.start();
-      final AtomicLong ownersWork = cluster.latestWorkNanos;
-      final SmallCluster.Instance quick = cluster.start();
+      final AtomicLong ownerWorkNanos = cluster.latestWorkNanos;
+      final SmallCluster.Instance fast = cluster.start();
       cluster.workNanos = 60_000;
       final SmallCluster.Instance slow = cluster.start();
-      long began = System.nanoTime();
-      // Half a minute's samples tell what is usual; some seconds are the least.
-      cluster.waitUntil(() -> System.nanoTime() - began > TimeUnit.SECONDS.toNanos(5));
-      ownersWork.set(100_000);
-      cluster.waitUntil(() -> cluster.hasLogged(quick, "owner-gained"));
+      long startNanos = System.nanoTime();
+      // The usual speed is the median of half a minute of samples; a few seconds are the minimum.
+      cluster.waitUntil(() -> System.nanoTime() - startNanos > TimeUnit.SECONDS.toNanos(5));
+      ownerWorkNanos.set(100_000);
+      cluster.waitUntil(() -> cluster.hasLogged(fast, "owner-gained"));
       cluster.waitUntil(() -> cluster.hasLogged(owner, "owner-lost"));
       assertThat(cluster.hasLogged(slow, "taking-over")).isFalse();
       String id = ID_FORMAT.formatted(13);
@@ -302,10 +310,11 @@
   }
 
   /**
-   * An instance claims the cell and its process ends before it has told anybody. The journal names
-   * it as the owner and the directory its predecessor, so each other instance had to find out by a
-   * takeover of its own that failed, one after another for four seconds. The first that finds out
-   * tells all, also the named one, which has come back and takes the cell up again.
+   * Guards against a cell without an owner after an unannounced claim. An instance claims the cell,
+   * and its process exits before it announces that. The journal names it as the owner and the
+   * directory its predecessor, so each other instance found out only by a failed takeover of its
+   * own, one after another for four seconds. The first instance that finds out now announces the
+   * claim to all, including the named instance, which has restarted and takes the cell over again.
    */
   @Test
   void unannouncedClaimIsAnnouncedByInstanceThatFindsIt() throws Exception {
@@ -321,7 +330,10 @@
     }
   }
 
-  /** A successor waited 9.87 s from its own takeover for a worker that had left before it. */
+  /**
+   * Guards against a late restart of a persistent task: a successor waited 9.87 s from its own
+   * takeover for a worker that had left before the takeover.
+   */
   @Test
   void persistentTaskOfRemovedWorkerRestartsAfterPlannedHandover() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 60_000)) {
@@ -344,7 +356,10 @@
     }
   }
 
-  /** An owner that had no configuration yet took a customer with a limit for one without. */
+  /**
+   * Guards against exceeding a customer's limit: an owner that had not read the configuration yet
+   * treated a customer with a limit as one without.
+   */
   @Test
   void ownerWithoutConfigurationStartsNothing() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 60_000)) {
--- a/daemon/src/test/java/org/hickorypier/daemon/node/RawCaller.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/RawCaller.java
@@ -7,9 +7,10 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * A caller that writes its requests byte by byte as a test says, so that it can stop in the middle.
+ * An HTTP client for tests that writes raw request text, so that it can stop in the middle of a
+ * request.
  *
- * <p>What it has read may be asked from any thread.
+ * <p>What it has received may be read from any thread.
  */
 final class RawCaller {
 
@@ -29,18 +30,18 @@
     return this;
   }
 
-  /** Sends a whole request for a queue that nobody has, which any instance answers by itself. */
+  /** Sends a complete request for an unknown queue, which every instance answers itself. */
   RawCaller requestUnknownQueue() {
     return write("GET /nowhere/ HTTP/1.1\r\nHost: nowhere\r\n\r\n");
   }
 
-  /** Hands a submission of one task in, as one whole request. */
+  /** Submits one task in a single complete request. */
   RawCaller submit(String id) {
     String body = "{\"Spec\":\"text\",\"Phases\":[{\"Count\":1,\"Cpu\":10,\"MemMb\":1}]}";
     return write(head("POST", id) + "Content-Length: " + body.length() + "\r\n\r\n" + body);
   }
 
-  /** Begins a request up to its body. */
+  /** Returns the start of a request: the request line and the headers common to all requests. */
   static String head(String method, String id) {
     return method
         + " "
@@ -57,12 +58,12 @@
     return responseCount("");
   }
 
-  /** Returns how many answers with a status were read. */
+  /** Returns the number of responses received whose status starts with the given text. */
   int responseCount(String status) {
     return receivedText().split("HTTP/1.1 " + status, -1).length - 1;
   }
 
-  /** Returns all that was read, answer after answer. */
+  /** Returns the text of all responses received so far. */
   String receivedText() {
     return receivedText.toString();
   }
--- a/daemon/src/test/java/org/hickorypier/daemon/node/ShutdownTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/ShutdownTest.java
@@ -13,7 +13,7 @@
 import org.hickorypier.standins.fault.FaultPlan;
 import org.junit.jupiter.api.Test;
 
-/** What callers see of an instance that ends gracefully. */
+/** Tests what callers observe while an instance shuts down gracefully. */
 class ShutdownTest {
 
   private static final String STALLED_BODY = "Content-Length: 100\r\n\r\n{\"S";
@@ -24,10 +24,11 @@
   }
 
   /**
-   * One caller stalls in the middle of its request's body; another keeps a connection without a
-   * request. The instance ends. It used to wait for the stalled body before it closed any
-   * connection, so the process ended with the other one open, and a request sent on it just then
-   * was read and never answered. The stalled caller learns that its request has not run.
+   * Guards against a request that is read and never answered because another caller stalls. One
+   * caller stalls in the middle of its request body; another keeps an idle connection. An instance
+   * that waited for the stalled body before it closed any connection exited with the idle one open,
+   * and a request sent on it at that moment was lost. The stalled caller is told that its request
+   * has not run.
    */
   @Test
   void stalledBodyDoesNotKeepOtherConnectionsOpen() throws Exception {
@@ -46,10 +47,10 @@
   }
 
   /**
-   * Callers keep connections that they do not use. The instance ends and has a minute for it. It
-   * used to wait that minute, since an unused connection never closed; the machine was missing all
-   * that time, and the requests read late in it were given up. Unused connections are closed once
-   * the balancer sends no new ones.
+   * Guards against a shutdown that takes the whole grace period of a minute because callers keep
+   * unused connections, which never close by themselves. The machine was missing all that time, and
+   * requests read late in it were given up. Unused connections are closed once the balancer sends
+   * no new ones.
    */
   @Test
   void unusedConnectionsDoNotDelayShutdown() throws Exception {
@@ -66,8 +67,9 @@
   }
 
   /**
-   * A caller has been answered that its connection ends. The instance closes it, so that a caller
-   * that overlooks the header does not send its next request on it.
+   * Guards against requests on a connection that a response has announced as closing. The instance
+   * closes the connection itself, so that a caller that ignores the header does not send its next
+   * request on it.
    */
   @Test
   void connectionIsClosedAfterResponseAnnouncesIt() throws Exception {
@@ -77,7 +79,7 @@
       cluster.waitUntil(earlier::hasResponse);
       final RawCaller caller = caller(cluster, instance);
       cluster.leave(instance, TimeUnit.MINUTES.toMillis(1));
-      // Requests are counted anew from the moment in which the front begins to send callers away.
+      // The request count restarts at 0 when the front server starts to drain its callers.
       cluster.waitUntil(() -> instance.node().drainReport().read() == 0);
       caller.requestUnknownQueue();
       caller.awaitClosed();
@@ -86,11 +88,12 @@
   }
 
   /**
-   * Many callers hand submissions in on kept connections while the instance closes them; another
-   * instance owns the cell. A request that got no answer must not have been read: its submission is
-   * known to nobody, so the caller loses nothing by sending it elsewhere. What showed the cause: an
-   * instance that looked at its open requests on another thread than the one that reads them closed
-   * connections whose submission it had read, and the submission was accepted ("queued").
+   * Guards against submissions that are accepted without a response. Many callers submit on
+   * keep-alive connections while the instance closes them; another instance owns the cell. A
+   * request without a response must not have been read: no instance knows its submission, so the
+   * caller can safely send it elsewhere. An instance that checked its open requests on a different
+   * thread than the one that reads them closed connections whose submission it had read, and the
+   * submission was accepted ("queued").
    */
   @Test
   void requestDuringCloseIsAnsweredOrNotRead() throws Exception {
@@ -123,8 +126,8 @@
   }
 
   /**
-   * A chunked body breaks off with a length that is no number. The caller used to get no answer at
-   * all and its connection stayed open; it learns that its request is malformed.
+   * Guards against a chunk length that is not a number. Such a request got no response and its
+   * connection stayed open; the caller is now told that its request is malformed.
    */
   @Test
   void malformedChunkIsRejected() throws Exception {
@@ -139,8 +142,9 @@
   }
 
   /**
-   * A chunked body does not say how long it gets. It used to be kept in memory whole, so one caller
-   * could end the process. It is refused beyond the size that a body may have.
+   * Guards against memory exhaustion by a chunked body, which does not declare its length. The
+   * whole body was kept in memory, so a single caller could crash the process. It is now rejected
+   * once it exceeds the size limit of a body.
    */
   @Test
   void oversizedChunkedBodyIsRejected() throws Exception {
@@ -159,8 +163,9 @@
   }
 
   /**
-   * A caller stalls in the middle of a body while the instance goes on serving. The request used to
-   * stay open for good; it ends when the time is over that the caller said it would wait.
+   * Guards against requests that stay open forever because the caller stalls in the middle of a
+   * body while the instance keeps serving. The request times out at the deadline that the caller
+   * set.
    */
   @Test
   void stalledBodyTimesOutAtCallerDeadline() throws Exception {
@@ -175,9 +180,9 @@
   }
 
   /**
-   * An instance is told to end before it has started. It used to start all the same, since its
-   * control thread was not there yet to be told, and took requests until the process ended beneath
-   * them. Nothing of it starts.
+   * Guards against an instance that starts although it was shut down before its start. Its control
+   * thread did not exist yet and missed the shutdown, so the instance accepted requests that were
+   * unfinished when the process exited. Now no part of it starts.
    */
   @Test
   void instanceStoppedBeforeStartAcceptsNoCallers() throws Exception {
@@ -192,8 +197,9 @@
   }
 
   /**
-   * An instance is told to end while it starts, before its front listens. The front used to learn
-   * nothing of it. Its first answer closes the connection, and the end waits for no other caller.
+   * Guards against a front server that misses a shutdown because it does not listen yet when the
+   * instance is shut down during its start. Its first response closes the connection, and the
+   * shutdown waits for no other caller.
    */
   @Test
   void instanceStoppedDuringStartDrainsCallers() throws Exception {
@@ -214,17 +220,19 @@
   }
 
   /**
-   * The owner of many seconds is told to end and gives the cell up before its callers. A request
-   * that reaches it then waits for the successor. It used to be refused at once, since the instance
-   * counted its time without an owner from before it became the owner itself: the logs show
-   * "given-up", reason "no owner", "ownerless_ms" 4401 some 10 ms after "owner-lost".
+   * Guards against an early refusal after the owner has given up the cell. The instance has owned
+   * the cell for some seconds, shuts down and loses the cell before its callers have left. A
+   * request that reaches it then waits for the successor. It was refused at once, since the
+   * instance counted its time without an owner from before it became the owner itself: the logs
+   * showed "given-up", reason "no owner", "ownerless_ms" 4401 about 10 ms after "owner-lost".
    */
   @Test
   void requestAtFormerOwnerWaitsForSuccessor() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance owner = cluster.start();
-      long gained = System.nanoTime();
-      cluster.waitUntil(() -> System.nanoTime() - gained > TimeUnit.MILLISECONDS.toNanos(1_900));
+      long ownerGainedNanos = System.nanoTime();
+      cluster.waitUntil(
+          () -> System.nanoTime() - ownerGainedNanos > TimeUnit.MILLISECONDS.toNanos(1_900));
       cluster.leave(owner, TimeUnit.MINUTES.toMillis(1));
       owner.node().stepDown();
       cluster.waitUntil(() -> cluster.hasLogged(owner, "owner-lost"));
@@ -239,9 +247,10 @@
   }
 
   /**
-   * All instances but one are being restarted, and then the owner is told to end too. It used to
-   * give the cell up at once, since nobody would take it: no caller was served until an instance
-   * came back, though the owner lived on for seconds. It goes on serving until one has come back.
+   * Guards against a cell without an owner during a restart of all instances. All instances but the
+   * owner are being restarted, and then the owner is shut down as well. It gave up the cell at
+   * once, since no instance would take it: no caller was served until one came back, although the
+   * owner ran for several more seconds. It now serves until an instance has come back.
    */
   @Test
   void stoppingOwnerServesUntilSuccessorStarts() throws Exception {
@@ -253,17 +262,18 @@
       final Future<Void> left = cluster.leave(owner, TimeUnit.MINUTES.toMillis(1));
       cluster.waitUntil(() -> cluster.hasLogged(owner, "handover"));
       assertThat(cluster.submit(owner, "5c0e7a21d94b36f6", 1).status()).isEqualTo(200);
-      SmallCluster.Instance back = cluster.startWithoutOwner(Strength.UNKNOWN);
-      cluster.waitUntil(() -> cluster.hasLogged(back, "owner-gained"));
+      SmallCluster.Instance restarted = cluster.startWithoutOwner(Strength.UNKNOWN);
+      cluster.waitUntil(() -> cluster.hasLogged(restarted, "owner-gained"));
       SmallCluster.await(left);
-      cluster.waitUntil(() -> cluster.state(back, "5c0e7a21d94b36f6").equals("completed"));
+      cluster.waitUntil(() -> cluster.state(restarted, "5c0e7a21d94b36f6").equals("completed"));
     }
   }
 
   /**
-   * The owner ends and asks another instance to take over, which is told to end in that very
-   * moment. It used to drop what it had just claimed: the cell had an owner by name that nobody
-   * was, for nine seconds of one play. It becomes the owner and hands over in its turn.
+   * Guards against a claim that is abandoned. The owner shuts down and asks another instance to
+   * take over, which is shut down at the same moment. That instance dropped the cell that it had
+   * just claimed, so that the recorded owner was not acting as the owner, in one run for nine
+   * seconds. It now becomes the owner and hands over itself.
    */
   @Test
   void instanceStoppedDuringTakeoverBecomesOwnerAndHandsOver() throws Exception {
@@ -279,38 +289,40 @@
       cluster.leave(owner, TimeUnit.MINUTES.toMillis(1));
       cluster.waitUntil(() -> cluster.hasLogged(second, "owner-gained"));
       assertThat(cluster.submit(second, "5c0e7a21d94b36f7", 1).status()).isEqualTo(200);
-      SmallCluster.Instance back = cluster.startWithoutOwner(Strength.UNKNOWN);
-      cluster.waitUntil(() -> cluster.hasLogged(back, "owner-gained"));
-      cluster.waitUntil(() -> cluster.state(back, "5c0e7a21d94b36f7").equals("completed"));
+      SmallCluster.Instance restarted = cluster.startWithoutOwner(Strength.UNKNOWN);
+      cluster.waitUntil(() -> cluster.hasLogged(restarted, "owner-gained"));
+      cluster.waitUntil(() -> cluster.state(restarted, "5c0e7a21d94b36f7").equals("completed"));
     }
   }
 
   /**
-   * The owner ends while the instance that was started last runs five times slower. The cell used
-   * to go to that one, since nobody asked how quick it was: all others suspected it within two
-   * seconds ("owner-suspected", silent 220 to 490 ms). It goes to the quick one.
+   * Guards against a handover to a slow instance. The owner shuts down while the instance that was
+   * started last runs five times slower. That instance got the cell, since its speed was not
+   * measured, and all others suspected it within two seconds ("owner-suspected", silent 220 to 490
+   * ms). The cell now goes to the fast instance.
    */
   @Test
   void cellIsNotHandedOverToSlowInstance() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       cluster.workNanos = 20_000;
       final SmallCluster.Instance owner = cluster.start();
-      final SmallCluster.Instance quick = cluster.start();
+      final SmallCluster.Instance fast = cluster.start();
       cluster.workNanos = 100_000;
       final SmallCluster.Instance slow = cluster.start();
       SmallCluster.await(cluster.leave(owner, TimeUnit.MINUTES.toMillis(1)));
-      cluster.waitUntil(() -> cluster.hasLogged(quick, "owner-gained"));
+      cluster.waitUntil(() -> cluster.hasLogged(fast, "owner-gained"));
       assertThat(cluster.hasLogged(slow, "taking-over")).isFalse();
     }
   }
 
   /**
-   * The owner hands over while callers hand in one submission after another. It used to go on
-   * writing, so the successor's claim found the journal moved three times and had to fence it
-   * first: "taking-over" at 11.036, "owner-gained" at 11.338, and no start in between. The owner
-   * begins no append while it waits for the claim, which then succeeds under the very next epoch.
-   * It starts nothing either: a gang of which the workers had let some members start, and refused
-   * the others for the sake of the successor, waited in vain for three seconds ("alone").
+   * Guards against a slow handover under load. The owner hands over while callers submit
+   * continuously. It kept writing, so the successor's claim found that the journal had advanced
+   * three times and had to fence the owner first: "taking-over" at 11.036 s, "owner-gained" at
+   * 11.338 s, and no start in between. The owner now begins no append while it waits for the claim,
+   * which then succeeds with the next epoch. It starts no tasks either: the workers had started
+   * some members of a gang and refused the others in favour of the successor, and the started
+   * members waited three seconds in vain ("alone").
    */
   @Test
   void ownerPausesWritingDuringHandover() throws Exception {
@@ -329,7 +341,7 @@
                 int number = submitted.getAndIncrement();
                 callers.get(number % callers.size()).submit("a%015x".formatted(number));
               });
-      // Calls to the store take their time, so that appends come between its answers.
+      // Calls to the store are delayed, so that appends fall between its replies.
       cluster.storeServer.gate().plan(new FaultPlan("", Fault.NONE, -1, 10));
       cluster.waitUntil(() -> submitted.get() > 100);
       SmallCluster.await(cluster.leave(owner, TimeUnit.MINUTES.toMillis(1)));
@@ -338,10 +350,10 @@
       assertThat(cluster.eventsSince("instance-1 ownership taking-over"))
           .noneMatch(event -> event.startsWith("instance-0 run ordered"));
       cluster.vertx.cancelTimer(load);
-      // A cluster that is taken down under load can hang: its clients refuse calls by throwing.
+      // A cluster that is closed under load can hang, since its clients refuse calls by throwing.
       cluster.waitUntil(
           () -> callers.stream().mapToInt(RawCaller::responseCount).sum() == submitted.get());
-      long accepted = callers.stream().mapToLong(each -> each.responseCount("200 OK")).sum();
+      long accepted = callers.stream().mapToLong(caller -> caller.responseCount("200 OK")).sum();
       cluster.waitUntil(() -> cluster.starts().size() >= accepted);
     }
   }
--- a/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
@@ -48,7 +48,9 @@
 import org.hickorypier.standins.operator.StandInOperator;
 import org.hickorypier.standins.store.InMemoryStore;
 
-/** Real instances in one process, over a store and workers in memory, all on loopback. */
+/**
+ * Runs real instances in one process on loopback, over an in-memory store and in-memory workers.
+ */
 final class SmallCluster implements AutoCloseable {
 
   static final String HOST = "queue.example";
@@ -72,13 +74,16 @@
   EventLog log = (part, event, fields) -> {};
   Runnable onClose = () -> {};
 
-  /** How long the fixed piece of work takes the instances that are started from now on. */
+  /** Duration of the benchmark workload on instances created from now on. */
   long workNanos = 20_000;
 
-  /** The same of the instance that was made last; it may be changed while that runs. */
+  /**
+   * Duration of the benchmark workload on the instance created last; may be changed while that
+   * instance runs.
+   */
   AtomicLong latestWorkNanos;
 
-  /** One instance with the name of its deployment. */
+  /** One instance with its settings and the id of its deployment. */
   record Instance(NodeSettings settings, Node node, String deployment) {}
 
   SmallCluster(int workerCount, long workMillis) throws Exception {
@@ -111,19 +116,19 @@
     store.put("keyed.servers", workers.get(worker).id(), entry.toBuffer().getBytes());
   }
 
-  /** Lets a worker say that it drains. */
+  /** Publishes that a worker is draining. */
   void drain(int worker, long remainingMillis) {
     putWorkerEntry(
         worker, workerEntry(worker).put("State", "draining").put("RemainingMs", remainingMillis));
   }
 
-  /** Takes a worker away for good: what runs there ends. */
+  /** Stops a worker permanently; its running tasks end. */
   void removeWorker(int worker) throws Exception {
     await(workerListeners.get(worker).close());
     workers.get(worker).crash();
   }
 
-  /** Removes a worker's entry. */
+  /** Deletes a worker's entry from the list of workers. */
   void deleteWorkerEntry(int worker) {
     store.put("keyed.servers", workers.get(worker).id(), null);
   }
@@ -137,13 +142,13 @@
         InetAddress.getLoopbackAddress().getHostAddress(), server.actualPort());
   }
 
-  /** Gives the customer these keys and no others. */
+  /** Replaces the keys of the customer. */
   void configure(String... keys) {
     CustomerTerms terms = new CustomerTerms("customer", 100, Resources.NONE);
     operator.configure(List.of(new CustomerAccess(terms, Set.of(keys))));
   }
 
-  /** Gives the customer a limit of one processor. */
+  /** Limits the customer to one processor. */
   void limitToOneProcessor() {
     CustomerTerms terms = new CustomerTerms("customer", 100, new Resources(1_000, 0, 0));
     operator.configure(List.of(new CustomerAccess(terms, Set.of(KEY))));
@@ -175,7 +180,7 @@
         1_500);
   }
 
-  /** Puts an owner in place that takes connections and answers nothing. */
+  /** Records an owner that accepts connections and answers nothing. */
   void installUnresponsiveOwner() throws Exception {
     NetServer silent =
         await(
@@ -189,11 +194,11 @@
     byte[] owner = ("1 " + address).getBytes(StandardCharsets.UTF_8);
     write("keyed.hickorypier-journal", "owner", owner);
     write("keyed.hickorypier-directory", "cell-0", owner);
-    // The group deals its partitions by the order of names.
+    // The group assigns its partitions to members in the order of their names.
     store.join("hickorypier", "a-member-standing-still", "keyed.hickorypier-journal", 60_000);
   }
 
-  /** Claims the cell in an instance's name, in the journal alone and without its knowledge. */
+  /** Claims the cell for an instance in the journal only, without that instance's knowledge. */
   void claimFor(Instance instance, int epoch) throws Exception {
     byte[] owner =
         (epoch + " " + instance.settings().advertisedPeer()).getBytes(StandardCharsets.UTF_8);
@@ -216,8 +221,8 @@
 
   Instance start(Strength strength) throws Exception {
     Instance instance = startWithoutOwner(strength);
-    // An instance is ready for up to 3 s without an owner, and may refuse meanwhile.
-    waitUntil(() -> instances.stream().anyMatch(each -> hasLogged(each, "owner-gained")));
+    // An instance without an owner stays ready for up to 3 s and may refuse requests meanwhile.
+    waitUntil(() -> instances.stream().anyMatch(candidate -> hasLogged(candidate, "owner-gained")));
     return instance;
   }
 
@@ -235,10 +240,10 @@
     return newNode(settings(Strength.UNKNOWN));
   }
 
-  /** Makes an instance that is not started. */
+  /** Creates an instance without starting it. */
   Node newNode(NodeSettings settings) {
-    AtomicLong work = new AtomicLong(workNanos);
-    latestWorkNanos = work;
+    AtomicLong currentWorkNanos = new AtomicLong(workNanos);
+    latestWorkNanos = currentWorkNanos;
     return new Node(
         settings,
         (part, event, fields) -> {
@@ -246,7 +251,7 @@
           log.event(part, event, fields);
         },
         System::currentTimeMillis,
-        new ProcessorSpeedMonitor(work::get));
+        new ProcessorSpeedMonitor(currentWorkNanos::get));
   }
 
   /** Tells whether an instance has logged an event. */
@@ -257,33 +262,36 @@
     }
   }
 
-  /** Returns for how long an instance has said that long waiting steps wait for a worker yet. */
+  /**
+   * Returns the remaining times, in milliseconds, that an instance has logged for steps that wait
+   * for a worker.
+   */
   List<Long> loggedWorkerWaitsMillis(Instance instance, String worker) {
-    Pattern figure = Pattern.compile(" step-waits .* " + worker + " for (\\d+) ms");
+    Pattern waitPattern = Pattern.compile(" step-waits .* " + worker + " for (\\d+) ms");
     synchronized (events) {
       return events.stream()
           .filter(line -> line.startsWith(instance.settings().name()))
-          .map(figure::matcher)
+          .map(waitPattern::matcher)
           .filter(Matcher::find)
-          .map(found -> Long.valueOf(found.group(1)))
+          .map(match -> Long.valueOf(match.group(1)))
           .toList();
     }
   }
 
-  /** Begins an instance's graceful end, as at SIGTERM. */
+  /** Starts an instance's graceful shutdown, as on SIGTERM. */
   Future<Void> leave(Instance instance, long graceMillis) {
-    long endsAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(graceMillis);
-    return instance.node().leave(instance.node().controlContext(), endsAt);
+    long processEndsAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(graceMillis);
+    return instance.node().leave(instance.node().controlContext(), processEndsAtNanos);
   }
 
-  /** Returns what was logged after the first line that begins with a text. */
+  /** Returns the logged lines from the first one that starts with the given text. */
   List<String> eventsSince(String text) {
     synchronized (events) {
       return events.stream().dropWhile(line -> !line.startsWith(text)).toList();
     }
   }
 
-  /** Takes an instance's process away: its sockets close, nothing is handed over. */
+  /** Simulates a crash of an instance: its sockets close and nothing is handed over. */
   void kill(Instance instance) throws Exception {
     await(vertx.undeploy(instance.deployment()));
   }
@@ -302,7 +310,7 @@
     return call(instance.settings().front(), HttpMethod.POST, PREFIX + id, body.toBuffer());
   }
 
-  /** Hands in one task that lasts. */
+  /** Submits one persistent task. */
   HttpReply submitPersistent(Instance instance, String id) {
     return submit(instance, id, step(1).put("Persistent", true));
   }
@@ -334,7 +342,7 @@
     }
   }
 
-  /** Opens a connection that sends nothing yet. */
+  /** Opens a connection without sending anything. */
   NetSocket connect(ServiceAddress address) throws Exception {
     return await(vertx.createNetClient().connect(address.port(), address.host()));
   }
@@ -345,12 +353,12 @@
     return starts;
   }
 
-  /** Waits for a condition; the test fails if it does not come about. */
+  /** Waits for a condition; the test fails if it is not met within the timeout. */
   void waitUntil(BooleanSupplier condition) throws InterruptedException {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadline) {
-        throw new AssertionError("the condition did not come about; events: " + events);
+        throw new AssertionError("the condition was not met in time; events: " + events);
       }
       TimeUnit.MILLISECONDS.sleep(10);
     }
@@ -365,7 +373,7 @@
   public void close() throws ExecutionException, TimeoutException {
     onClose.run();
     try {
-      // Instances first: they still call the stand-ins, whose end would wait for those calls.
+      // Instances stop first: they still call the stand-ins, whose shutdown waits for such calls.
       for (Instance instance : instances) {
         if (vertx.deploymentIDs().contains(instance.deployment())) {
           await(vertx.undeploy(instance.deployment()));
