--- a/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
@@ -80,7 +80,7 @@
   private volatile boolean shutdownRequested;
   private volatile long shutdownDeadlineNanos;
   private boolean draining;
-  private final Promise<Void> allCallersGone = Promise.promise();
+  private final Promise<Void> drainPromise = Promise.promise();
   private volatile long ownerlessMillis;
   private Handover handover;
   private AdviceClient advisorClient;
@@ -346,7 +346,7 @@
     FrontServer server = frontServer;
     if (shutdownRequested && server != null && !draining) {
       draining = true;
-      server.drain(shutdownDeadlineNanos).onComplete(allCallersGone);
+      server.drain(shutdownDeadlineNanos).onComplete(drainPromise);
     }
   }
 
@@ -357,7 +357,7 @@
    *     once if there is no front server
    */
   public Future<Void> callersDisconnected() {
-    return frontServer == null ? Future.succeededFuture() : allCallersGone.future();
+    return frontServer == null ? Future.succeededFuture() : drainPromise.future();
   }
 
   /**
