--- a/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
@@ -20,39 +20,41 @@
 import org.hickorypier.platform.rehearsal.RehearsalPlatform;
 
 /**
- * Starts two instances on loopback over a platform of its own, hands work in, and ends.
+ * Training run that starts two instances on loopback over a stand-in platform, submits work, and
+ * exits.
  *
- * <p>The build runs it to write the archive of loaded classes. A restarted process loads from it
- * all that an owner needs, down to the classes that the runtime makes for lambdas; without those of
- * an owner at work, the way from the first line to the first accepted submission took half as long
- * again. Exit codes: 0 if the work was done, 1 if not.
+ * <p>The build runs it to write the archive of loaded classes (class-data sharing). A restarted
+ * process loads from the archive every class that an owner needs, including those that the runtime
+ * generates for lambdas; without the classes of a working owner, the time from the first log line
+ * to the first accepted submission was half as long again. Exit codes: 0 if the work was completed,
+ * 1 if not.
  */
 public final class Rehearsal {
 
-  private static final long MOST_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
   private static final int SUBMISSIONS = 20;
-  private static final int POLLS = 200;
-  private static final long POLL_MILLIS = 20;
-  private static final long CALL_MILLIS = 3_000;
+  private static final int MAX_POLLS = 200;
+  private static final long POLL_INTERVAL_MILLIS = 20;
+  private static final long CALL_TIMEOUT_MILLIS = 3_000;
   private static final int OK = 200;
   private static final Map<String, String> HEADERS =
       Map.of("Host", RehearsalPlatform.HOST, "Authorization", "Bearer " + RehearsalPlatform.KEY);
 
-  private final HttpCalls calls;
+  private final HttpCalls httpCalls;
   private final Vertx vertx;
-  private final CountDownLatch done = new CountDownLatch(SUBMISSIONS);
+  private final CountDownLatch remainingSubmissions = new CountDownLatch(SUBMISSIONS);
 
   private Rehearsal(Vertx vertx) {
     this.vertx = vertx;
-    this.calls = new HttpCalls(vertx, 2);
+    this.httpCalls = new HttpCalls(vertx, 2);
   }
 
   /**
    * Runs the rehearsal.
    *
-   * @param arguments none
+   * @param arguments not used
    * @throws IOException if no port is free, or the settings file cannot be written
-   * @throws InterruptedException if the runtime ends first
+   * @throws InterruptedException if the runtime exits first
    * @throws ParseException if the flags of an instance have changed
    * @throws SettingsFileException if the format of the settings has changed
    */
@@ -62,16 +64,16 @@
     CountDownLatch listening = new CountDownLatch(1);
     Future<ServiceAddress> platform =
         new RehearsalPlatform(platformVertx).listen().onSuccess(address -> listening.countDown());
-    boolean up = listening.await(MOST_SECONDS, TimeUnit.SECONDS);
-    if (!up) {
+    boolean platformListening = listening.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    if (!platformListening) {
       System.exit(1);
     }
-    JsonObject written = settings("first", platform.result());
-    final NodeSettings first = NodeSettings.decode(written);
+    JsonObject firstSettings = settings("first", platform.result());
+    final NodeSettings first = NodeSettings.decode(firstSettings);
     final NodeSettings second = NodeSettings.decode(settings("second", platform.result()));
     Path file = Files.createTempFile("rehearsal", ".json");
-    Files.writeString(file, written.encode());
-    NodeMain.Started started = NodeMain.startFromFlags(new String[] {"--settings=" + file});
+    Files.writeString(file, firstSettings.encode());
+    NodeMain.StartedInstance started = NodeMain.startFromFlags(new String[] {"--settings=" + file});
     Files.delete(file);
     Rehearsal rehearsal = new Rehearsal(started.vertx());
     started
@@ -81,63 +83,74 @@
                 started
                     .vertx()
                     .deployVerticle(new Node(second, started.log(), System::currentTimeMillis)))
-        .onSuccess(id -> rehearsal.handIn(first, second, 0));
-    boolean finished = rehearsal.done.await(MOST_SECONDS, TimeUnit.SECONDS);
+        .onSuccess(id -> rehearsal.submitFrom(first, second, 0));
+    boolean finished = rehearsal.remainingSubmissions.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     System.exit(finished ? 0 : 1);
   }
 
-  private void handIn(NodeSettings first, NodeSettings second, int number) {
+  private void submitFrom(NodeSettings first, NodeSettings second, int number) {
     if (number == SUBMISSIONS) {
       return;
     }
-    NodeSettings to = number % 2 == 0 ? first : second;
+    NodeSettings target = number % 2 == 0 ? first : second;
     String path = RehearsalPlatform.PREFIX + "%016x".formatted(number);
     boolean cancelled = number % 5 == 4;
-    submit(to, path, POLLS)
-        .compose(none -> call(to.ready(), HttpMethod.GET, "/", null))
-        .compose(none -> call(to.front(), HttpMethod.GET, RehearsalPlatform.PREFIX, null))
+    submit(target, path, MAX_POLLS)
+        .compose(none -> call(target.ready(), HttpMethod.GET, "/", null))
+        .compose(none -> call(target.front(), HttpMethod.GET, RehearsalPlatform.PREFIX, null))
         .compose(
             none ->
                 cancelled
-                    ? call(to.front(), HttpMethod.DELETE, path, null)
+                    ? call(target.front(), HttpMethod.DELETE, path, null)
                     : Future.succeededFuture(""))
-        .onComplete(none -> awaitEnd(to, path, POLLS, () -> handIn(first, second, number + 1)));
+        .onComplete(
+            none ->
+                awaitCompletion(
+                    target, path, MAX_POLLS, () -> submitFrom(first, second, number + 1)));
   }
 
-  /** Hands a submission in; again while there is no owner yet. */
-  private Future<String> submit(NodeSettings to, String path, int tries) {
-    return calls
+  /** Sends a submission and retries while it is not accepted, since there may be no owner yet. */
+  private Future<String> submit(NodeSettings target, String path, int remainingAttempts) {
+    return httpCalls
         .call(
-            to.front(), HttpMethod.POST, path, HEADERS, RehearsalPlatform.submission(), CALL_MILLIS)
+            target.front(),
+            HttpMethod.POST,
+            path,
+            HEADERS,
+            RehearsalPlatform.submission(),
+            CALL_TIMEOUT_MILLIS)
         .compose(
             reply ->
-                reply.status() == OK || tries == 0
+                reply.status() == OK || remainingAttempts == 0
                     ? Future.succeededFuture("")
-                    : pause().compose(over -> submit(to, path, tries - 1)));
+                    : awaitPollInterval()
+                        .compose(over -> submit(target, path, remainingAttempts - 1)));
   }
 
-  private Future<Void> pause() {
+  private Future<Void> awaitPollInterval() {
     Promise<Void> over = Promise.promise();
-    vertx.setTimer(POLL_MILLIS, id -> over.complete());
+    vertx.setTimer(POLL_INTERVAL_MILLIS, id -> over.complete());
     return over.future();
   }
 
-  private void awaitEnd(NodeSettings to, String path, int polls, Runnable next) {
-    call(to.front(), HttpMethod.GET, path, null)
+  private void awaitCompletion(
+      NodeSettings target, String path, int remainingPolls, Runnable next) {
+    call(target.front(), HttpMethod.GET, path, null)
         .onSuccess(
             state -> {
               if (state.contains("completed") || state.contains("cancelled")) {
-                done.countDown();
+                remainingSubmissions.countDown();
                 next.run();
-              } else if (polls > 0) {
-                pause().onSuccess(over -> awaitEnd(to, path, polls - 1, next));
+              } else if (remainingPolls > 0) {
+                awaitPollInterval()
+                    .onSuccess(over -> awaitCompletion(target, path, remainingPolls - 1, next));
               }
             });
   }
 
   private Future<String> call(ServiceAddress address, HttpMethod method, String path, Buffer body) {
-    return calls
-        .call(address, method, path, HEADERS, body, CALL_MILLIS)
+    return httpCalls
+        .call(address, method, path, HEADERS, body, CALL_TIMEOUT_MILLIS)
         .map(reply -> reply.body().toString());
   }
 
--- a/daemon/src/test/java/org/hickorypier/daemon/node/LogSamples.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/LogSamples.java
@@ -11,45 +11,47 @@
 /**
  * Writes the logs that docs/OPERATIONS.md explains: three failed requests over the stand-ins.
  *
- * <p>Run by hand when events change; the page and the logs beside its test are replaced together.
+ * <p>Run manually when log events change; the logs on that page and those in the test resources are
+ * then replaced together.
  */
 final class LogSamples {
 
   private LogSamples() {}
 
   /**
-   * Plays the three failures.
+   * Reproduces the three failures.
    *
-   * @param arguments the folder to write to
-   * @throws Exception if an instance does not do what the sample shows
+   * @param arguments the directory to write to
+   * @throws Exception if an instance does not behave as the sample shows
    */
   public static void main(String[] arguments) throws Exception {
-    Path folder = Files.createDirectories(Path.of(arguments[0]));
-    refusedThoughThereWasRoom(folder);
-    lateAfterLostWorker(folder);
-    outcomeNotKnown(folder);
+    Path directory = Files.createDirectories(Path.of(arguments[0]));
+    writeRefusedSample(directory);
+    writeLateSample(directory);
+    writeUnknownOutcomeSample(directory);
   }
 
-  private static void refusedThoughThereWasRoom(Path folder) throws Exception {
-    try (SmallCluster cluster = logged(folder, "refused", 2, 50)) {
+  private static void writeRefusedSample(Path directory) throws Exception {
+    try (SmallCluster cluster = clusterLoggingTo(directory, "refused", 2, 50)) {
       SmallCluster.Instance instance = startWithOwner(cluster);
       cluster.storeServer.gate().plan(FaultPlan.always("append", Fault.UNAVAILABLE));
-      // The first caller meets the outage before the owner knows of it, and waits in vain.
+      // The first caller submits before the owner has detected the outage and waits for an
+      // acceptance that does not come.
       cluster.submit(instance, "5c0e7a21d94b36f9", 1);
       if (cluster.submit(instance, "5c0e7a21d94b36f1", 1).status() != 503) {
-        throw new IllegalStateException("not refused");
+        throw new IllegalStateException("the submission was not refused");
       }
       cluster.storeServer.gate().plan(FaultPlan.NONE);
-      cluster.until(() -> cluster.submit(instance, "5c0e7a21d94b36f1", 1).status() == 200);
-      cluster.until(() -> cluster.state(instance, "5c0e7a21d94b36f1").equals("completed"));
+      cluster.waitUntil(() -> cluster.submit(instance, "5c0e7a21d94b36f1", 1).status() == 200);
+      cluster.waitUntil(() -> cluster.state(instance, "5c0e7a21d94b36f1").equals("completed"));
     }
   }
 
-  private static void lateAfterLostWorker(Path folder) throws Exception {
-    try (SmallCluster cluster = logged(folder, "late", 2, 1_500)) {
+  private static void writeLateSample(Path directory) throws Exception {
+    try (SmallCluster cluster = clusterLoggingTo(directory, "late", 2, 1_500)) {
       SmallCluster.Instance instance = startWithOwner(cluster);
       cluster.submit(instance, "5c0e7a21d94b36f2", 1);
-      cluster.until(() -> cluster.starts().size() == 2);
+      cluster.waitUntil(() -> cluster.starts().size() == 2);
       String start = "5c0e7a21d94b36f2.0.0.0#1";
       int holder = cluster.workers.get(0).history().contains(start) ? 0 : 1;
       cluster
@@ -57,34 +59,34 @@
           .get(holder)
           .gate()
           .plan(FaultPlan.always("", Fault.SILENT_BEFORE_EFFECT));
-      cluster.until(() -> cluster.state(instance, "5c0e7a21d94b36f2").equals("completed"));
+      cluster.waitUntil(() -> cluster.state(instance, "5c0e7a21d94b36f2").equals("completed"));
     }
   }
 
-  private static void outcomeNotKnown(Path folder) throws Exception {
-    try (SmallCluster cluster = logged(folder, "unknown", 2, 50)) {
+  private static void writeUnknownOutcomeSample(Path directory) throws Exception {
+    try (SmallCluster cluster = clusterLoggingTo(directory, "unknown", 2, 50)) {
       SmallCluster.Instance instance = startWithOwner(cluster);
       cluster.storeServer.gate().plan(FaultPlan.always("append", Fault.SILENT_BEFORE_EFFECT));
       int status = cluster.submit(instance, "5c0e7a21d94b36f3", 1).status();
       if (status != 504) {
-        throw new IllegalStateException("status " + status);
+        throw new IllegalStateException("expected status 504, was " + status);
       }
       cluster.storeServer.gate().plan(FaultPlan.NONE);
-      cluster.until(() -> cluster.state(instance, "5c0e7a21d94b36f3").equals("completed"));
+      cluster.waitUntil(() -> cluster.state(instance, "5c0e7a21d94b36f3").equals("completed"));
     }
   }
 
   private static SmallCluster.Instance startWithOwner(SmallCluster cluster) throws Exception {
     SmallCluster.Instance instance = cluster.start();
-    cluster.until(() -> cluster.submit(instance, "5c0e7a21d94b36f0", 1).status() == 200);
-    cluster.until(() -> cluster.state(instance, "5c0e7a21d94b36f0").equals("completed"));
+    cluster.waitUntil(() -> cluster.submit(instance, "5c0e7a21d94b36f0", 1).status() == 200);
+    cluster.waitUntil(() -> cluster.state(instance, "5c0e7a21d94b36f0").equals("completed"));
     return instance;
   }
 
-  private static SmallCluster logged(Path folder, String name, int workers, long workMillis)
-      throws Exception {
+  private static SmallCluster clusterLoggingTo(
+      Path directory, String name, int workers, long workMillis) throws Exception {
     SmallCluster cluster = new SmallCluster(workers, workMillis);
-    OutputStream stream = Files.newOutputStream(folder.resolve(name + ".log"));
+    OutputStream stream = Files.newOutputStream(directory.resolve(name + ".log"));
     LineLog log = new LineLog("instance-0", System::currentTimeMillis, stream);
     cluster.log = log;
     cluster.onClose =
--- a/daemon/src/test/java/org/hickorypier/daemon/node/NodeTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/NodeTest.java
@@ -12,95 +12,96 @@
 import org.hickorypier.standins.fault.FaultPlan;
 import org.junit.jupiter.api.Test;
 
-/** The whole path over the stand-ins: callers, instances, store, workers. */
+/** Tests instances end to end over the stand-ins: callers, instances, store and workers. */
 class NodeTest {
 
-  private static final String ID = "5c0e7a21d94b36f%x";
+  private static final String ID_FORMAT = "5c0e7a21d94b36f%x";
 
-  /** A task that lasts runs again at the latest so long after its last run. */
-  private static final long LASTING_TASK_RESTART_MILLIS = 9_000;
+  /** Longest time from the last run of a persistent task to its next run. */
+  private static final long MAX_PERSISTENT_RESTART_MILLIS = 9_000;
 
-  /** A step has waited for so long, at least, when the log tells what it waits for. */
-  private static final long WAIT_TOLD_AFTER_MILLIS = 2_000;
+  /** Shortest time that a step has waited when the log reports what it waits for. */
+  private static final long MIN_LOGGED_WAIT_MILLIS = 2_000;
 
   @Test
-  void submissionIsAcceptedRunAndShownAsCompleted() throws Exception {
+  void submissionIsAcceptedRunAndReportedAsCompleted() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 50)) {
       SmallCluster.Instance first = cluster.start();
       SmallCluster.Instance second = cluster.start();
-      String id = ID.formatted(1);
+      String id = ID_FORMAT.formatted(1);
       assertThat(cluster.submit(second, id, 3).status()).isEqualTo(200);
-      cluster.until(() -> cluster.state(first, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(first, id).equals("completed"));
       assertThat(cluster.state(second, id)).isEqualTo("completed");
       assertThat(cluster.starts()).hasSize(3).doesNotHaveDuplicates();
-      assertThat(cluster.state(first, ID.formatted(2))).isEqualTo("410");
+      assertThat(cluster.state(first, ID_FORMAT.formatted(2))).isEqualTo("410");
     }
   }
 
   /**
-   * The owner's process is killed while the caller's tasks run. Another instance takes over, finds
-   * the submission in the journal and the runs at the workers, and shows it as completed; no task
-   * starts twice.
+   * Guards against tasks that start twice when the owner's process is killed while they run.
+   * Another instance takes over, finds the submission in the journal and the runs at the workers,
+   * and reports the submission as completed.
    */
   @Test
-  void successorFindsRunningTasks() throws Exception {
+  void successorAdoptsRunningTasks() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 1_500)) {
       SmallCluster.Instance owner = cluster.start();
       SmallCluster.Instance other = cluster.start();
-      String id = ID.formatted(3);
+      String id = ID_FORMAT.formatted(3);
       assertThat(cluster.submit(other, id, 4).status()).isEqualTo(200);
-      cluster.until(() -> cluster.starts().size() == 4);
+      cluster.waitUntil(() -> cluster.starts().size() == 4);
       cluster.kill(owner);
-      cluster.until(() -> cluster.state(other, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(other, id).equals("completed"));
       assertThat(cluster.starts()).hasSize(4).doesNotHaveDuplicates();
     }
   }
 
   /**
-   * A weak machine is the first to own the cell. When a strong one starts, it takes the cell over;
-   * the caller's submission, accepted by the weak one, completes there. When the strong one is
-   * killed, the weak one owns the cell again, so that callers are served by what is left.
+   * A weak machine owns the cell first. A stronger one takes the cell over when it starts, and the
+   * submission that the weak machine accepted completes there. When the strong machine is killed,
+   * the weak one owns the cell again, so that the remaining instance serves callers.
    */
   @Test
-  void strongMachineTakesTheCellOverAndWeakOneStepsInWhenItIsLost() throws Exception {
+  void strongerMachineTakesOverAndWeakerOneReplacesItAfterCrash() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 300)) {
       SmallCluster.Instance weak = cluster.start(Strength.of(0.36, 7));
-      String id = ID.formatted(1);
+      String id = ID_FORMAT.formatted(1);
       assertThat(cluster.submit(weak, id, 3).status()).isEqualTo(200);
       SmallCluster.Instance strong = cluster.start(Strength.of(1.5, 140));
-      cluster.until(() -> cluster.told(strong, "owner-gained"));
-      cluster.until(() -> cluster.state(weak, id).equals("completed"));
-      cluster.until(() -> cluster.told(weak, "owner-lost"));
+      cluster.waitUntil(() -> cluster.hasLogged(strong, "owner-gained"));
+      cluster.waitUntil(() -> cluster.state(weak, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.hasLogged(weak, "owner-lost"));
       cluster.kill(strong);
-      String later = ID.formatted(2);
-      cluster.until(() -> cluster.submit(weak, later, 2).status() == 200);
-      cluster.until(() -> cluster.state(weak, later).equals("completed"));
+      String laterId = ID_FORMAT.formatted(2);
+      cluster.waitUntil(() -> cluster.submit(weak, laterId, 2).status() == 200);
+      cluster.waitUntil(() -> cluster.state(weak, laterId).equals("completed"));
       assertThat(cluster.starts()).hasSize(5).doesNotHaveDuplicates();
     }
   }
 
   /**
-   * The store carries out an append and its answer is lost. The caller is not told anything untrue:
-   * the append is repeated under its number, and the submission is accepted once.
+   * Guards against a wrong answer to the caller when the store executes an append and its reply is
+   * lost. The append is retried with the same sequence number, and the submission is accepted once.
    */
   @Test
-  void lostAnswerOfTheStoreIsSettledByRepetition() throws Exception {
+  void lostStoreReplyIsResolvedByRetry() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       cluster.storeServer.gate().plan(FaultPlan.once("append", Fault.RESET_AFTER_EFFECT));
-      String id = ID.formatted(4);
+      String id = ID_FORMAT.formatted(4);
       assertThat(cluster.submit(instance, id, 1).status()).isEqualTo(200);
-      cluster.until(() -> cluster.state(instance, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(instance, id).equals("completed"));
       assertThat(cluster.starts()).hasSize(1);
     }
   }
 
   /**
-   * The store loses answers of appends, before and after their effect, while several are under way.
-   * Each caller gets its acceptance, each task runs once, and all is in the journal in the end.
+   * Guards against lost or doubled records when the store loses replies of appends, before and
+   * after their effect, while several appends are pending. Each caller gets its acceptance, each
+   * task runs once, and every record reaches the journal.
    */
   @Test
-  void appendsUnderWaySurviveLostAnswers() throws Exception {
+  void concurrentAppendsSurviveLostReplies() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 20)) {
       SmallCluster.Instance instance = cluster.start();
       Fault[] faults = {Fault.RESET_AFTER_EFFECT, Fault.UNAVAILABLE, Fault.RESET_BEFORE_EFFECT};
@@ -110,34 +111,35 @@
       }
       for (int index = 0; index < 12; index++) {
         String id = "a%015x".formatted(index);
-        cluster.until(() -> cluster.state(instance, id).equals("completed"));
+        cluster.waitUntil(() -> cluster.state(instance, id).equals("completed"));
       }
       assertThat(cluster.starts()).hasSize(24).doesNotHaveDuplicates();
     }
   }
 
   /**
-   * The owner has lost the store; a successor may have taken over and accepted submissions. Asked
-   * for one that it does not know, the owner must not say that there is none.
+   * Guards against a false "unknown" from an owner that has lost the store. A successor may have
+   * taken over and accepted submissions, so the owner must not report a submission that it does not
+   * know as nonexistent.
    */
   @Test
-  void ownerWithoutProofDoesNotSayThatSomethingIsUnknown() throws Exception {
+  void ownerWithoutProofDoesNotReportSubmissionAsUnknown() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
-      String id = ID.formatted(10);
+      String id = ID_FORMAT.formatted(10);
       assertThat(cluster.state(instance, id)).isEqualTo("410");
       cluster.storeServer.gate().plan(FaultPlan.always("append", Fault.UNAVAILABLE));
-      cluster.until(() -> cluster.state(instance, id).equals("503"));
+      cluster.waitUntil(() -> cluster.state(instance, id).equals("503"));
     }
   }
 
   @Test
-  void withdrawnKeyIsRefusedAndAnUnknownQueueIsNotFound() throws Exception {
+  void revokedKeyIsRefusedAndUnknownQueueIsNotFound() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
-      assertThat(cluster.submit(instance, ID.formatted(5), 1).status()).isEqualTo(200);
+      assertThat(cluster.submit(instance, ID_FORMAT.formatted(5), 1).status()).isEqualTo(200);
       cluster.configure("another-key");
-      cluster.until(() -> cluster.submit(instance, ID.formatted(6), 1).status() == 401);
+      cluster.waitUntil(() -> cluster.submit(instance, ID_FORMAT.formatted(6), 1).status() == 401);
       assertThat(
               cluster.call(instance.settings().front(), HttpMethod.GET, "/nowhere/", null).status())
           .isEqualTo(404);
@@ -145,18 +147,18 @@
   }
 
   /**
-   * The operator's and the workers' history is forgotten while the instances follow it. They start
-   * from the newest of each key and go on serving.
+   * The store discards the history of the operator's and the workers' records while the instances
+   * read it. The instances restart from the newest record of each key and continue to serve.
    */
   @Test
-  void forgottenHistoryCostsNothing() throws Exception {
+  void instancesKeepServingAfterHistoryIsDiscarded() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       cluster.store.forgetHistory();
       cluster.configure(SmallCluster.KEY);
-      String id = ID.formatted(7);
-      cluster.until(() -> cluster.submit(instance, id, 1).status() == 200);
-      cluster.until(() -> cluster.state(instance, id).equals("completed"));
+      String id = ID_FORMAT.formatted(7);
+      cluster.waitUntil(() -> cluster.submit(instance, id, 1).status() == 200);
+      cluster.waitUntil(() -> cluster.state(instance, id).equals("completed"));
     }
   }
 
@@ -164,9 +166,9 @@
   void cancelledSubmissionStopsAndStaysCancelled() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 60_000)) {
       SmallCluster.Instance instance = cluster.start();
-      String id = ID.formatted(8);
+      String id = ID_FORMAT.formatted(8);
       assertThat(cluster.submit(instance, id, 1).status()).isEqualTo(200);
-      cluster.until(() -> cluster.starts().size() == 1);
+      cluster.waitUntil(() -> cluster.starts().size() == 1);
       assertThat(
               cluster
                   .call(
@@ -182,21 +184,22 @@
   }
 
   /**
-   * The owner gets SIGTERM while callers are connected. It sends them elsewhere with their answers,
-   * hands the cell over at once, and the other instance goes on with the tasks that run.
+   * The owner shuts down, as on SIGTERM, while callers are connected. It tells them with its
+   * responses to reconnect elsewhere and hands the cell over at once, and the other instance
+   * continues the running tasks.
    */
   @Test
-  void leavingOwnerHandsOverAndSendsCallersElsewhere() throws Exception {
+  void stoppingOwnerHandsOverAndDrainsCallers() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 1_000)) {
       SmallCluster.Instance owner = cluster.start();
       final SmallCluster.Instance other = cluster.start();
-      String id = ID.formatted(11);
+      String id = ID_FORMAT.formatted(11);
       cluster.submit(owner, id, 2);
-      cluster.until(() -> cluster.starts().size() == 2);
+      cluster.waitUntil(() -> cluster.starts().size() == 2);
       SmallCluster.await(
           owner.node().leave(owner.node().controlContext(), System.nanoTime() + 3_000_000_000L));
       assertThat(cluster.ready(owner)).isFalse();
-      cluster.until(() -> cluster.state(owner, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(owner, id).equals("completed"));
       assertThat(cluster.state(other, id)).isEqualTo("completed");
       assertThat(cluster.starts()).hasSize(2).doesNotHaveDuplicates();
       assertThat(cluster.events).anyMatch(event -> event.contains("the owner asked for it"));
@@ -204,59 +207,63 @@
   }
 
   @Test
-  void operatorLearnsWhereSubmissionStandsFromAnyInstance() throws Exception {
+  void anyInstanceExplainsSubmissionToOperator() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 60_000)) {
       SmallCluster.Instance first = cluster.start();
       SmallCluster.Instance second = cluster.start();
-      String id = ID.formatted(12);
+      String id = ID_FORMAT.formatted(12);
       cluster.submit(first, id, 20);
-      cluster.until(() -> cluster.starts().size() == 16);
-      String told = SmallCluster.await(second.node().explain(id));
-      assertThat(told).contains("0 of 20 done").contains("on w0").contains("waits for room: 0");
+      cluster.waitUntil(() -> cluster.starts().size() == 16);
+      String explanation = SmallCluster.await(second.node().explain(id));
+      assertThat(explanation)
+          .contains("0 of 20 done")
+          .contains("on w0")
+          .contains("waits for room: 0");
       assertThat(SmallCluster.await(second.node().explain("nobody"))).contains("is not known");
     }
   }
 
   @Test
-  void badInputIsNamedWithItsRange() throws Exception {
+  void invalidInputIsReportedWithAllowedRange() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       assertThat(cluster.submit(instance, "no-id", 1).body().toString())
           .contains("no-id")
           .contains("16 hexadecimal digits");
-      assertThat(cluster.submit(instance, ID.formatted(9), -1).body().toString())
+      assertThat(cluster.submit(instance, ID_FORMAT.formatted(9), -1).body().toString())
           .contains("-1")
           .contains("1 to 100000");
     }
   }
 
   /**
-   * The owner's machine stands still: its connections stay open, and nothing refuses or answers.
-   * The group's partition belongs to that member for a minute. A caller's submission is accepted
-   * all the same, since the instance misses a sign of life and finds no trace of one in the
-   * journal.
+   * Guards against an outage when the owner's machine hangs: its connections stay open but are
+   * neither refused nor answered, and it stays the group's member for the partition for a minute. A
+   * submission is still accepted, since the other instance receives no heartbeat from the owner and
+   * finds no recent record of it in the journal.
    */
   @Test
-  void ownerThatStandsStillIsReplaced() throws Exception {
+  void unresponsiveOwnerIsReplaced() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
-      cluster.standStillOwner();
-      SmallCluster.Instance instance = cluster.startUnowned(Strength.UNKNOWN);
-      String id = ID.formatted(12);
+      cluster.installUnresponsiveOwner();
+      SmallCluster.Instance instance = cluster.startWithoutOwner(Strength.UNKNOWN);
+      String id = ID_FORMAT.formatted(12);
       assertThat(cluster.submit(instance, id, 1).status()).as("%s", cluster.events).isEqualTo(200);
-      assertThat(cluster.told(instance, "owner-suspected")).isTrue();
-      cluster.until(() -> cluster.state(instance, id).equals("completed"));
+      assertThat(cluster.hasLogged(instance, "owner-suspected")).isTrue();
+      cluster.waitUntil(() -> cluster.state(instance, id).equals("completed"));
     }
   }
 
   /**
-   * A caller keeps its connection open through a graceful shutdown of the instance and sends its
-   * next request just as the process ends. Its way out took up to 0.3 s with all connections open:
-   * the logs show requests read 2 to 22 ms after "stopped", with "busy" true, and the process gone
-   * before their answer. The connection is closed by then, so the request is not read, and the
-   * caller knows at once that it may send it elsewhere.
+   * Guards against requests that are read but never answered. A caller keeps its connection open
+   * during a graceful shutdown and sends its next request just as the process exits. The exit took
+   * up to 0.3 s with all connections open: the logs showed requests read 2 to 22 ms after
+   * "stopped", with "busy" true, and the process was gone before it answered. The connection is now
+   * closed before the exit, so the request is not read, and the caller knows at once that it may
+   * send it elsewhere.
    */
   @Test
-  void keptConnectionIsClosedBeforeTheProcessEnds() throws Exception {
+  void keptAliveConnectionIsClosedBeforeProcessExits() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       SmallCluster.Instance instance = cluster.start();
       NetSocket caller = cluster.connect(instance.settings().front());
@@ -268,97 +275,105 @@
       SmallCluster.await(answered.future());
       SmallCluster.await(
           instance.node().leave(instance.node().controlContext(), System.nanoTime()));
-      assertThat(instance.node().busy()).isTrue();
+      assertThat(instance.node().hasConnections()).isTrue();
       SmallCluster.await(instance.node().closeFront());
       SmallCluster.await(closed.future());
-      cluster.until(() -> !instance.node().busy());
+      cluster.waitUntil(() -> !instance.node().hasConnections());
     }
   }
 
   /**
-   * The owner's machine turns five times slower and goes on answering. Callers used to wait for it
-   * until its neighbour's load was over, since nothing was lost and nobody took over. It hands the
-   * cell to the quick instance; an instance as slow as itself would gain nothing and is not asked.
+   * Guards against callers that wait for a slow owner. The owner's machine becomes five times
+   * slower but still answers; since it was not lost, nobody took over until the load of a neighbour
+   * on the machine had ended. The owner hands the cell over to the fast instance; an instance as
+   * slow as the owner would bring no gain and is not asked.
    */
   @Test
-  void slowedOwnerHandsOverToQuickInstance() throws Exception {
+  void slowedOwnerHandsOverToFasterInstance() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       final SmallCluster.Instance owner = cluster.start();
-      final AtomicLong ownersWork = cluster.latestWorkNanos;
-      final SmallCluster.Instance quick = cluster.start();
+      final AtomicLong ownerWorkNanos = cluster.latestWorkNanos;
+      final SmallCluster.Instance fast = cluster.start();
       cluster.workNanos = 60_000;
       final SmallCluster.Instance slow = cluster.start();
-      long began = System.nanoTime();
-      // Half a minute's samples tell what is usual; some seconds are the least.
-      cluster.until(() -> System.nanoTime() - began > TimeUnit.SECONDS.toNanos(5));
-      ownersWork.set(100_000);
-      cluster.until(() -> cluster.told(quick, "owner-gained"));
-      cluster.until(() -> cluster.told(owner, "owner-lost"));
-      assertThat(cluster.told(slow, "taking-over")).isFalse();
-      String id = ID.formatted(13);
+      long startNanos = System.nanoTime();
+      // The usual speed is the median of half a minute of samples; a few seconds are the minimum.
+      cluster.waitUntil(() -> System.nanoTime() - startNanos > TimeUnit.SECONDS.toNanos(5));
+      ownerWorkNanos.set(100_000);
+      cluster.waitUntil(() -> cluster.hasLogged(fast, "owner-gained"));
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "owner-lost"));
+      assertThat(cluster.hasLogged(slow, "taking-over")).isFalse();
+      String id = ID_FORMAT.formatted(13);
       assertThat(cluster.submit(owner, id, 1).status()).isEqualTo(200);
-      cluster.until(() -> cluster.state(owner, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.state(owner, id).equals("completed"));
     }
   }
 
   /**
-   * An instance claims the cell and its process ends before it has told anybody. The journal names
-   * it as the owner and the directory its predecessor, so each other instance had to find out by a
-   * takeover of its own that failed, one after another for four seconds. The first that finds out
-   * tells all, also the named one, which has come back and takes the cell up again.
+   * Guards against a cell without an owner after an unannounced claim. An instance claims the cell,
+   * and its process exits before it announces that. The journal names it as the owner and the
+   * directory its predecessor, so each other instance found out only by a failed takeover of its
+   * own, one after another for four seconds. The first instance that finds out now announces the
+   * claim to all, including the named instance, which has restarted and takes the cell over again.
    */
   @Test
-  void claimThatWasNeverAnnouncedIsAnnouncedByWhoeverFindsIt() throws Exception {
+  void unannouncedClaimIsAnnouncedByInstanceThatFindsIt() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 20)) {
       final SmallCluster.Instance owner = cluster.start();
       SmallCluster.Instance named = cluster.start();
       cluster.claimFor(named, 2);
-      cluster.until(() -> cluster.told(owner, "owner-lost"));
-      cluster.until(() -> cluster.told(named, "owner-gained"));
-      String id = ID.formatted(14);
-      cluster.until(() -> cluster.submit(owner, id, 1).status() == 200);
-      cluster.until(() -> cluster.state(named, id).equals("completed"));
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "owner-lost"));
+      cluster.waitUntil(() -> cluster.hasLogged(named, "owner-gained"));
+      String id = ID_FORMAT.formatted(14);
+      cluster.waitUntil(() -> cluster.submit(owner, id, 1).status() == 200);
+      cluster.waitUntil(() -> cluster.state(named, id).equals("completed"));
     }
   }
 
-  /** A successor waited 9.87 s from its own takeover for a worker that had left before it. */
+  /**
+   * Guards against a late restart of a persistent task: a successor waited 9.87 s from its own
+   * takeover for a worker that had left before the takeover.
+   */
   @Test
-  void lastingTaskOfDepartedWorkerRunsAgainAfterPlannedHandover() throws Exception {
+  void persistentTaskOfRemovedWorkerRestartsAfterPlannedHandover() throws Exception {
     try (SmallCluster cluster = new SmallCluster(2, 60_000)) {
       final SmallCluster.Instance owner = cluster.start();
       final SmallCluster.Instance successor = cluster.start();
-      assertThat(cluster.submitLasting(owner, ID.formatted(15)).status()).isEqualTo(200);
-      cluster.until(() -> cluster.starts().size() == 1);
+      assertThat(cluster.submitPersistent(owner, ID_FORMAT.formatted(15)).status()).isEqualTo(200);
+      cluster.waitUntil(() -> cluster.starts().size() == 1);
       int departing = cluster.workers.get(0).history().isEmpty() ? 1 : 0;
       cluster.drain(departing, 6_000);
-      cluster.until(() -> cluster.told(owner, "worker-draining"));
-      cluster.depart(departing);
-      cluster.until(() -> cluster.told(owner, "worker-silent"));
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "worker-draining"));
+      cluster.removeWorker(departing);
+      cluster.waitUntil(() -> cluster.hasLogged(owner, "worker-silent"));
       cluster.leave(owner, TimeUnit.MINUTES.toMillis(1));
-      cluster.until(() -> cluster.told(successor, "owner-gained"));
-      cluster.unlist(departing);
-      cluster.until(() -> cluster.starts().size() == 2);
+      cluster.waitUntil(() -> cluster.hasLogged(successor, "owner-gained"));
+      cluster.deleteWorkerEntry(departing);
+      cluster.waitUntil(() -> cluster.starts().size() == 2);
       assertThat(cluster.workers.get(1 - departing).history()).hasSize(1);
-      assertThat(cluster.waitsForWorker(successor, "w" + departing))
-          .allMatch(left -> WAIT_TOLD_AFTER_MILLIS + left <= LASTING_TASK_RESTART_MILLIS);
+      assertThat(cluster.loggedWorkerWaitsMillis(successor, "w" + departing))
+          .allMatch(left -> MIN_LOGGED_WAIT_MILLIS + left <= MAX_PERSISTENT_RESTART_MILLIS);
     }
   }
 
-  /** An owner that had no configuration yet took a customer with a limit for one without. */
+  /**
+   * Guards against exceeding a customer's limit: an owner that had not read the configuration yet
+   * treated a customer with a limit as one without.
+   */
   @Test
   void ownerWithoutConfigurationStartsNothing() throws Exception {
     try (SmallCluster cluster = new SmallCluster(1, 60_000)) {
       SmallCluster.Instance first = cluster.start();
       cluster.limitToOneProcessor();
-      cluster.until(() -> cluster.told(first, "version-in-force [version, 6"));
-      assertThat(cluster.submit(first, ID.formatted(1), 4).status()).isEqualTo(200);
-      cluster.until(() -> cluster.starts().size() == 1);
+      cluster.waitUntil(() -> cluster.hasLogged(first, "version-in-force [version, 6"));
+      assertThat(cluster.submit(first, ID_FORMAT.formatted(1), 4).status()).isEqualTo(200);
+      cluster.waitUntil(() -> cluster.starts().size() == 1);
       cluster.hideConfiguration();
       NodeSettings settings = cluster.settings(Strength.UNKNOWN);
       SmallCluster.await(cluster.vertx.deployVerticle(cluster.newNode(settings)));
       cluster.kill(first);
       String successor = settings.name();
-      cluster.until(
+      cluster.waitUntil(
           () ->
               cluster.starts().size() > 1
                   || cluster.eventsSince(successor + " owner owner-gained").stream()
--- a/daemon/src/test/java/org/hickorypier/daemon/node/RawCaller.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/RawCaller.java
@@ -7,21 +7,22 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * A caller that writes its requests byte by byte as a test says, so that it can stop in the middle.
+ * An HTTP client for tests that writes raw request text, so that it can stop in the middle of a
+ * request.
  *
- * <p>What it has read may be asked from any thread.
+ * <p>What it has received may be read from any thread.
  */
 final class RawCaller {
 
   private final NetSocket socket;
-  private final StringBuffer answers = new StringBuffer();
-  private final Promise<Void> closed = Promise.promise();
+  private final StringBuffer receivedText = new StringBuffer();
+  private final Promise<Void> socketClosed = Promise.promise();
 
   RawCaller(NetSocket socket) {
     this.socket = socket;
-    socket.handler(bytes -> answers.append(bytes.toString(StandardCharsets.UTF_8)));
-    socket.closeHandler(closed::tryComplete);
-    socket.exceptionHandler(error -> closed.tryComplete());
+    socket.handler(bytes -> receivedText.append(bytes.toString(StandardCharsets.UTF_8)));
+    socket.closeHandler(socketClosed::tryComplete);
+    socket.exceptionHandler(error -> socketClosed.tryComplete());
   }
 
   RawCaller write(String text) {
@@ -29,18 +30,18 @@
     return this;
   }
 
-  /** Sends a whole request for a queue that nobody has, which any instance answers by itself. */
-  RawCaller askNowhere() {
+  /** Sends a complete request for an unknown queue, which every instance answers itself. */
+  RawCaller requestUnknownQueue() {
     return write("GET /nowhere/ HTTP/1.1\r\nHost: nowhere\r\n\r\n");
   }
 
-  /** Hands a submission of one task in, as one whole request. */
+  /** Submits one task in a single complete request. */
   RawCaller submit(String id) {
     String body = "{\"Spec\":\"text\",\"Phases\":[{\"Count\":1,\"Cpu\":10,\"MemMb\":1}]}";
     return write(head("POST", id) + "Content-Length: " + body.length() + "\r\n\r\n" + body);
   }
 
-  /** Begins a request up to its body. */
+  /** Returns the start of a request: the request line and the headers common to all requests. */
   static String head(String method, String id) {
     return method
         + " "
@@ -53,29 +54,29 @@
         + "\r\n";
   }
 
-  int answerCount() {
-    return answerCount("");
+  int responseCount() {
+    return responseCount("");
   }
 
-  /** Returns how many answers with a status were read. */
-  int answerCount(String status) {
-    return answers().split("HTTP/1.1 " + status, -1).length - 1;
+  /** Returns the number of responses received whose status starts with the given text. */
+  int responseCount(String status) {
+    return receivedText().split("HTTP/1.1 " + status, -1).length - 1;
   }
 
-  /** Returns all that was read, answer after answer. */
-  String answers() {
-    return answers.toString();
+  /** Returns the text of all responses received so far. */
+  String receivedText() {
+    return receivedText.toString();
   }
 
-  boolean answered() {
-    return answers.length() > 0;
+  boolean hasResponse() {
+    return receivedText.length() > 0;
   }
 
-  boolean closed() {
-    return closed.future().isComplete();
+  boolean isClosed() {
+    return socketClosed.future().isComplete();
   }
 
   void awaitClosed() throws InterruptedException, ExecutionException, TimeoutException {
-    SmallCluster.await(closed.future());
+    SmallCluster.await(socketClosed.future());
   }
 }
