--- a/core/src/main/java/org/hickorypier/core/cell/Archive.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Archive.java
@@ -24,19 +24,19 @@
     for (Submission submission : cell.submissions.values()) {
       if (submission.state.terminal() && submission.endedAtMillis == 0) {
         submission.endedAtMillis = wallMillis;
-        cell.changed(submission);
-      } else if (submission.state.terminal() && submission.shown == submission.state) {
+        cell.recordChange(submission);
+      } else if (submission.state.terminal() && submission.visibleState == submission.state) {
         settled.add(submission);
       }
     }
-    settled.forEach(this::shorten);
-    forgetOld(wallMillis);
+    settled.forEach(this::archive);
+    removeExpired(wallMillis);
   }
 
-  private void shorten(Submission submission) {
+  private void archive(Submission submission) {
     String id = submission.spec().id();
     cell.submissions.remove(id);
-    cell.ended.put(
+    cell.endedSubmissions.put(
         id,
         new EndedSubmission(
             submission.spec().customer(),
@@ -45,11 +45,12 @@
             SubmissionCodec.encode(submission.spec())));
   }
 
-  private void forgetOld(long wallMillis) {
-    Iterator<Map.Entry<String, EndedSubmission>> ended = cell.ended.entrySet().iterator();
+  private void removeExpired(long wallMillis) {
+    Iterator<Map.Entry<String, EndedSubmission>> ended =
+        cell.endedSubmissions.entrySet().iterator();
     while (ended.hasNext()) {
       Map.Entry<String, EndedSubmission> next = ended.next();
-      if (wallMillis - next.getValue().endedAtMillis() > cell.terms.stateKeptMillis()) {
+      if (wallMillis - next.getValue().endedAtMillis() > cell.timings.endStateRetentionMillis()) {
         ended.remove();
         cell.output.drop(next.getKey());
       }
--- a/core/src/main/java/org/hickorypier/core/cell/Cell.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Cell.java
@@ -22,19 +22,19 @@
   private static final String PART = "cell";
 
   /** More runs of one task than any owner orders: each is seconds long, an epoch some minutes. */
-  private static final int RUNS_PER_EPOCH = 1_000;
+  private static final int MAX_RUNS_PER_EPOCH = 1_000;
 
   private final CellState state;
   private final RunBook runs;
   private final WorkerReports reports;
   private final WorkerBook workers;
-  private final Turns turns;
+  private final ReadySteps readySteps;
   private final Archive archive;
-  private final Dispatch dispatch;
-  private final UpcomingSteps upcoming;
-  private final WaitLog waits;
+  private final Dispatcher dispatcher;
+  private final UpcomingSteps upcomingSteps;
+  private final LongWaitLogger longWaitLogger;
   private boolean rosterRestored;
-  private final Map<String, ShareMeter> shares = new HashMap<>();
+  private final Map<String, ShareTokenBucket> shareBuckets = new HashMap<>();
 
   /**
    * Creates an empty cell.
@@ -45,7 +45,7 @@
    * @param epoch the owner's epoch, from 1
    * @param now the owner's steady clock, in milliseconds
    */
-  public Cell(CellTerms terms, CellOutput output, EventLog log, int epoch, long now) {
+  public Cell(CellTimings terms, CellOutput output, EventLog log, int epoch, long now) {
     this.state = new CellState(terms, output, log, epoch, now);
     this.runs = new RunBook(state);
     RunAdoption adoption = new RunAdoption(state, runs);
@@ -53,11 +53,11 @@
         new WorkerReports(
             state, runs, new TaskEnds(state, runs), new Stragglers(state, runs), adoption);
     this.workers = new WorkerBook(state, runs, adoption);
-    this.turns = new Turns(state);
+    this.readySteps = new ReadySteps(state);
     this.archive = new Archive(state);
-    this.upcoming = new UpcomingSteps(state);
-    this.dispatch = new Dispatch(state, runs, upcoming);
-    this.waits = new WaitLog(state);
+    this.upcomingSteps = new UpcomingSteps(state);
+    this.dispatcher = new Dispatcher(state, runs, upcomingSteps);
+    this.longWaitLogger = new LongWaitLogger(state);
   }
 
   /**
@@ -65,7 +65,7 @@
    *
    * @param customers all customers
    */
-  public void configure(Collection<CustomerTerms> customers) {
+  public void configure(Collection<CustomerLimits> customers) {
     state.usage.configure(customers);
     state.dirty = true;
   }
@@ -79,20 +79,20 @@
    */
   public Submission accept(SubmissionSpec spec, long now) {
     Submission known = state.submissions.get(spec.id());
-    if (known != null || state.ended.containsKey(spec.id())) {
+    if (known != null || state.endedSubmissions.containsKey(spec.id())) {
       return known;
     }
-    Submission submission = new Submission(spec, state.nextNumber(), now, 1);
-    CustomerTerms customer = state.usage.terms(spec.customer());
-    submission.beyondShare =
+    Submission submission = new Submission(spec, state.nextSubmissionNumber(), now, 1);
+    CustomerLimits customer = state.usage.limits(spec.customer());
+    submission.exceedsShare =
         customer != null
-            && !shares
-                .computeIfAbsent(spec.customer(), name -> new ShareMeter(now))
-                .within(customer.weight(), now);
+            && !shareBuckets
+                .computeIfAbsent(spec.customer(), name -> new ShareTokenBucket(now))
+                .tryTake(customer.weight(), now);
     state.submissions.put(spec.id(), submission);
-    state.reserve.seen(spec.queue().service(), spec.queue().priority());
-    state.changed(submission);
-    upcoming.accepted(submission);
+    state.reserve.recordPriority(spec.queue().service(), spec.queue().priority());
+    state.recordChange(submission);
+    upcomingSteps.addFirstSteps(submission);
     state.dirty = true;
     return submission;
   }
@@ -112,13 +112,13 @@
       throw new IllegalStateException("the roster names runs of submissions restored before it");
     }
     // Numbers below the range of this epoch may have been used by a run that nobody knows of.
-    int firstRun = RUNS_PER_EPOCH * (state.epoch - 1) + 1;
+    int firstRun = MAX_RUNS_PER_EPOCH * (state.epoch - 1) + 1;
     long age = Math.max(0, wallMillis - spec.acceptedAtMillis());
     Submission submission = new Submission(spec, number, now - age, firstRun);
     submission.restore(progress);
     state.submissions.put(spec.id(), submission);
-    state.reserve.seen(spec.queue().service(), spec.queue().priority());
-    state.newlyDone = true;
+    state.reserve.recordPriority(spec.queue().service(), spec.queue().priority());
+    state.stepsMayBeReady = true;
   }
 
   /**
@@ -128,7 +128,7 @@
    * @param past what is kept of it
    */
   public void restoreEnded(String id, EndedSubmission past) {
-    state.ended.put(id, past);
+    state.endedSubmissions.put(id, past);
   }
 
   /**
@@ -137,13 +137,13 @@
    * @param submission the submission
    * @param version the version that was written
    */
-  public void durable(Submission submission, long version) {
+  public void markDurable(Submission submission, long version) {
     if (!submission.durable) {
       submission.durable = true;
-      state.newlyDone = true;
+      state.stepsMayBeReady = true;
     }
     if (version == submission.version() && submission.state.terminal()) {
-      submission.shown = submission.state;
+      submission.visibleState = submission.state;
     }
   }
 
@@ -169,7 +169,7 @@
     if (submission != null) {
       return new Explanation(state, submission, now).lines();
     }
-    EndedSubmission past = state.ended.get(id);
+    EndedSubmission past = state.endedSubmissions.get(id);
     return List.of(id + (past == null ? " is not known" : " has ended: " + past.state()));
   }
 
@@ -192,9 +192,9 @@
     Submission submission = state.submissions.get(id);
     if (submission != null) {
       return new SubmissionStatus(
-          submission.spec().customer(), submission.shown, submission.durable);
+          submission.spec().customer(), submission.visibleState, submission.durable);
     }
-    EndedSubmission past = state.ended.get(id);
+    EndedSubmission past = state.endedSubmissions.get(id);
     return past == null ? null : new SubmissionStatus(past.customer(), past.state(), true);
   }
 
@@ -205,7 +205,7 @@
    * @param now the time
    */
   public void cancel(Submission submission, long now) {
-    if (submission.live()) {
+    if (submission.isLive()) {
       submission.state = SubmissionState.CANCELLED;
       state.log.event(
           PART,
@@ -215,7 +215,7 @@
           "customer",
           submission.spec().customer());
       runs.stopAll(submission, now);
-      state.changed(submission);
+      state.recordChange(submission);
     }
   }
 
@@ -225,7 +225,7 @@
    * @param queue the queue's name
    * @return their number
    */
-  public int waiting(String queue) {
+  public int countWaiting(String queue) {
     int waiting = 0;
     for (Submission submission : state.submissions.values()) {
       if (submission.durable
@@ -274,7 +274,7 @@
    * @param entries all listed workers, by id
    * @param now the time
    */
-  public void listed(Map<String, WorkerEntry> entries, long now) {
+  public void workersListed(Map<String, WorkerEntry> entries, long now) {
     workers.listed(entries, now);
   }
 
@@ -284,7 +284,7 @@
    * @param ids the workers
    * @param now the time
    */
-  public void departed(Collection<String> ids, long now) {
+  public void workersDeparted(Collection<String> ids, long now) {
     workers.departed(ids, now);
   }
 
@@ -294,7 +294,7 @@
    * @param worker the worker
    * @return false once it is forgotten
    */
-  public boolean knows(WorkerView worker) {
+  public boolean isKnown(WorkerView worker) {
     return state.workers.get(worker.id()) == worker;
   }
 
@@ -315,8 +315,8 @@
    * @param sentAt when the renewal was sent
    * @param now the time
    */
-  public void held(WorkerView worker, HoldReport report, long sentAt, long now) {
-    if (knows(worker)) {
+  public void renewalAnswered(WorkerView worker, HoldReport report, long sentAt, long now) {
+    if (isKnown(worker)) {
       reports.take(worker, report, sentAt, now);
     }
   }
@@ -327,7 +327,7 @@
    * @param worker the worker
    * @param now the time
    */
-  public void holdUnanswered(WorkerView worker, long now) {
+  public void renewalUnanswered(WorkerView worker, long now) {
     workers.unanswered(worker, now);
   }
 
@@ -368,7 +368,7 @@
       Map<String, String> tickets,
       long validMillis,
       long now) {
-    dispatch.adviceAnswered(step, named, tickets, validMillis, now);
+    dispatcher.adviceAnswered(step, named, tickets, validMillis, now);
   }
 
   /**
@@ -378,7 +378,7 @@
    * @param now the time
    */
   public void adviceFailed(StepRun step, long now) {
-    dispatch.adviceFailed(step, now);
+    dispatcher.adviceFailed(step, now);
   }
 
   /**
@@ -386,8 +386,8 @@
    *
    * @return true after a change
    */
-  public boolean wantsPass() {
-    return state.dirty || state.newlyDone;
+  public boolean needsPass() {
+    return state.dirty || state.stepsMayBeReady;
   }
 
   /**
@@ -397,12 +397,12 @@
    * @param wallMillis the time of day, milliseconds since 1970
    */
   public void pass(long now, long wallMillis) {
-    if (state.newlyDone) {
-      state.newlyDone = false;
-      turns.open(wallMillis);
+    if (state.stepsMayBeReady) {
+      state.stepsMayBeReady = false;
+      readySteps.addReadySteps(wallMillis);
     }
     state.dirty = false;
-    dispatch.pass(now);
+    dispatcher.pass(now);
   }
 
   /**
@@ -417,9 +417,9 @@
     runs.repeatStops(now);
     runs.breakUnconfirmedGangs(now);
     archive.tick(wallMillis);
-    state.newlyDone |= turns.anyScheduled();
-    upcoming.look(now);
-    waits.look(now);
-    state.dirty |= !state.open.isEmpty() || !upcoming.soon().isEmpty();
+    state.stepsMayBeReady |= readySteps.hasScheduledSubmissions();
+    upcomingSteps.addUpcomingSteps(now);
+    longWaitLogger.logLongWaits(now);
+    state.dirty |= !state.readySteps.isEmpty() || !upcomingSteps.upcoming().isEmpty();
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/CellOutput.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellOutput.java
@@ -32,7 +32,7 @@
   boolean advise(StepRun step, List<WorkerView> workers);
 
   /**
-   * Writes what must last of a submission, with the next write; {@link Cell#durable} follows.
+   * Writes what must last of a submission, with the next write; {@link Cell#markDurable} follows.
    *
    * @param submission the submission
    */
--- a/core/src/main/java/org/hickorypier/core/cell/CellState.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellState.java
@@ -22,80 +22,80 @@
   private static final String RUN_PART = "run";
 
   /** More submissions than any owner takes; so numbers rise from one owner to the next. */
-  private static final long NUMBERS_PER_EPOCH = 1L << 32;
+  private static final long MAX_SUBMISSIONS_PER_EPOCH = 1L << 32;
 
-  final CellTerms terms;
+  final CellTimings timings;
   final CellOutput output;
   final EventLog log;
   final int epoch;
-  private long lastNumber;
+  private long lastSubmissionNumber;
   final long takenOverAt;
   final CustomerUsage usage = new CustomerUsage();
-  final LearnedWork learned = new LearnedWork();
-  final LearnedSpeed speeds = new LearnedSpeed();
+  final LearnedWork learnedWork = new LearnedWork();
+  final LearnedSpeed learnedSpeed = new LearnedSpeed();
   final UrgentReserve reserve = new UrgentReserve();
   final Map<String, Submission> submissions = new HashMap<>();
 
   /** Submissions that have ended, while callers may ask for them. */
-  final Map<String, EndedSubmission> ended = new HashMap<>();
+  final Map<String, EndedSubmission> endedSubmissions = new HashMap<>();
 
   final Map<String, WorkerView> workers = new LinkedHashMap<>();
 
   /** Steps whose turn has come and that have tasks that wait. */
-  final Set<StepRun> open = new LinkedHashSet<>();
+  final Set<StepRun> readySteps = new LinkedHashSet<>();
 
   /** Something changed that may let a task start. */
   boolean dirty = true;
 
   /** A step has ended, so that others may begin. */
-  boolean newlyDone = true;
+  boolean stepsMayBeReady = true;
 
-  CellState(CellTerms terms, CellOutput output, EventLog log, int epoch, long now) {
-    this.terms = terms;
+  CellState(CellTimings terms, CellOutput output, EventLog log, int epoch, long now) {
+    this.timings = terms;
     this.output = output;
     this.log = log;
     this.epoch = epoch;
-    this.lastNumber = epoch * NUMBERS_PER_EPOCH;
+    this.lastSubmissionNumber = epoch * MAX_SUBMISSIONS_PER_EPOCH;
     this.takenOverAt = now;
   }
 
-  void changed(Submission submission) {
+  void recordChange(Submission submission) {
     submission.version++;
     output.save(submission);
   }
 
   /** Tells whether a worker may run what nobody has named. */
-  boolean unresolved(WorkerView worker, long now) {
+  boolean mayHoldUnknownRuns(WorkerView worker, long now) {
     return worker.runsUnknown && !worker.heard && now < worker.earlierLeasesEnd;
   }
 
   /** Returns for how long a worker that stays silent may go on running something. */
-  long mayRunMillis(WorkerView worker, long now) {
+  long remainingLeaseMillis(WorkerView worker, long now) {
     return Math.max(0, worker.leaseEnd() - now);
   }
 
   /** Tells whether a step is of the most urgent work of its service. */
-  boolean urgent(StepRun step) {
+  boolean isUrgent(StepRun step) {
     QueueTerms queue = step.submission.spec().queue();
-    return reserve.urgent(queue.service(), queue.priority());
+    return reserve.isUrgent(queue.service(), queue.priority());
   }
 
-  long nextNumber() {
-    return ++lastNumber;
+  long nextSubmissionNumber() {
+    return ++lastSubmissionNumber;
   }
 
-  long lastNumber() {
-    return lastNumber;
+  long lastSubmissionNumber() {
+    return lastSubmissionNumber;
   }
 
   /**
    * Returns the number of the last submission of which a run may be at work that nobody knows of,
    * or less than any number if there is none.
    */
-  long unresolvedUpTo(long now) {
+  long lastUnresolvedNumber(long now) {
     long last = -1;
     for (WorkerView worker : workers.values()) {
-      if (unresolved(worker, now)) {
+      if (mayHoldUnknownRuns(worker, now)) {
         last = Math.max(last, worker.open() ? Long.MAX_VALUE : worker.closedAfter);
       }
     }
@@ -103,21 +103,21 @@
   }
 
   /** Tells whether a submission has to wait, since a run of it may be at work unknown. */
-  boolean waitsForWorkers(Submission submission, long unresolvedUpTo) {
-    return submission.uncertain && submission.number() <= unresolvedUpTo;
+  boolean waitsForUnheardWorkers(Submission submission, long unresolvedUpTo) {
+    return submission.mayHaveUnknownRuns && submission.number() <= unresolvedUpTo;
   }
 
-  Resources unresolvedRoom(long now) {
+  Resources unresolvedCapacity(long now) {
     Resources room = Resources.NONE;
     for (WorkerView worker : workers.values()) {
-      if (unresolved(worker, now)) {
+      if (mayHoldUnknownRuns(worker, now)) {
         room = room.plus(worker.entry().capacity());
       }
     }
     return room;
   }
 
-  List<WorkerView> taking(String service, long now) {
+  List<WorkerView> acceptingWorkers(String service, long now) {
     List<WorkerView> taking = new ArrayList<>();
     for (WorkerView worker : workers.values()) {
       if (worker.entry().service().equals(service) && worker.takesWork(now)) {
@@ -131,13 +131,13 @@
    * Returns what a task needs, also if its submission has ended: a run of it that is still on a
    * worker takes room there until it is stopped.
    */
-  Resources sizeOf(TaskName task) {
+  Resources resourcesOf(TaskName task) {
     Submission submission = submissions.get(task.submission());
     if (submission != null) {
       Task known = submission.task(task);
       return known == null ? Resources.NONE : known.step.spec.reserved();
     }
-    EndedSubmission past = ended.get(task.submission());
+    EndedSubmission past = endedSubmissions.get(task.submission());
     if (past == null) {
       return Resources.NONE;
     }
@@ -155,7 +155,7 @@
     if (submission != null) {
       return submission.spec().customer();
     }
-    EndedSubmission past = ended.get(id);
+    EndedSubmission past = endedSubmissions.get(id);
     return past == null ? "" : past.customer();
   }
 
@@ -165,34 +165,34 @@
       "id",
       run.task().submission(),
       "task",
-      text(run.task()),
+      taskPath(run.task()),
       "run",
       run.number(),
       "worker",
       worker.id()
     };
-    log.event(RUN_PART, event, joined(named, more));
+    log.event(RUN_PART, event, concat(named, more));
   }
 
   /** Tells of a submission. */
   void submissionEvent(String event, Submission submission, Object... more) {
     SubmissionSpec spec = submission.spec();
     Object[] named = {"id", spec.id(), "customer", spec.customer(), "queue", spec.queue().name()};
-    log.event(RUN_PART, event, joined(named, more));
+    log.event(RUN_PART, event, concat(named, more));
   }
 
   /** Tells of a worker. */
   void workerEvent(String event, WorkerView worker, Object... more) {
-    log.event(RUN_PART, event, joined(new Object[] {"worker", worker.id()}, more));
+    log.event(RUN_PART, event, concat(new Object[] {"worker", worker.id()}, more));
   }
 
-  private static Object[] joined(Object[] first, Object[] second) {
+  private static Object[] concat(Object[] first, Object[] second) {
     Object[] all = Arrays.copyOf(first, first.length + second.length);
     System.arraycopy(second, 0, all, first.length, second.length);
     return all;
   }
 
-  static String text(TaskName task) {
+  static String taskPath(TaskName task) {
     return task.occurrence() + "." + task.step() + "." + task.index();
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/CellTerms.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellTimings.java
@@ -6,31 +6,32 @@
  * <p>Immutable.
  *
  * @param leaseMillis length of a worker's lease at each renewal, in milliseconds
- * @param proofMillis how long an owner renews leases after its last proof of ownership
+ * @param ownershipProofMillis how long an owner renews leases after its last proof of ownership
  * @param gangMillis how long a member of a gang waits for the others, in milliseconds
- * @param stateKeptMillis how long an end state is told, in milliseconds
+ * @param endStateRetentionMillis how long an end state is told, in milliseconds
  */
-public record CellTerms(long leaseMillis, long proofMillis, long gangMillis, long stateKeptMillis) {
+public record CellTimings(
+    long leaseMillis, long ownershipProofMillis, long gangMillis, long endStateRetentionMillis) {
 
   /**
    * How much slower than ours a worker's clock may be: the platform's pages say 2%. A lease of D
    * milliseconds on the worker's clock takes up to D / 0.98 on ours.
    */
-  public static final double SLOWEST_CLOCK = 0.98;
+  public static final double SLOWEST_CLOCK_RATE = 0.98;
 
   /**
    * The longest lease that is asked for. What a lost worker had starts again when it expires, so a
    * short check is still of use to its caller; shorter, and a restart of all instances together,
    * measured at 2.3 to 3.1 s until the first renewal, would throw all work away.
    */
-  private static final long WANTED_LEASE_MILLIS = 3_500;
+  private static final long MAX_REQUESTED_LEASE_MILLIS = 3_500;
 
   /**
    * How long an owner renews leases without a proof of ownership. With the last lease it bridges an
    * outage of the store of 6 s. A successor that cannot hear a worker waits as long as both, which
    * must be less than the 9 s within which a task that lasts has to run again.
    */
-  private static final long PROOF_MILLIS = 3_000;
+  private static final long OWNERSHIP_PROOF_MILLIS = 3_000;
 
   /** Covers the rounding and the time on the wire when the end of a lease is worked out. */
   static final long LEASE_MARGIN_MILLIS = 300;
@@ -40,12 +41,12 @@
    *
    * @param longestLeaseMillis the longest lease that a worker grants, in milliseconds
    * @param gangMillis how long a member of a gang waits for the others, in milliseconds
-   * @param stateKeptMillis how long an end state is told, in milliseconds
+   * @param endStateRetentionMillis how long an end state is told, in milliseconds
    * @return the figures
    */
-  public static CellTerms of(long longestLeaseMillis, long gangMillis, long stateKeptMillis) {
-    long lease = Math.min(longestLeaseMillis, WANTED_LEASE_MILLIS);
-    return new CellTerms(lease, PROOF_MILLIS, gangMillis, stateKeptMillis);
+  public static CellTimings of(long longestLeaseMillis, long gangMillis, long stateKeptMillis) {
+    long lease = Math.min(longestLeaseMillis, MAX_REQUESTED_LEASE_MILLIS);
+    return new CellTimings(lease, OWNERSHIP_PROOF_MILLIS, gangMillis, stateKeptMillis);
   }
 
   /**
@@ -54,8 +55,8 @@
    *
    * @return milliseconds
    */
-  public long silentWorkerMillis() {
-    return proofMillis + longestLeaseMillis();
+  public long silentWorkerTimeoutMillis() {
+    return ownershipProofMillis + longestLeaseMillis();
   }
 
   /**
@@ -64,6 +65,6 @@
    * @return milliseconds
    */
   public long longestLeaseMillis() {
-    return Math.round(leaseMillis / SLOWEST_CLOCK) + LEASE_MARGIN_MILLIS;
+    return Math.round(leaseMillis / SLOWEST_CLOCK_RATE) + LEASE_MARGIN_MILLIS;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/CustomerTerms.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CustomerLimits.java
@@ -11,4 +11,4 @@
  * @param weight submissions a second that are within its share
  * @param limit the most that it may have running; 0 in a component for no limit
  */
-public record CustomerTerms(String name, double weight, Resources limit) {}
+public record CustomerLimits(String name, double weight, Resources limit) {}
--- a/core/src/main/java/org/hickorypier/core/cell/CustomerUsage.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CustomerUsage.java
@@ -12,30 +12,30 @@
 final class CustomerUsage {
 
   private final Map<String, long[]> used = new HashMap<>();
-  private final Map<String, CustomerTerms> terms = new HashMap<>();
-  private Resources unheard = Resources.NONE;
+  private final Map<String, CustomerLimits> limits = new HashMap<>();
+  private Resources unresolvedCapacity = Resources.NONE;
 
   /** Before the first configuration nobody's limit is known. */
   private boolean configured;
 
-  void configure(Iterable<CustomerTerms> customers) {
+  void configure(Iterable<CustomerLimits> customers) {
     configured = true;
-    terms.clear();
-    for (CustomerTerms customer : customers) {
-      terms.put(customer.name(), customer);
+    limits.clear();
+    for (CustomerLimits customer : customers) {
+      limits.put(customer.name(), customer);
     }
   }
 
-  CustomerTerms terms(String customer) {
-    return terms.get(customer);
+  CustomerLimits limits(String customer) {
+    return limits.get(customer);
   }
 
   /**
    * Sets the room of workers that may run what nobody knows of. Any of it may belong to any
    * customer, so all of it counts against each.
    */
-  void unheard(Resources room) {
-    unheard = room;
+  void setUnresolvedCapacity(Resources capacity) {
+    unresolvedCapacity = capacity;
   }
 
   void add(String customer, Resources size, int sign) {
@@ -45,7 +45,7 @@
     sums[2] += (long) sign * size.accelerators();
   }
 
-  boolean configured() {
+  boolean isConfigured() {
     return configured;
   }
 
@@ -54,24 +54,27 @@
     if (!configured) {
       return false;
     }
-    CustomerTerms customerTerms = terms.get(customer);
+    CustomerLimits customerTerms = limits.get(customer);
     if (customerTerms == null) {
       return true;
     }
     long[] sums = used.computeIfAbsent(customer, name -> new long[3]);
     Resources limit = customerTerms.limit();
     return within(
-            sums[0] + unheard.milliProcessors(),
+            sums[0] + unresolvedCapacity.milliProcessors(),
             size.milliProcessors(),
             count,
             limit.milliProcessors())
         && within(
-            sums[1] + unheard.memoryMebibytes(),
+            sums[1] + unresolvedCapacity.memoryMebibytes(),
             size.memoryMebibytes(),
             count,
             limit.memoryMebibytes())
         && within(
-            sums[2] + unheard.accelerators(), size.accelerators(), count, limit.accelerators());
+            sums[2] + unresolvedCapacity.accelerators(),
+            size.accelerators(),
+            count,
+            limit.accelerators());
   }
 
   private static boolean within(long sum, long each, int count, long limit) {
--- a/core/src/main/java/org/hickorypier/core/cell/Explanation.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Explanation.java
@@ -7,7 +7,7 @@
 /** Says where a submission stands and what its tasks wait for. Belongs to the control thread. */
 final class Explanation {
 
-  private static final int MOST_NAMED_WORKERS = 3;
+  private static final int MAX_LISTED_WORKERS = 3;
 
   private final CellState cell;
   private final Submission submission;
@@ -27,7 +27,7 @@
             + ": "
             + submission.state
             + ", shown as "
-            + submission.shown
+            + submission.visibleState
             + ", durable "
             + submission.durable
             + ", customer "
@@ -50,7 +50,7 @@
     line.append(step.occurrence).append('.').append(step.index).append(": ");
     line.append(step.doneCount).append(" of ").append(step.tasks.length).append(" done");
     for (Task task : step.tasks) {
-      Run run = task.current;
+      Run run = task.currentRun;
       if (run != null) {
         line.append("; ").append(task.index).append(" run ").append(run.key.number());
         line.append(" on ").append(run.worker.id());
@@ -59,48 +59,48 @@
         line.append(" ms, ").append(run.percent).append('%');
       }
     }
-    if (!step.done() && step.anyWaiting()) {
-      line.append("; waits for ").append(reason(step));
+    if (!step.isDone() && step.hasWaitingTasks()) {
+      line.append("; waits for ").append(waitReason(step));
     }
     return line.toString();
   }
 
   private String unresolvedWorkers() {
     return cell.workers.values().stream()
-        .filter(worker -> cell.unresolved(worker, now))
-        .limit(MOST_NAMED_WORKERS)
-        .map(worker -> worker.id() + " for " + cell.mayRunMillis(worker, now) + " ms")
+        .filter(worker -> cell.mayHoldUnknownRuns(worker, now))
+        .limit(MAX_LISTED_WORKERS)
+        .map(worker -> worker.id() + " for " + cell.remainingLeaseMillis(worker, now) + " ms")
         .collect(Collectors.joining(", "));
   }
 
   /** Returns what the waiting tasks of a step wait for. */
-  String reason(StepRun step) {
-    if (!submission.live()) {
+  String waitReason(StepRun step) {
+    if (!submission.isLive()) {
       return "nothing: the submission has ended";
     }
-    if (!cell.open.contains(step)) {
+    if (!cell.readySteps.contains(step)) {
       return "its turn";
     }
-    if (cell.waitsForWorkers(submission, cell.unresolvedUpTo(now))) {
+    if (cell.waitsForUnheardWorkers(submission, cell.lastUnresolvedNumber(now))) {
       return "workers that may run it already: " + unresolvedWorkers();
     }
-    if (!cell.usage.configured()) {
+    if (!cell.usage.isConfigured()) {
       return "the configuration, which has the customers' limits";
     }
     if (!cell.usage.allows(submission.spec().customer(), step.spec.each(), 1)) {
       return "its customer's limit";
     }
-    List<WorkerView> taking = cell.taking(submission.spec().queue().service(), now);
+    List<WorkerView> taking = cell.acceptingWorkers(submission.spec().queue().service(), now);
     int room = 0;
     int suitable = 0;
     for (WorkerView worker : taking) {
-      int slots = Placer.matches(step.spec, worker) ? Placer.slots(step, worker) : 0;
+      int slots = Placer.matches(step.spec, worker) ? Placer.freeSlots(step, worker) : 0;
       room += slots;
-      suitable += step.advice == null || step.advice.suitable(worker) ? slots : 0;
+      suitable += step.advice == null || step.advice.isSuitable(worker) ? slots : 0;
     }
-    if (Dispatch.beyondReserve(cell, step, taking)) {
+    if (Dispatcher.isBlockedByReserve(cell, step, taking)) {
       return "room beside the reserve for urgent work: "
-          + cell.reserve.processors(submission.spec().queue().service())
+          + cell.reserve.reservedMilliProcessors(submission.spec().queue().service())
           + " thousandths of a core";
     }
     return "room: "
@@ -110,6 +110,6 @@
         + " workers, "
         + suitable
         + " on suitable ones, asked "
-        + (step.advice != null && step.advice.askedAt > 0);
+        + (step.advice != null && step.advice.requestedAt > 0);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/WaitLog.java
+++ b/core/src/main/java/org/hickorypier/core/cell/LongWaitLogger.java
@@ -10,39 +10,39 @@
  * <p>Invariant: a few lines a look at most, whatever the number of waiting steps. Belongs to the
  * control thread.
  */
-final class WaitLog {
+final class LongWaitLogger {
 
   /** Longer than any usual wait for advice and room. */
-  private static final long LONG_MILLIS = 2_000;
+  private static final long FIRST_LINE_DELAY_MILLIS = 2_000;
 
-  private static final long REPEAT_MILLIS = 2_000;
+  private static final long REPEAT_INTERVAL_MILLIS = 2_000;
 
-  private static final long LOOK_MILLIS = 1_000;
+  private static final long CHECK_INTERVAL_MILLIS = 1_000;
 
   /** Working out a reason looks at every worker of the service. */
-  private static final int MOST_LINES = 4;
+  private static final int MAX_LINES_PER_CHECK = 4;
 
   private final CellState cell;
   private final Map<StepRun, Long> nextLineAt = new HashMap<>();
-  private long nextLookAt;
+  private long nextCheckAt;
 
-  WaitLog(CellState cell) {
+  LongWaitLogger(CellState cell) {
     this.cell = cell;
   }
 
-  void look(long now) {
-    if (now < nextLookAt) {
+  void logLongWaits(long now) {
+    if (now < nextCheckAt) {
       return;
     }
-    nextLookAt = now + LOOK_MILLIS;
-    Set<StepRun> open = cell.open;
+    nextCheckAt = now + CHECK_INTERVAL_MILLIS;
+    Set<StepRun> open = cell.readySteps;
     nextLineAt.keySet().retainAll(open);
     int lines = 0;
     for (StepRun step : open) {
-      long due = nextLineAt.computeIfAbsent(step, first -> now + LONG_MILLIS);
-      if (now >= due && lines < MOST_LINES && step.anyWaiting()) {
+      long due = nextLineAt.computeIfAbsent(step, first -> now + FIRST_LINE_DELAY_MILLIS);
+      if (now >= due && lines < MAX_LINES_PER_CHECK && step.hasWaitingTasks()) {
         lines++;
-        nextLineAt.put(step, now + REPEAT_MILLIS);
+        nextLineAt.put(step, now + REPEAT_INTERVAL_MILLIS);
         cell.submissionEvent(
             "step-waits",
             step.submission,
@@ -51,7 +51,7 @@
             "tasks",
             step.waitingCount(),
             "for",
-            new Explanation(cell, step.submission, now).reason(step));
+            new Explanation(cell, step.submission, now).waitReason(step));
       }
     }
   }
--- a/core/src/main/java/org/hickorypier/core/cell/Placer.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Placer.java
@@ -22,7 +22,7 @@
    * How long a gang that is slow over racks waits for one rack, as a part of its estimate: spread
    * out it takes twice as long or more, so waiting half its length is still a gain.
    */
-  private static final double ONE_RACK_PATIENCE = 0.5;
+  private static final double RACK_WAIT_FRACTION = 0.5;
 
   /** More than any difference of fit: a worker that failed the task is the last choice. */
   private static final double AVOIDED_PENALTY = 100;
@@ -31,7 +31,7 @@
   private static final double SPEED_WEIGHT = 20;
 
   /** A task far from its data takes twice as long or more: worth more than any tight fit. */
-  private static final double FAR_PENALTY = 10;
+  private static final double AFFINITY_MISS_PENALTY = 10;
 
   private Placer() {}
 
@@ -57,28 +57,28 @@
         candidates.add(worker);
       }
     }
-    if (step.gang() && step.spec.flags().sameRack()) {
+    if (step.isGang() && step.spec.flags().sameRack()) {
       return chooseOneRack(step, tasks, candidates, now);
     }
-    return fill(step, tasks, candidates);
+    return assignTasks(step, tasks, candidates);
   }
 
   /** Tells how many more tasks of the step a worker has room for. */
-  static int slots(StepRun step, WorkerView worker) {
+  static int freeSlots(StepRun step, WorkerView worker) {
     StepSpec spec = step.spec;
     Resources each = spec.each();
-    long most = tasksIn(worker.freeMemory(), each.memoryMebibytes());
+    long most = tasksThatFit(worker.freeMemory(), each.memoryMebibytes());
     if (!spec.flags().fills()) {
-      most = Math.min(most, tasksIn(worker.freeProcessors(), each.milliProcessors()));
+      most = Math.min(most, tasksThatFit(worker.freeProcessors(), each.milliProcessors()));
     }
-    most = Math.min(most, tasksIn(worker.freeAccelerators(), each.accelerators()));
+    most = Math.min(most, tasksThatFit(worker.freeAccelerators(), each.accelerators()));
     if (spec.antiAffinity() > 0) {
-      most = Math.min(most, spec.antiAffinity() - step.countOn(worker));
+      most = Math.min(most, spec.antiAffinity() - step.countRunsOn(worker));
     }
     return (int) Math.max(0, Math.min(most, Integer.MAX_VALUE));
   }
 
-  private static long tasksIn(long free, long each) {
+  private static long tasksThatFit(long free, long each) {
     return each == 0 ? Integer.MAX_VALUE : Math.max(0, free) / each;
   }
 
@@ -93,47 +93,47 @@
       racks.computeIfAbsent(worker.entry().rack(), rack -> new ArrayList<>()).add(worker);
     }
     for (List<WorkerView> rack : racks.values()) {
-      Map<Task, WorkerView> chosen = fill(step, tasks, rack);
+      Map<Task, WorkerView> chosen = assignTasks(step, tasks, rack);
       if (!chosen.isEmpty()) {
         return chosen;
       }
     }
     long waited = now - step.submission.acceptedAt;
-    if (waited < ONE_RACK_PATIENCE * step.spec.estimateMillis()) {
+    if (waited < RACK_WAIT_FRACTION * step.spec.estimateMillis()) {
       return Map.of();
     }
-    return fill(step, tasks, candidates);
+    return assignTasks(step, tasks, candidates);
   }
 
-  private static Map<Task, WorkerView> fill(
+  private static Map<Task, WorkerView> assignTasks(
       StepRun step, List<Task> tasks, List<WorkerView> candidates) {
     Map<WorkerView, Integer> slots = new HashMap<>();
     int total = 0;
     for (WorkerView worker : candidates) {
-      int free = slots(step, worker);
+      int free = freeSlots(step, worker);
       if (free > 0) {
         slots.put(worker, free);
         total += free;
       }
     }
-    if (total == 0 || step.gang() && total < tasks.size()) {
+    if (total == 0 || step.isGang() && total < tasks.size()) {
       return Map.of();
     }
     Map<WorkerView, Integer> taken = new HashMap<>();
     Map<Task, WorkerView> chosen = new LinkedHashMap<>();
     for (Task task : tasks) {
-      WorkerView best = best(step, task, candidates, slots, taken);
+      WorkerView best = bestWorker(step, task, candidates, slots, taken);
       if (best != null) {
         chosen.put(task, best);
         taken.merge(best, 1, Integer::sum);
-      } else if (step.gang()) {
+      } else if (step.isGang()) {
         return Map.of();
       }
     }
     return chosen;
   }
 
-  private static WorkerView best(
+  private static WorkerView bestWorker(
       StepRun step,
       Task task,
       List<WorkerView> candidates,
@@ -141,14 +141,14 @@
       Map<WorkerView, Integer> taken) {
     WorkerView best = null;
     double bestScore = Double.MAX_VALUE;
-    boolean retried = !step.failureRecord(task).failedRuns.isEmpty();
+    boolean retried = !step.failureRecord(task).failedRunNumbers.isEmpty();
     for (WorkerView worker : candidates) {
       int already = taken.getOrDefault(worker, 0);
       if (slots.getOrDefault(worker, 0) <= already) {
         continue;
       }
-      double score = score(step.spec, worker, already) + speedPenalty(step, worker);
-      if (worker == step.failureRecord(task).avoided || worker == task.avoided) {
+      double score = fitScore(step.spec, worker, already) + speedPenalty(step, worker);
+      if (worker == step.failureRecord(task).avoidedWorker || worker == task.avoidedWorker) {
         score += AVOIDED_PENALTY;
       }
       if (retried && worker.failureStreak > 0) {
@@ -173,7 +173,7 @@
     return (step.urgent ? 1 : -1) * SPEED_WEIGHT * worker.kindFactor;
   }
 
-  private static double score(StepSpec spec, WorkerView worker, int already) {
+  private static double fitScore(StepSpec spec, WorkerView worker, int already) {
     Resources capacity = worker.entry().capacity();
     double leftProcessors =
         worker.freeProcessors() - (already + 1.0) * spec.each().milliProcessors();
@@ -182,7 +182,7 @@
         leftProcessors / Math.max(1, capacity.milliProcessors())
             + leftMemory / Math.max(1, capacity.memoryMebibytes());
     if (!spec.affinity().isEmpty() && !worker.entry().labels().contains(spec.affinity())) {
-      score += FAR_PENALTY;
+      score += AFFINITY_MISS_PENALTY;
     }
     return score;
   }
--- a/core/src/main/java/org/hickorypier/core/cell/Turns.java
+++ b/core/src/main/java/org/hickorypier/core/cell/ReadySteps.java
@@ -3,18 +3,18 @@
 import org.hickorypier.core.submission.SubmissionSpec;
 
 /** Finds the steps whose turn has come. Belongs to the control thread. */
-final class Turns {
+final class ReadySteps {
 
   private final CellState cell;
 
-  Turns(CellState cell) {
+  ReadySteps(CellState cell) {
     this.cell = cell;
   }
 
   /** Tells whether a turn may come by time alone. */
-  boolean anyScheduled() {
+  boolean hasScheduledSubmissions() {
     for (Submission submission : cell.submissions.values()) {
-      if (submission.live() && submission.spec().scheduled()) {
+      if (submission.isLive() && submission.spec().scheduled()) {
         return true;
       }
     }
@@ -22,34 +22,37 @@
   }
 
   /** Opens the steps of durable submissions that are due and wait for no other step. */
-  void open(long wallMillis) {
+  void addReadySteps(long wallMillis) {
     for (Submission submission : cell.submissions.values()) {
-      if (submission.durable && submission.live()) {
+      if (submission.durable && submission.isLive()) {
         for (int occurrence = 0; occurrence < submission.occurrences.length; occurrence++) {
-          if (due(submission.spec(), occurrence, wallMillis)) {
-            openReady(submission.occurrences[occurrence]);
+          if (isDue(submission.spec(), occurrence, wallMillis)) {
+            addReadyStepsOf(submission.occurrences[occurrence]);
           }
         }
       }
     }
   }
 
-  private static boolean due(SubmissionSpec spec, int occurrence, long wallMillis) {
+  private static boolean isDue(SubmissionSpec spec, int occurrence, long wallMillis) {
     return !spec.scheduled()
         || wallMillis >= spec.startAtMillis() + occurrence * spec.intervalMillis();
   }
 
-  private void openReady(StepRun[] steps) {
+  private void addReadyStepsOf(StepRun[] steps) {
     for (StepRun step : steps) {
-      if (!step.done() && !cell.open.contains(step) && step.anyWaiting() && ready(step, steps)) {
-        cell.open.add(step);
+      if (!step.isDone()
+          && !cell.readySteps.contains(step)
+          && step.hasWaitingTasks()
+          && isReady(step, steps)) {
+        cell.readySteps.add(step);
       }
     }
   }
 
-  private static boolean ready(StepRun step, StepRun[] steps) {
+  private static boolean isReady(StepRun step, StepRun[] steps) {
     for (int earlier : step.spec.dependsOn()) {
-      if (!steps[earlier].done()) {
+      if (!steps[earlier].isDone()) {
         return false;
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/RosterWriter.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RosterWriter.java
@@ -79,12 +79,14 @@
   List<RosterEntry> finalRoster(long now) {
     List<RosterEntry> entries = new ArrayList<>();
     for (WorkerView worker : cell.workers.values()) {
-      if (!worker.runs.isEmpty() || !worker.unsavedEnds.isEmpty() || cell.unresolved(worker, now)) {
+      if (!worker.runs.isEmpty()
+          || !worker.unsavedEnds.isEmpty()
+          || cell.mayHoldUnknownRuns(worker, now)) {
         entries.add(
             new RosterEntry(
                 worker.entry(),
-                worker.open() ? cell.lastNumber() : worker.closedAfter,
-                cell.mayRunMillis(worker, now),
+                worker.open() ? cell.lastSubmissionNumber() : worker.closedAfter,
+                cell.remainingLeaseMillis(worker, now),
                 namedRuns(worker, now)));
       }
     }
@@ -104,14 +106,15 @@
     if (worker.open()) {
       return new RosterEntry(worker.entry(), RosterEntry.OPEN);
     }
-    long lease = worker.leaseRunsOut(now) ? cell.mayRunMillis(worker, now) : RosterEntry.RENEWED;
+    long lease =
+        worker.leaseRunsOut(now) ? cell.remainingLeaseMillis(worker, now) : RosterEntry.RENEWED;
     Optional<List<RunKey>> named =
         namedRuns(worker, now).filter(each -> namedBefore + each.size() <= MOST_NAMED_RUNS);
     return new RosterEntry(worker.entry(), worker.closedAfter, lease, named);
   }
 
   private Optional<List<RunKey>> namedRuns(WorkerView worker, long now) {
-    if (cell.unresolved(worker, now)) {
+    if (cell.mayHoldUnknownRuns(worker, now)) {
       return Optional.empty();
     }
     Set<RunKey> named = new LinkedHashSet<>(worker.runs.keySet());
--- a/core/src/main/java/org/hickorypier/core/cell/RunAdoption.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunAdoption.java
@@ -35,17 +35,18 @@
     Submission submission = cell.submissions.get(key.task().submission());
     Task task = submission == null ? null : submission.task(key.task());
     String customer = cell.customerOf(key.task().submission());
-    Run run = new Run(key, task, worker, cell.sizeOf(key.task()), customer);
+    Run run = new Run(key, task, worker, cell.resourcesOf(key.task()), customer);
     run.orderedAt = now;
     run.confirmedAt = now;
     runs.occupy(run);
     if (task != null) {
-      task.lastRun = Math.max(task.lastRun, key.number());
+      task.lastRunNumber = Math.max(task.lastRunNumber, key.number());
     }
-    boolean wanted = task != null && submission.live() && !task.done && supersedes(task, key, now);
+    boolean wanted =
+        task != null && submission.isLive() && !task.done && supersedes(task, key, now);
     cell.runEvent(wanted ? event : "run-unwanted", key, worker);
     if (wanted) {
-      task.current = run;
+      task.currentRun = run;
     } else {
       runs.stop(run, now);
     }
@@ -54,20 +55,20 @@
 
   /** Of two runs of a gang that are found the later one goes on, as a whole. */
   private boolean supersedes(Task task, RunKey key, long now) {
-    if (task.current != null && !replacesUnheard(task.current, key, now)) {
+    if (task.currentRun != null && !replacesUnheard(task.currentRun, key, now)) {
       return false;
     }
-    if (!task.step.gang()) {
+    if (!task.step.isGang()) {
       return true;
     }
     for (Task member : task.step.tasks) {
-      Run other = member.current;
+      Run other = member.currentRun;
       if (other != null && other.key.number() > key.number()) {
         return false;
       }
     }
     for (Task member : task.step.tasks) {
-      Run other = member.current;
+      Run other = member.currentRun;
       if (other != null && other.key.number() < key.number()) {
         runs.stop(other, now);
       }
--- a/core/src/main/java/org/hickorypier/core/cell/RunBook.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunBook.java
@@ -46,8 +46,8 @@
     Run run = new Run(new RunKey(task.name(), number), task, worker, size, customer);
     run.orderedAt = now;
     run.resumed = !task.checkpoint.isEmpty();
-    task.current = run;
-    task.lastRun = number;
+    task.currentRun = run;
+    task.lastRunNumber = number;
     occupy(run);
     cell.runEvent(
         "ordered",
@@ -95,7 +95,7 @@
     Submission submission = run.submission();
     if (submission != null && submission.state == SubmissionState.QUEUED) {
       submission.state = SubmissionState.RUNNING;
-      submission.shown = SubmissionState.RUNNING;
+      submission.visibleState = SubmissionState.RUNNING;
       cell.submissionEvent(
           "first-start",
           submission,
@@ -124,7 +124,7 @@
   private void refused(Run run, StartOutcome outcome, long now) {
     WorkerView worker = run.worker;
     switch (outcome) {
-      case NO_TICKET -> run.task.step.advice.forget(worker);
+      case NO_TICKET -> run.task.step.advice.invalidateTicket(worker);
       case UNHEALTHY, REJECTED -> worker.quarantinedUntil = now + UNHEALTHY_MILLIS;
       default -> worker.fullUntil = now + FULL_MILLIS;
     }
@@ -139,7 +139,7 @@
   /** Stops a run that is not wanted any more, whether it is there or may still come. */
   void abandon(Run run, long now) {
     stop(run, now);
-    if (run.task != null && run.task.step.gang() && run.task.current == run) {
+    if (run.task != null && run.task.step.isGang() && run.task.currentRun == run) {
       breakGang(run.task.step, now);
     }
   }
@@ -184,7 +184,7 @@
   void stopAll(Submission submission, long now) {
     for (StepRun[] steps : submission.occurrences) {
       for (StepRun step : steps) {
-        cell.open.remove(step);
+        cell.readySteps.remove(step);
         breakGang(step, now);
       }
     }
@@ -193,18 +193,18 @@
   /** Stops all runs of a step; a gang of which one member is missing only burns time. */
   private void breakGang(StepRun step, long now) {
     for (Task task : step.tasks) {
-      if (task.current != null) {
-        stop(task.current, now);
+      if (task.currentRun != null) {
+        stop(task.currentRun, now);
       }
     }
   }
 
   void breakUnconfirmedGangs(long now) {
-    long patience = cell.terms.gangMillis() / 2;
+    long patience = cell.timings.gangMillis() / 2;
     for (WorkerView worker : cell.workers.values()) {
       for (Run run : worker.runs.values()) {
         boolean waits = !run.confirmed() && !run.stopping && now - run.orderedAt > patience;
-        if (waits && run.task != null && run.task.step.gang()) {
+        if (waits && run.task != null && run.task.step.isGang()) {
           breakGang(run.task.step, now);
         }
       }
@@ -228,7 +228,7 @@
     if (run.task != null) {
       run.task.runsOnWorkers += sign;
       QueueTerms queue = run.task.step.submission.spec().queue();
-      cell.reserve.running(queue.service(), queue.priority(), sign * run.size.milliProcessors());
+      cell.reserve.addRunning(queue.service(), queue.priority(), sign * run.size.milliProcessors());
     }
   }
 
@@ -245,14 +245,14 @@
     if (task == null) {
       return;
     }
-    boolean counted = task.current == run;
+    boolean counted = task.currentRun == run;
     if (counted) {
-      task.current = null;
-      task.waitsSince = now;
+      task.currentRun = null;
+      task.waitingSince = now;
     }
-    if (task.current == null && task.step.submission.live() && !task.done) {
-      cell.open.add(task.step);
-      if (counted && task.step.gang()) {
+    if (task.currentRun == null && task.step.submission.isLive() && !task.done) {
+      cell.readySteps.add(task.step);
+      if (counted && task.step.isGang()) {
         breakGang(task.step, now);
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/ShareMeter.java
+++ b/core/src/main/java/org/hickorypier/core/cell/ShareTokenBucket.java
@@ -6,22 +6,22 @@
  *
  * <p>Belongs to the control thread.
  */
-final class ShareMeter {
+final class ShareTokenBucket {
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
   private double tokens;
-  private long filledAt;
+  private long refilledAt;
 
-  ShareMeter(long now) {
-    this.filledAt = now;
+  ShareTokenBucket(long now) {
+    this.refilledAt = now;
     this.tokens = Double.MAX_VALUE;
   }
 
-  boolean within(double perSecond, long now) {
-    double filled = tokens + (now - filledAt) * perSecond / MILLIS_PER_SECOND;
+  boolean tryTake(double perSecond, long now) {
+    double filled = tokens + (now - refilledAt) * perSecond / MILLIS_PER_SECOND;
     tokens = Math.min(Math.max(1, perSecond), filled);
-    filledAt = now;
+    refilledAt = now;
     if (tokens < 1) {
       return false;
     }
--- a/core/src/main/java/org/hickorypier/core/cell/StepRun.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StepRun.java
@@ -10,10 +10,10 @@
   final int index;
   final StepSpec spec;
   final Task[] tasks;
-  final AdviceBook advice;
+  final StepAdvice advice;
 
   /** Place of the step's first task among all tasks of the submission. */
-  final int firstPlace;
+  final int firstTaskOffset;
 
   int doneCount;
 
@@ -36,8 +36,8 @@
     this.occurrence = occurrence;
     this.index = index;
     this.spec = spec;
-    this.firstPlace = firstPlace;
-    this.advice = submission.spec().queue().advice().map(AdviceBook::new).orElse(null);
+    this.firstTaskOffset = firstPlace;
+    this.advice = submission.spec().queue().advice().map(StepAdvice::new).orElse(null);
     this.tasks = new Task[spec.count()];
     for (int place = 0; place < tasks.length; place++) {
       tasks[place] = new Task(this, place);
@@ -71,40 +71,40 @@
     return index;
   }
 
-  boolean gang() {
+  boolean isGang() {
     return spec.flags().gang();
   }
 
-  boolean done() {
+  boolean isDone() {
     return doneCount == tasks.length;
   }
 
   /** Counts failures of a gang at its first member: the gang fails as one. */
   Task failureRecord(Task task) {
-    return gang() ? tasks[0] : task;
+    return isGang() ? tasks[0] : task;
   }
 
-  boolean anyWaiting() {
+  boolean hasWaitingTasks() {
     for (Task task : tasks) {
-      if (task.waiting()) {
+      if (task.isWaiting()) {
         return true;
       }
     }
     return false;
   }
 
-  boolean lasting() {
+  boolean isPersistent() {
     return spec.flags().persistent();
   }
 
   /**
    * Returns since when the step waits for a start; the submission's arrival before its first run.
    */
-  long waitsSince() {
+  long waitingSince() {
     long since = Long.MAX_VALUE;
     for (Task task : tasks) {
-      if (task.waiting() && task.waitsSince > 0) {
-        since = Math.min(since, task.waitsSince);
+      if (task.isWaiting() && task.waitingSince > 0) {
+        since = Math.min(since, task.waitingSince);
       }
     }
     return since == Long.MAX_VALUE ? submission.acceptedAt : since;
@@ -113,33 +113,33 @@
   int waitingCount() {
     int waiting = 0;
     for (Task task : tasks) {
-      waiting += task.waiting() ? 1 : 0;
+      waiting += task.isWaiting() ? 1 : 0;
     }
     return waiting;
   }
 
   /** A gang starts anew only when nothing of its last run is left anywhere. */
-  boolean allIdle() {
+  boolean allTasksWaiting() {
     for (Task task : tasks) {
-      if (!task.waiting()) {
+      if (!task.isWaiting()) {
         return false;
       }
     }
     return true;
   }
 
-  int nextGangRun() {
-    int highest = submission.firstRun() - 1;
+  int nextGangRunNumber() {
+    int highest = submission.firstRunNumber() - 1;
     for (Task task : tasks) {
-      highest = Math.max(highest, task.lastRun);
+      highest = Math.max(highest, task.lastRunNumber);
     }
     return highest + 1;
   }
 
-  int countOn(WorkerView worker) {
+  int countRunsOn(WorkerView worker) {
     int count = 0;
     for (Task task : tasks) {
-      if (task.current != null && task.current.worker == worker) {
+      if (task.currentRun != null && task.currentRun.worker == worker) {
         count++;
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/Stragglers.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Stragglers.java
@@ -77,8 +77,8 @@
     return run.task != null
         && run.confirmed()
         && !run.stopping
-        && run.task.current == run
-        && !run.task.step.gang()
+        && run.task.currentRun == run
+        && !run.task.step.isGang()
         && !run.task.step.spec.flags().persistent()
         && !run.task.step.spec.flags().fills();
   }
@@ -86,7 +86,8 @@
   private long expectedMillis(Run run) {
     StepRun step = run.task.step;
     String queue = step.submission.spec().queue().name();
-    return Math.max(step.longestRunMillis, cell.learned.atLeast(queue, step.spec.estimateMillis()));
+    return Math.max(
+        step.longestRunMillis, cell.learnedWork.atLeast(queue, step.spec.estimateMillis()));
   }
 
   private long windowMillis(Run run) {
@@ -99,7 +100,7 @@
    */
   private boolean straggles(Run run) {
     String queue = run.task.step.submission.spec().queue().name();
-    if (run.pace == null || !cell.learned.known(queue) || !run.pace.known(windowMillis(run))) {
+    if (run.pace == null || !cell.learnedWork.known(queue) || !run.pace.known(windowMillis(run))) {
       return false;
     }
     double again = run.task.step.spec.flags().checkpoints() ? run.pace.partLeft() : 1;
@@ -109,13 +110,13 @@
 
   /** What is not urgent stays where it is unless there is room elsewhere: slow beats not at all. */
   private boolean mayMove(Run run, long now) {
-    if (run.task.moves >= MOST_MOVES) {
+    if (run.task.migrations >= MOST_MOVES) {
       return false;
     }
     StepRun step = run.task.step;
     String service = step.submission.spec().queue().service();
-    Collection<WorkerView> taking = cell.taking(service, now);
-    if (cell.urgent(step)) {
+    Collection<WorkerView> taking = cell.acceptingWorkers(service, now);
+    if (cell.isUrgent(step)) {
       return !taking.isEmpty();
     }
     return taking.stream()
@@ -123,14 +124,14 @@
             worker ->
                 worker != run.worker
                     && Placer.matches(step.spec, worker)
-                    && (step.advice == null || step.advice.suitable(worker))
-                    && Placer.slots(step, worker) > 0);
+                    && (step.advice == null || step.advice.isSuitable(worker))
+                    && Placer.freeSlots(step, worker) > 0);
   }
 
   private void move(Run run, long now) {
     Task task = run.task;
-    task.moves++;
-    task.avoided = run.worker;
+    task.migrations++;
+    task.avoidedWorker = run.worker;
     cell.runEvent(
         "run-too-slow",
         run.key,
--- a/core/src/main/java/org/hickorypier/core/cell/Submission.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Submission.java
@@ -27,20 +27,20 @@
   final long acceptedAt;
 
   /** Numbers of runs begin here: a successor cannot know the numbers its predecessor used. */
-  private final int firstRun;
+  private final int firstRunNumber;
 
   SubmissionState state = SubmissionState.QUEUED;
-  SubmissionState shown = SubmissionState.QUEUED;
+  SubmissionState visibleState = SubmissionState.QUEUED;
   boolean durable;
 
   /** Some run may be at work on a worker that this owner has not heard yet. */
-  boolean uncertain;
+  boolean mayHaveUnknownRuns;
 
   /** Beyond the customer's rate: it comes after what is within it. */
-  boolean beyondShare;
+  boolean exceedsShare;
 
   long endedAtMillis;
-  int openSteps;
+  int unfinishedSteps;
 
   /** Counts changes; what was written last tells what may be shown. */
   long version;
@@ -49,7 +49,7 @@
     this.spec = spec;
     this.number = number;
     this.acceptedAt = acceptedAt;
-    this.firstRun = firstRun;
+    this.firstRunNumber = firstRun;
     this.occurrences = new StepRun[spec.occurrences()][spec.steps().size()];
     int place = 0;
     for (int occurrence = 0; occurrence < occurrences.length; occurrence++) {
@@ -57,7 +57,7 @@
         StepRun step = new StepRun(this, occurrence, index, spec.steps().get(index), place);
         occurrences[occurrence][index] = step;
         place += step.tasks.length;
-        openSteps++;
+        unfinishedSteps++;
       }
     }
   }
@@ -85,8 +85,8 @@
    *
    * @return the state
    */
-  public SubmissionState shown() {
-    return shown;
+  public SubmissionState visibleState() {
+    return visibleState;
   }
 
   /**
@@ -112,7 +112,7 @@
    *
    * @return false before the first end of a task
    */
-  public boolean worthSaving() {
+  public boolean needsSaving() {
     return version > 1 || state.terminal();
   }
 
@@ -122,11 +122,11 @@
     return Math.round(spec.queue().stretch() * chain) + spec.queue().objectiveMillis();
   }
 
-  int firstRun() {
-    return firstRun;
+  int firstRunNumber() {
+    return firstRunNumber;
   }
 
-  boolean live() {
+  boolean isLive() {
     return !state.terminal();
   }
 
@@ -152,8 +152,8 @@
         BitSet bits = new BitSet(step.tasks.length);
         for (Task task : step.tasks) {
           bits.set(task.index, task.done);
-          if (!task.failedRuns.isEmpty()) {
-            failed.put(step.firstPlace + task.index, List.copyOf(task.failedRuns));
+          if (!task.failedRunNumbers.isEmpty()) {
+            failed.put(step.firstTaskOffset + task.index, List.copyOf(task.failedRunNumbers));
           }
         }
         done.add(bits);
@@ -164,10 +164,10 @@
 
   void restore(Progress progress) {
     state = progress.state();
-    shown = state;
+    visibleState = state;
     endedAtMillis = progress.endedAtMillis();
     durable = true;
-    uncertain = true;
+    mayHaveUnknownRuns = true;
     // What was taken over has been written once; each change from here on is worth writing.
     version = 1;
     int place = 0;
@@ -185,11 +185,11 @@
         task.done = true;
         step.doneCount++;
       }
-      task.failedRuns.addAll(
-          progress.failedRuns().getOrDefault(step.firstPlace + task.index, List.of()));
+      task.failedRunNumbers.addAll(
+          progress.failedRuns().getOrDefault(step.firstTaskOffset + task.index, List.of()));
     }
-    if (step.done()) {
-      openSteps--;
+    if (step.isDone()) {
+      unfinishedSteps--;
     }
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/Task.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Task.java
@@ -10,7 +10,7 @@
   final int index;
 
   /** The run that counts for the task, or null while it waits. */
-  Run current;
+  Run currentRun;
 
   /**
    * How many runs of it keep their room on workers: the current one, and those that are being
@@ -19,22 +19,22 @@
   int runsOnWorkers;
 
   /** When its last run was lost or ended; 0 before its first run. */
-  long waitsSince;
+  long waitingSince;
 
   boolean done;
   String checkpoint = "";
 
   /** The highest number used for a run so far. */
-  int lastRun;
+  int lastRunNumber;
 
   /** Numbers of the failed runs: a set, since a successor hears of the same end again. */
-  final List<Integer> failedRuns = new ArrayList<>(0);
+  final List<Integer> failedRunNumbers = new ArrayList<>(0);
 
   /** Where it failed or stood still last, so that the next run goes elsewhere; or null. */
-  WorkerView avoided;
+  WorkerView avoidedWorker;
 
   /** How often it was taken away from a slow worker. */
-  int moves;
+  int migrations;
 
   Task(StepRun step, int index) {
     this.step = step;
@@ -46,11 +46,11 @@
   }
 
   /** Keeps the newest checkpoint; all members of a gang must resume from the same one. */
-  void keepCheckpoint(String value) {
+  void recordCheckpoint(String value) {
     if (!step.spec.flags().checkpoints()) {
       return;
     }
-    if (!step.gang()) {
+    if (!step.isGang()) {
       checkpoint = value;
       return;
     }
@@ -59,7 +59,7 @@
     }
   }
 
-  boolean waiting() {
-    return !done && current == null && runsOnWorkers == 0;
+  boolean isWaiting() {
+    return !done && currentRun == null && runsOnWorkers == 0;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/TaskEnds.java
+++ b/core/src/main/java/org/hickorypier/core/cell/TaskEnds.java
@@ -48,9 +48,9 @@
     if (task == null) {
       return;
     }
-    task.lastRun = Math.max(task.lastRun, ended.run().number());
-    if (!ended.checkpoint().isEmpty() && (run == null || task.current == run)) {
-      task.keepCheckpoint(ended.checkpoint());
+    task.lastRunNumber = Math.max(task.lastRunNumber, ended.run().number());
+    if (!ended.checkpoint().isEmpty() && (run == null || task.currentRun == run)) {
+      task.recordCheckpoint(ended.checkpoint());
     }
     if (ended.how() == RunEnd.DONE) {
       succeeded(worker, run, task, now);
@@ -67,15 +67,15 @@
     Submission submission = task.step.submission;
     if (run != null && run.confirmed() && run.copies > 0) {
       long took = now - run.confirmedAt;
-      cell.learned.ended(submission.spec().queue().name(), took);
+      cell.learnedWork.ended(submission.spec().queue().name(), took);
       task.step.longestRunMillis = Math.max(task.step.longestRunMillis, took);
       worker.slowStreak = 0;
       if (comparable(run)) {
-        cell.speeds.ended(worker.entry().kind(), task.step, took);
+        cell.learnedSpeed.ended(worker.entry().kind(), task.step, took);
       }
     }
     // A persistent task is never done: however it ends, it starts again.
-    if (submission.live() && !task.step.spec.flags().persistent()) {
+    if (submission.isLive() && !task.step.spec.flags().persistent()) {
       done(task, now);
     }
   }
@@ -88,10 +88,10 @@
 
   private void done(Task task, long now) {
     StepRun step = task.step;
-    if (step.done() || task.done) {
+    if (step.isDone() || task.done) {
       return;
     }
-    if (!step.gang()) {
+    if (!step.isGang()) {
       taskDone(task, now);
     } else {
       // The members of a gang end together, and one end stands for all.
@@ -99,8 +99,8 @@
         taskDone(member, now);
       }
     }
-    cell.changed(step.submission);
-    if (step.done()) {
+    cell.recordChange(step.submission);
+    if (step.isDone()) {
       stepDone(step, now);
     }
   }
@@ -111,19 +111,19 @@
     }
     task.done = true;
     task.step.doneCount++;
-    Run other = task.current;
-    task.current = null;
-    if (other != null && !task.step.gang() && other.worker.runs.containsKey(other.key)) {
+    Run other = task.currentRun;
+    task.currentRun = null;
+    if (other != null && !task.step.isGang() && other.worker.runs.containsKey(other.key)) {
       runs.abandon(other, now);
     }
   }
 
   private void stepDone(StepRun step, long now) {
     Submission submission = step.submission;
-    submission.openSteps--;
-    cell.open.remove(step);
-    if (submission.openSteps > 0) {
-      cell.newlyDone = true;
+    submission.unfinishedSteps--;
+    cell.readySteps.remove(step);
+    if (submission.unfinishedSteps > 0) {
+      cell.stepsMayBeReady = true;
       return;
     }
     submission.state = SubmissionState.COMPLETED;
@@ -133,32 +133,34 @@
         "took_ms",
         now - submission.acceptedAt,
         "objective_ms",
-        submission.objectiveMillis(cell.learned));
+        submission.objectiveMillis(cell.learnedWork));
   }
 
   private void failed(Task task, EndedRun ended, WorkerView worker, long now) {
     Task record = task.step.failureRecord(task);
     // A task that has failed elsewhere says more of itself than of this worker.
-    if (record.failedRuns.isEmpty()) {
+    if (record.failedRunNumbers.isEmpty()) {
       distrust(worker, now);
     }
     Submission submission = task.step.submission;
-    if (!submission.live() || task.done || record.failedRuns.contains(ended.run().number())) {
+    if (!submission.isLive()
+        || task.done
+        || record.failedRunNumbers.contains(ended.run().number())) {
       return;
     }
-    record.failedRuns.add(ended.run().number());
-    record.avoided = worker;
-    cell.changed(submission);
-    boolean exhausted = record.failedRuns.size() >= submission.spec().queue().attempts();
+    record.failedRunNumbers.add(ended.run().number());
+    record.avoidedWorker = worker;
+    cell.recordChange(submission);
+    boolean exhausted = record.failedRunNumbers.size() >= submission.spec().queue().attempts();
     if (exhausted && !task.step.spec.flags().persistent()) {
       submission.state = SubmissionState.FAILED;
       cell.submissionEvent(
           "failed",
           submission,
           "task",
-          CellState.text(ended.run().task()),
+          CellState.taskPath(ended.run().task()),
           "attempts",
-          record.failedRuns.size());
+          record.failedRunNumbers.size());
       runs.stopAll(submission, now);
     }
   }
--- a/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
@@ -17,32 +17,33 @@
 final class UpcomingSteps {
 
   /** Within this time the step before must be done; with the call it is less than tickets last. */
-  private static final long AHEAD_MILLIS = 1_200;
+  private static final long LOOKAHEAD_MILLIS = 1_200;
 
   private final CellState cell;
-  private final Set<StepRun> soon = new LinkedHashSet<>();
+  private final Set<StepRun> upcoming = new LinkedHashSet<>();
 
   UpcomingSteps(CellState cell) {
     this.cell = cell;
   }
 
   /** Returns the steps that are about to have their turn, without those that have had it. */
-  List<StepRun> soon() {
-    soon.removeIf(step -> !step.submission.live() || cell.open.contains(step) || !due(step));
-    return new ArrayList<>(soon);
+  List<StepRun> upcoming() {
+    upcoming.removeIf(
+        step -> !step.submission.isLive() || cell.readySteps.contains(step) || !isUpcoming(step));
+    return new ArrayList<>(upcoming);
   }
 
-  private static boolean due(StepRun step) {
-    return step.allIdle() || losesRun(step);
+  private static boolean isUpcoming(StepRun step) {
+    return step.allTasksWaiting() || mayLoseRun(step);
   }
 
   /** Tells whether a task that lasts has its run on a worker that may be lost. */
-  private static boolean losesRun(StepRun step) {
-    if (!step.lasting()) {
+  private static boolean mayLoseRun(StepRun step) {
+    if (!step.isPersistent()) {
       return false;
     }
     for (Task task : step.tasks) {
-      if (task.current != null && task.current.worker.silent) {
+      if (task.currentRun != null && task.currentRun.worker.silent) {
         return true;
       }
     }
@@ -50,61 +51,65 @@
   }
 
   /** Notes the first steps of a submission that is being written. */
-  void accepted(Submission submission) {
+  void addFirstSteps(Submission submission) {
     if (submission.spec().scheduled()) {
       return;
     }
     for (StepRun step : submission.occurrences[0]) {
-      if (step.spec.dependsOn().isEmpty() && wanted(step)) {
-        soon.add(step);
+      if (step.spec.dependsOn().isEmpty() && needsAdviceAhead(step)) {
+        upcoming.add(step);
       }
     }
   }
 
   /** Notes the steps of which all that comes before is nearly done, or that lose a run. */
-  void look(long now) {
+  void addUpcomingSteps(long now) {
     for (Submission submission : cell.submissions.values()) {
-      if (submission.durable && submission.live()) {
+      if (submission.durable && submission.isLive()) {
         for (StepRun[] steps : submission.occurrences) {
-          look(steps, now);
+          addUpcomingSteps(steps, now);
         }
       }
     }
   }
 
-  private void look(StepRun[] steps, long now) {
+  private void addUpcomingSteps(StepRun[] steps, long now) {
     for (StepRun step : steps) {
-      boolean later = !step.spec.dependsOn().isEmpty() && !cell.open.contains(step);
-      if (later && !step.done() && step.allIdle() && wanted(step) && nearlyDue(step, steps, now)) {
-        soon.add(step);
+      boolean later = !step.spec.dependsOn().isEmpty() && !cell.readySteps.contains(step);
+      if (later
+          && !step.isDone()
+          && step.allTasksWaiting()
+          && needsAdviceAhead(step)
+          && isNearlyReady(step, steps, now)) {
+        upcoming.add(step);
       }
-      if (step.advice != null && losesRun(step)) {
-        soon.add(step);
+      if (step.advice != null && mayLoseRun(step)) {
+        upcoming.add(step);
       }
     }
   }
 
   /** What is not urgent has time to spare, and its questions take the advisor half a second. */
-  private boolean wanted(StepRun step) {
-    return step.advice != null && !step.submission.beyondShare && cell.urgent(step);
+  private boolean needsAdviceAhead(StepRun step) {
+    return step.advice != null && !step.submission.exceedsShare && cell.isUrgent(step);
   }
 
-  private boolean nearlyDue(StepRun step, StepRun[] steps, long now) {
+  private boolean isNearlyReady(StepRun step, StepRun[] steps, long now) {
     boolean running = false;
     for (int earlier : step.spec.dependsOn()) {
-      running |= !steps[earlier].done();
-      if (!steps[earlier].done() && !nearlyDone(steps[earlier], now)) {
+      running |= !steps[earlier].isDone();
+      if (!steps[earlier].isDone() && !isNearlyDone(steps[earlier], now)) {
         return false;
       }
     }
     return running;
   }
 
-  private boolean nearlyDone(StepRun step, long now) {
+  private boolean isNearlyDone(StepRun step, long now) {
     String queue = step.submission.spec().queue().name();
-    long usual = cell.learned.atLeast(queue, step.spec.estimateMillis());
+    long usual = cell.learnedWork.atLeast(queue, step.spec.estimateMillis());
     for (Task task : step.tasks) {
-      if (!task.done && !endsBy(now + AHEAD_MILLIS, task.current, usual)) {
+      if (!task.done && !endsBy(now + LOOKAHEAD_MILLIS, task.currentRun, usual)) {
         return false;
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
@@ -16,7 +16,7 @@
 final class UrgencyOrder {
 
   /** After three times its objective a submission is of no more use to its caller. */
-  private static final int LATE_FACTOR = 3;
+  private static final int USEFUL_OBJECTIVE_FACTOR = 3;
 
   private UrgencyOrder() {}
 
@@ -43,11 +43,11 @@
     long objective = submission.objectiveMillis(learned);
     long end = now + learned.atLeast(queue.name(), step.spec.estimateMillis());
     // What lasts is of use whenever it runs, and is wanted again from the moment when it was lost.
-    long from = step.lasting() ? step.waitsSince() : submission.acceptedAt;
-    boolean hopeless = !step.lasting() && end > from + LATE_FACTOR * objective;
-    int band = (submission.beyondShare ? 1 : 0) + (hopeless ? 2 : 0);
+    long from = step.isPersistent() ? step.waitingSince() : submission.acceptedAt;
+    boolean hopeless = !step.isPersistent() && end > from + USEFUL_OBJECTIVE_FACTOR * objective;
+    int band = (submission.exceedsShare ? 1 : 0) + (hopeless ? 2 : 0);
     long deadline = from + objective;
-    boolean late = !step.lasting() && end > deadline;
+    boolean late = !step.isPersistent() && end > deadline;
     return new Ranked(step, band, queue.priority(), late, deadline);
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/UrgentReserve.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UrgentReserve.java
@@ -14,51 +14,55 @@
 final class UrgentReserve {
 
   /** Urgent work doubles within a burst; half above the mean covers its usual waves. */
-  private static final double ABOVE_MEAN = 1.5;
+  private static final double RESERVE_FACTOR = 1.5;
 
   /** Weight of one sample; with ten a second the mean follows within some 5 s. */
-  private static final double WEIGHT = 0.02;
+  private static final double SAMPLE_WEIGHT = 0.02;
 
-  private final Map<String, Use> uses = new HashMap<>();
+  private final Map<String, UrgentUsage> usageByService = new HashMap<>();
 
   /** The urgent work of one service. */
-  private static final class Use {
+  private static final class UrgentUsage {
     private int priority = Integer.MAX_VALUE;
-    private long running;
-    private double mean;
+    private long runningMilliProcessors;
+    private double meanMilliProcessors;
   }
 
   /** Learns that work of some priority was handed in. */
-  void seen(String service, int priority) {
-    Use use = uses.computeIfAbsent(service, name -> new Use());
+  void recordPriority(String service, int priority) {
+    UrgentUsage use = usageByService.computeIfAbsent(service, name -> new UrgentUsage());
     if (priority < use.priority) {
       use.priority = priority;
-      use.running = 0;
-      use.mean = 0;
+      use.runningMilliProcessors = 0;
+      use.meanMilliProcessors = 0;
     }
   }
 
-  boolean urgent(String service, int priority) {
-    Use use = uses.get(service);
+  boolean isUrgent(String service, int priority) {
+    UrgentUsage use = usageByService.get(service);
     return use != null && priority <= use.priority;
   }
 
-  void running(String service, int priority, long processors) {
-    Use use = uses.get(service);
+  void addRunning(String service, int priority, long processors) {
+    UrgentUsage use = usageByService.get(service);
     if (use != null && priority <= use.priority) {
-      use.running += processors;
+      use.runningMilliProcessors += processors;
     }
   }
 
   void sample() {
-    for (Use use : uses.values()) {
-      use.mean += WEIGHT * (use.running - use.mean);
+    for (UrgentUsage use : usageByService.values()) {
+      use.meanMilliProcessors +=
+          SAMPLE_WEIGHT * (use.runningMilliProcessors - use.meanMilliProcessors);
     }
   }
 
   /** Returns how many thousandths of a core other work must leave free. */
-  long processors(String service) {
-    Use use = uses.get(service);
-    return use == null ? 0 : Math.max(0, Math.round(ABOVE_MEAN * use.mean) - use.running);
+  long reservedMilliProcessors(String service) {
+    UrgentUsage use = usageByService.get(service);
+    return use == null
+        ? 0
+        : Math.max(
+            0, Math.round(RESERVE_FACTOR * use.meanMilliProcessors) - use.runningMilliProcessors);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerBook.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerBook.java
@@ -31,7 +31,7 @@
     this.cell = cell;
     this.runs = runs;
     this.adoption = adoption;
-    this.lastOfEarlierOwners = cell.lastNumber();
+    this.lastOfEarlierOwners = cell.lastSubmissionNumber();
     this.roster = new RosterWriter(cell);
   }
 
@@ -53,7 +53,7 @@
   }
 
   private long longestLease(RosterEntry restored) {
-    return restored.renewed() ? cell.terms.silentWorkerMillis() : restored.leaseMillis();
+    return restored.renewed() ? cell.timings.silentWorkerTimeoutMillis() : restored.leaseMillis();
   }
 
   void listed(Map<String, WorkerEntry> entries, long now) {
@@ -112,7 +112,7 @@
           "heard_ms_ago",
           heardAgo,
           "may_run_ms",
-          cell.mayRunMillis(worker, now));
+          cell.remainingLeaseMillis(worker, now));
     }
     worker.unanswered(now);
   }
@@ -132,7 +132,9 @@
         runs.leaseExpired(worker, now);
       }
       boolean empty =
-          worker.runs.isEmpty() && worker.unsavedEnds.isEmpty() && !cell.unresolved(worker, now);
+          worker.runs.isEmpty()
+              && worker.unsavedEnds.isEmpty()
+              && !cell.mayHoldUnknownRuns(worker, now);
       if (worker.silent && empty && !worker.listed) {
         gone.add(worker.id());
       }
@@ -155,7 +157,7 @@
   private void closeAndOpen(long now) {
     for (WorkerView worker : cell.workers.values()) {
       if (worker.open() && worker.closing(now)) {
-        worker.closedAfter = worker.heard ? cell.lastNumber() : lastOfEarlierOwners;
+        worker.closedAfter = worker.heard ? cell.lastSubmissionNumber() : lastOfEarlierOwners;
         worker.onRoster = false;
         roster.stale();
       } else if (!worker.open() && worker.heard && !worker.closing(now)) {
@@ -163,7 +165,7 @@
         worker.onRoster = false;
         roster.stale();
       }
-      boolean retired = !worker.open() && worker.empty() && !cell.unresolved(worker, now);
+      boolean retired = !worker.open() && worker.empty() && !cell.mayHoldUnknownRuns(worker, now);
       if (retired != worker.retired) {
         worker.retired = retired;
         roster.stale();
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerReports.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerReports.java
@@ -45,7 +45,7 @@
           "ended",
           report.ended().size());
     }
-    worker.answered(report.clockMillis(), cell.terms.longestLeaseMillis(), now);
+    worker.answered(report.clockMillis(), cell.timings.longestLeaseMillis(), now);
     takeEnds(worker, report, now);
     Set<RunKey> listed = new HashSet<>();
     for (RunningTask running : report.running()) {
@@ -99,7 +99,7 @@
     run.percent = running.percent();
     stragglers.seen(run, running.percent(), clock, now);
     if (run.task != null && !running.checkpoint().isEmpty()) {
-      run.task.keepCheckpoint(running.checkpoint());
+      run.task.recordCheckpoint(running.checkpoint());
     }
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerView.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerView.java
@@ -230,8 +230,8 @@
     if (clockReading == NO_READING || highestDeadline <= clockReading) {
       return Math.max(clockReadAt, earlierLeasesEnd);
     }
-    double remaining = (highestDeadline - clockReading) / CellTerms.SLOWEST_CLOCK;
-    long ownLeasesEnd = clockReadAt + Math.round(remaining) + CellTerms.LEASE_MARGIN_MILLIS;
+    double remaining = (highestDeadline - clockReading) / CellTimings.SLOWEST_CLOCK_RATE;
+    long ownLeasesEnd = clockReadAt + Math.round(remaining) + CellTimings.LEASE_MARGIN_MILLIS;
     return Math.max(ownLeasesEnd, earlierLeasesEnd);
   }
 
--- a/core/src/main/java/org/hickorypier/core/cluster/ClusterConfiguration.java
+++ b/core/src/main/java/org/hickorypier/core/cluster/ClusterConfiguration.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 
 /**
  * One version of the operator's configuration, indexed for the judgement of requests.
@@ -15,9 +15,9 @@
 public final class ClusterConfiguration {
 
   private final long version;
-  private final List<CustomerTerms> customers;
+  private final List<CustomerLimits> customers;
   private final Map<String, List<QueueRoute>> routesByHost = new HashMap<>();
-  private final Map<String, CustomerTerms> customersByKey = new HashMap<>();
+  private final Map<String, CustomerLimits> customersByKey = new HashMap<>();
 
   /**
    * Indexes a version.
@@ -31,7 +31,7 @@
     for (QueueRoute route : routes) {
       routesByHost.computeIfAbsent(route.host(), host -> new ArrayList<>()).add(route);
     }
-    List<CustomerTerms> terms = new ArrayList<>();
+    List<CustomerLimits> terms = new ArrayList<>();
     for (CustomerAccess customer : access) {
       terms.add(customer.terms());
       for (String key : customer.keys()) {
@@ -55,7 +55,7 @@
    *
    * @return the terms
    */
-  public List<CustomerTerms> customers() {
+  public List<CustomerLimits> customers() {
     return customers;
   }
 
@@ -83,7 +83,7 @@
    * @param key the key that came with a request
    * @return the customer, if the key is in force
    */
-  public Optional<CustomerTerms> customerOf(String key) {
+  public Optional<CustomerLimits> customerOf(String key) {
     return Optional.ofNullable(customersByKey.get(key));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cluster/CustomerAccess.java
+++ b/core/src/main/java/org/hickorypier/core/cluster/CustomerAccess.java
@@ -1,7 +1,7 @@
 package org.hickorypier.core.cluster;
 
 import java.util.Set;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 
 /**
  * A customer with the keys that its callers present.
@@ -11,7 +11,7 @@
  * @param terms what scheduling needs to know of the customer
  * @param keys the keys in force
  */
-public record CustomerAccess(CustomerTerms terms, Set<String> keys) {
+public record CustomerAccess(CustomerLimits terms, Set<String> keys) {
 
   /** Copies the set, so that the record stays as it is. */
   public CustomerAccess {
--- a/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
@@ -15,7 +15,7 @@
 /** A cell whose orders are collected, with a journal that the test lets through by hand. */
 final class CellFixture implements CellOutput {
 
-  static final CellTerms TERMS = CellTerms.of(10_000, 3_000, 60_000);
+  static final CellTimings TERMS = CellTimings.of(10_000, 3_000, 60_000);
   static final Resources CAPACITY = new Resources(16_000, 64_000, 0);
   static final QueueTerms QUEUE =
       new QueueTerms("queue", "service", 0, 2, 2, 1_000, Optional.empty());
@@ -24,23 +24,23 @@
           "advised", "service", 0, 2, 2, 1_000, Optional.of(new AdviceTerms(100, 1, 2_500)));
 
   /** An order to start. */
-  record Started(Run run, long deadline, String ticket) {}
+  record StartedRun(Run run, long deadline, String ticket) {}
 
   /** A question to the advisor. */
-  record Asked(StepRun step, List<WorkerView> workers) {}
+  record AdviceRequest(StepRun step, List<WorkerView> workers) {}
 
-  final List<Started> starts = new ArrayList<>();
+  final List<StartedRun> starts = new ArrayList<>();
   final List<RunKey> stops = new ArrayList<>();
-  final List<Asked> questions = new ArrayList<>();
+  final List<AdviceRequest> adviceRequests = new ArrayList<>();
   final List<Submission> saved = new ArrayList<>();
   List<RosterEntry> roster = List.of();
   private List<RosterEntry> unwrittenRoster = List.of();
   private final List<Runnable> afterSave = new ArrayList<>();
   private final Map<String, WorkerEntry> entries = new HashMap<>();
   final Cell cell;
-  boolean advisorFree = true;
+  boolean advisorAvailable = true;
   long now = 1_000;
-  private long clock = 500;
+  private long workerClock = 500;
 
   CellFixture(int epoch) {
     cell = new Cell(TERMS, this, (part, event, fields) -> {}, epoch, now);
@@ -75,7 +75,7 @@
   }
 
   /** A step of tasks that last. */
-  static StepSpec lasting(int count) {
+  static StepSpec persistentStep(int count) {
     return new StepSpec(
         count,
         new Resources(1_000, 1_000, 0),
@@ -111,65 +111,69 @@
 
   Submission submit(SubmissionSpec spec) {
     Submission submission = cell.accept(spec, now);
-    write();
+    writePending();
     pass();
     return submission;
   }
 
   /** Lists a worker, hears it, and writes the roster. */
-  WorkerView worker(String id) {
-    list(id, 1);
-    WorkerView worker = view(id);
-    hear(worker);
+  WorkerView addWorker(String id) {
+    listWorker(id, 1);
+    WorkerView worker = findWorker(id);
+    reportFrom(worker);
     cell.tick(now, now);
-    write();
+    writePending();
     return worker;
   }
 
-  void list(String id, long born) {
-    list(id, born, false);
+  void listWorker(String id, long born) {
+    listWorker(id, born, false);
   }
 
-  void list(String id, long born, boolean draining) {
+  void listWorker(String id, long born, boolean draining) {
     entries.put(
         id,
         new WorkerEntry(
             id, "service", "10.0.0.1:1", draining, 0, CAPACITY, List.of("a", "r1"), born));
-    cell.listed(entries, now);
+    cell.workersListed(entries, now);
   }
 
-  void unlist(String id) {
+  void unlistWorker(String id) {
     entries.remove(id);
-    cell.listed(entries, now);
+    cell.workersListed(entries, now);
   }
 
-  WorkerView view(String id) {
+  WorkerView findWorker(String id) {
     return cell.workers().stream().filter(next -> next.id().equals(id)).findFirst().orElseThrow();
   }
 
-  void hear(WorkerView worker, EndedRun... ends) {
-    hear(worker, worker.bornMillis, List.of(), ends);
+  void reportFrom(WorkerView worker, EndedRun... ends) {
+    reportFrom(worker, worker.bornMillis, List.of(), ends);
   }
 
-  void hear(WorkerView worker, long born, List<RunKey> running, EndedRun... ends) {
+  void reportFrom(WorkerView worker, long born, List<RunKey> running, EndedRun... ends) {
     List<RunningTask> tasks =
         running.stream().map(run -> new RunningTask(run, "checkpoint", 10)).toList();
     long sentAt = now;
     advance(5);
-    cell.held(worker, new HoldReport(born, clock, tasks, List.of(ends)), sentAt, now);
+    cell.renewalAnswered(
+        worker, new HoldReport(born, workerClock, tasks, List.of(ends)), sentAt, now);
   }
 
   /** Lets a worker tell how far a run is. */
-  void progress(WorkerView worker, RunningTask running) {
+  void reportProgress(WorkerView worker, RunningTask running) {
     long sentAt = now;
     advance(5);
-    cell.held(
-        worker, new HoldReport(worker.bornMillis, clock, List.of(running), List.of()), sentAt, now);
+    cell.renewalAnswered(
+        worker,
+        new HoldReport(worker.bornMillis, workerClock, List.of(running), List.of()),
+        sentAt,
+        now);
   }
 
   void advance(long millis) {
     now += millis;
-    clock += millis;
+    workerClock += millis;
   }
 
   void pass() {
@@ -177,25 +181,25 @@
   }
 
   /** Lets the journal write what is saved so far. */
-  void write() {
+  void writePending() {
     final List<Submission> written = new ArrayList<>(saved);
     final List<Runnable> actions = new ArrayList<>(afterSave);
     saved.clear();
     afterSave.clear();
     roster = unwrittenRoster;
-    written.forEach(next -> cell.durable(next, next.version()));
+    written.forEach(next -> cell.markDurable(next, next.version()));
     actions.forEach(Runnable::run);
   }
 
   void confirmAll() {
-    for (Started started : List.copyOf(starts)) {
+    for (StartedRun started : List.copyOf(starts)) {
       cell.startAnswered(started.run(), StartOutcome.STARTED, now);
     }
   }
 
   @Override
   public void start(Run run, long deadline, String ticket) {
-    starts.add(new Started(run, deadline, ticket));
+    starts.add(new StartedRun(run, deadline, ticket));
   }
 
   @Override
@@ -205,10 +209,10 @@
 
   @Override
   public boolean advise(StepRun step, List<WorkerView> workers) {
-    if (advisorFree) {
-      questions.add(new Asked(step, workers));
+    if (advisorAvailable) {
+      adviceRequests.add(new AdviceRequest(step, workers));
     }
-    return advisorFree;
+    return advisorAvailable;
   }
 
   @Override
--- a/core/src/test/java/org/hickorypier/core/cell/CellLoadTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellLoadTest.java
@@ -25,41 +25,41 @@
  */
 class CellLoadTest {
 
-  private static final long DAY_MILLIS = 60_000;
-  private static final int STEP_MILLIS = 10;
+  private static final long DURATION_MILLIS = 60_000;
+  private static final int TICK_MILLIS = 10;
   private static final QueueTerms CHECKS = queue("checks", 0, 1.5, 250);
   private static final QueueTerms GANGS = queue("gangs", 1, 2.2, 1_000);
   private static final QueueTerms BATCHES = queue("batches", 2, 4, 3_000);
 
   private final CellFixture fixture = new CellFixture(1);
   private final Random random = new Random(7);
-  private final Map<Submission, Long> handedIn = new HashMap<>();
+  private final Map<Submission, Long> submittedAt = new HashMap<>();
   private final List<Long> checkMillis = new ArrayList<>();
-  private final PriorityQueue<Ending> endings =
+  private final PriorityQueue<ScheduledEnd> scheduledEnds =
       new PriorityQueue<>((one, other) -> Long.compare(one.at, other.at));
   private final Map<String, List<EndedRun>> ends = new HashMap<>();
-  private final Map<String, Long> numbers = new HashMap<>();
-  private int taken;
-  private int gangs;
-  private int gangsDone;
+  private final Map<String, Long> endNumbers = new HashMap<>();
+  private int submissionCount;
+  private int gangCount;
+  private int completedGangs;
 
   /** A run that will end. */
-  private record Ending(long at, Run run) {}
+  private record ScheduledEnd(long at, Run run) {}
 
   private static QueueTerms queue(String name, int priority, double stretch, long objective) {
     return new QueueTerms(name, "service", priority, 3, stretch, objective, Optional.empty());
   }
 
   @Test
-  void checksStayShortAndGangsStillRunWhenTheCellIsFull() {
+  void checksStayShortAndGangsStillRunUnderOverload() {
     for (int index = 0; index < 8; index++) {
-      fixture.worker("w" + index);
+      fixture.addWorker("w" + index);
     }
-    long end = fixture.now + DAY_MILLIS;
+    long end = fixture.now + DURATION_MILLIS;
     while (fixture.now < end) {
-      handIn();
-      work();
-      fixture.advance(STEP_MILLIS);
+      submitRandomWork();
+      runWorkers();
+      fixture.advance(TICK_MILLIS);
     }
     Collections.sort(checkMillis);
     long p50 = checkMillis.get(checkMillis.size() / 2);
@@ -72,31 +72,31 @@
             + " ms, p95 "
             + p95
             + " ms; "
-            + gangsDone
+            + completedGangs
             + " of "
-            + gangs
+            + gangCount
             + " gangs done");
     assertThat(p50).isLessThan(750);
     assertThat(p95).isLessThan(1_300);
-    assertThat(gangsDone).isGreaterThan(gangs / 3);
+    assertThat(completedGangs).isGreaterThan(gangCount / 3);
   }
 
-  private void handIn() {
-    double seconds = STEP_MILLIS / 1_000.0;
+  private void submitRandomWork() {
+    double seconds = TICK_MILLIS / 1_000.0;
     if (random.nextDouble() < 8 * seconds) {
       long estimate = 64 + random.nextInt(1_100);
-      take(CHECKS, 2, 1_400, estimate, false);
+      submit(CHECKS, 2, 1_400, estimate, false);
     }
     if (random.nextDouble() < 0.5 * seconds) {
-      gangs++;
-      take(GANGS, 5, 4_500, 6_200, true);
+      gangCount++;
+      submit(GANGS, 5, 4_500, 6_200, true);
     }
     if (random.nextDouble() < 1.5 * seconds) {
-      take(BATCHES, 10, 980, 3_400, false);
+      submit(BATCHES, 10, 980, 3_400, false);
     }
   }
 
-  private void take(QueueTerms queue, int count, long processors, long estimate, boolean gang) {
+  private void submit(QueueTerms queue, int count, long processors, long estimate, boolean gang) {
     StepSpec step =
         new StepSpec(
             count,
@@ -112,19 +112,27 @@
             0);
     SubmissionSpec spec =
         new SubmissionSpec(
-            "%016x".formatted(taken++), "customer", queue, "text", List.of(step), 0, 0, 0, 0);
+            "%016x".formatted(submissionCount++),
+            "customer",
+            queue,
+            "text",
+            List.of(step),
+            0,
+            0,
+            0,
+            0);
     Submission submission = fixture.cell.accept(spec, fixture.now);
-    handedIn.put(submission, fixture.now);
+    submittedAt.put(submission, fixture.now);
   }
 
-  private void work() {
+  private void runWorkers() {
     for (WorkerView worker : fixture.cell.workers()) {
       ends.put(worker.id(), new ArrayList<>());
     }
-    while (!endings.isEmpty() && endings.peek().at <= fixture.now) {
-      Run run = endings.remove().run;
+    while (!scheduledEnds.isEmpty() && scheduledEnds.peek().at <= fixture.now) {
+      Run run = scheduledEnds.remove().run;
       String worker = run.worker().id();
-      long number = numbers.merge(worker, 1L, Long::sum);
+      long number = endNumbers.merge(worker, 1L, Long::sum);
       ends.get(worker).add(new EndedRun(number, run.key(), RunEnd.DONE, ""));
     }
     for (WorkerView worker : fixture.cell.workers()) {
@@ -132,24 +140,24 @@
       worker.runs.values().stream()
           .filter(run -> ends.get(worker.id()).stream().noneMatch(next -> next.run() == run.key()))
           .forEach(run -> running.add(new RunningTask(run.key(), "", percent(run))));
-      fixture.cell.held(
+      fixture.cell.renewalAnswered(
           worker,
           new HoldReport(1, fixture.now, running, ends.get(worker.id())),
           fixture.now,
           fixture.now);
     }
-    fixture.write();
-    if (fixture.now % 100 < STEP_MILLIS) {
+    fixture.writePending();
+    if (fixture.now % 100 < TICK_MILLIS) {
       fixture.cell.tick(fixture.now, fixture.now);
-      fixture.write();
+      fixture.writePending();
     }
     fixture.pass();
-    for (CellFixture.Started started : fixture.starts) {
+    for (CellFixture.StartedRun started : fixture.starts) {
       fixture.cell.startAnswered(started.run(), StartOutcome.STARTED, fixture.now);
-      endings.add(new Ending(fixture.now + workMillis(started.run()), started.run()));
+      scheduledEnds.add(new ScheduledEnd(fixture.now + workMillis(started.run()), started.run()));
     }
     fixture.starts.clear();
-    note();
+    recordCompletions();
   }
 
   private int percent(Run run) {
@@ -162,17 +170,17 @@
     return queue.equals("checks") ? 640 : queue.equals("gangs") ? 6_200 : 3_400;
   }
 
-  private void note() {
-    handedIn
+  private void recordCompletions() {
+    submittedAt
         .entrySet()
         .removeIf(
             entry -> {
-              boolean done = entry.getKey().shown() == SubmissionState.COMPLETED;
+              boolean done = entry.getKey().visibleState() == SubmissionState.COMPLETED;
               String queue = entry.getKey().spec().queue().name();
               if (done && queue.equals("checks")) {
                 checkMillis.add(fixture.now - entry.getValue());
               } else if (done && queue.equals("gangs")) {
-                gangsDone++;
+                completedGangs++;
               }
               return done;
             });
--- a/core/src/test/java/org/hickorypier/core/cell/CellTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellTest.java
@@ -26,33 +26,33 @@
   private final CellFixture fixture = new CellFixture(1);
   private final Cell cell = fixture.cell;
 
-  private static EndedRun end(long number, Run run, RunEnd how) {
+  private static EndedRun endedRun(long number, Run run, RunEnd how) {
     return new EndedRun(number, run.key(), how, "");
   }
 
   @Test
   void nothingStartsBeforeTheSubmissionIsDurable() {
-    fixture.worker("w");
+    fixture.addWorker("w");
     cell.accept(spec("s", QUEUE, step(1, 1_000, 500, false)), fixture.now);
     fixture.pass();
     assertThat(fixture.starts).isEmpty();
 
-    fixture.write();
+    fixture.writePending();
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
   }
 
   @Test
   void completionIsShownOnlyOnceItIsDurable() {
-    final WorkerView worker = fixture.worker("w");
+    final WorkerView worker = fixture.addWorker("w");
     final Submission submission = fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.hear(worker, end(1, fixture.starts.get(0).run(), RunEnd.DONE));
-    assertThat(submission.shown()).isEqualTo(SubmissionState.RUNNING);
+    fixture.reportFrom(worker, endedRun(1, fixture.starts.get(0).run(), RunEnd.DONE));
+    assertThat(submission.visibleState()).isEqualTo(SubmissionState.RUNNING);
     assertThat(worker.acknowledged(fixture.now)).isZero();
 
-    fixture.write();
-    assertThat(submission.shown()).isEqualTo(SubmissionState.COMPLETED);
+    fixture.writePending();
+    assertThat(submission.visibleState()).isEqualTo(SubmissionState.COMPLETED);
     assertThat(worker.acknowledged(fixture.now)).isEqualTo(1);
   }
 
@@ -63,17 +63,17 @@
    * end and started the task again.
    */
   @Test
-  void firstChangeOfWhatWasTakenOverIsWritten() {
+  void firstChangeAfterTakeoverIsWrittenSoTheTaskDoesNotRunTwice() {
     SubmissionSpec spec = spec("s", QUEUE, step(2, 1_000, 500, false));
     Progress nothing = new Progress(SubmissionState.QUEUED, 0, List.of(new BitSet()), Map.of());
     cell.restore(spec, 7, nothing, fixture.now, fixture.now);
-    final WorkerView worker = fixture.worker("w");
+    final WorkerView worker = fixture.addWorker("w");
     RunKey first = new RunKey(new TaskName("s", 0, 0, 0), 1);
-    fixture.hear(worker, new EndedRun(1, first, RunEnd.DONE, ""));
+    fixture.reportFrom(worker, new EndedRun(1, first, RunEnd.DONE, ""));
 
     Submission submission = cell.find("s");
     assertThat(fixture.saved).contains(submission);
-    assertThat(submission.worthSaving()).isTrue();
+    assertThat(submission.needsSaving()).isTrue();
     assertThat(submission.progress().done().get(0).get(0)).isTrue();
   }
 
@@ -83,31 +83,31 @@
    * there for gone and started them elsewhere.
    */
   @Test
-  void birthInTheListTakesNoRunForGone() {
-    final WorkerView worker = fixture.worker("w");
-    fixture.worker("other");
+  void newStartTimeInWorkerListDoesNotEndRunsOfTheRestartedWorker() {
+    final WorkerView worker = fixture.addWorker("w");
+    fixture.addWorker("other");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     Run run = fixture.starts.get(0).run();
     WorkerView reborn = run.worker();
 
-    fixture.list(reborn.id(), 2);
+    fixture.listWorker(reborn.id(), 2);
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
 
-    fixture.hear(reborn, 2, List.of(run.key()));
+    fixture.reportFrom(reborn, 2, List.of(run.key()));
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
     assertThat(worker.id()).isNotNull();
   }
 
   @Test
-  void runsOfAnEarlierLifeStartElsewhereOnceTheNewLifeHasSpoken() {
-    fixture.worker("w");
+  void runsRestartOnceTheRestartedWorkerReportsWithoutThem() {
+    fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     fixture.advance(10);
-    fixture.hear(fixture.view("w"), 2, List.of());
+    fixture.reportFrom(fixture.findWorker("w"), 2, List.of());
     fixture.pass();
 
     assertThat(fixture.starts).hasSize(2);
@@ -120,17 +120,17 @@
    * worker forgot ends that nobody had seen.
    */
   @Test
-  void doubtfulLifeIsToldNoNumber() {
-    final WorkerView worker = fixture.worker("w");
+  void noEndIsAcknowledgedWhileTheWorkerMayHaveRestarted() {
+    final WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.hear(worker, end(1, fixture.starts.get(0).run(), RunEnd.DONE));
-    fixture.write();
+    fixture.reportFrom(worker, endedRun(1, fixture.starts.get(0).run(), RunEnd.DONE));
+    fixture.writePending();
     assertThat(worker.acknowledged(fixture.now)).isEqualTo(1);
 
-    cell.holdUnanswered(worker, fixture.now);
+    cell.renewalUnanswered(worker, fixture.now);
     assertThat(worker.acknowledged(fixture.now)).isZero();
-    fixture.hear(worker);
+    fixture.reportFrom(worker);
     assertThat(worker.acknowledged(fixture.now)).isEqualTo(1);
     fixture.advance(3_500);
     assertThat(worker.acknowledged(fixture.now)).isZero();
@@ -142,8 +142,8 @@
    * preceded. The first answer counts.
    */
   @Test
-  void firstAnswerToStopCounts() {
-    final WorkerView worker = fixture.worker("w");
+  void repeatedStopAnswerDoesNotDelayTheRestart() {
+    final WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     Run run = fixture.starts.get(0).run();
     for (int copy = 0; copy < 3; copy++) {
@@ -156,7 +156,7 @@
     long sentAt = fixture.now;
     fixture.advance(500);
     cell.stopAnswered(worker, run.key(), fixture.now);
-    cell.held(worker, new HoldReport(1, 900, List.of(), List.of()), sentAt, fixture.now);
+    cell.renewalAnswered(worker, new HoldReport(1, 900, List.of(), List.of()), sentAt, fixture.now);
     fixture.pass();
 
     assertThat(fixture.starts).hasSize(4);
@@ -168,25 +168,25 @@
    * that was ever sent may keep it running there, and must start soon after.
    */
   @Test
-  void taskOfSilentWorkerWaitsForItsLease() {
-    final WorkerView worker = fixture.worker("w");
+  void taskOfSilentWorkerStartsElsewhereAfterItsLeaseExpires() {
+    final WorkerView worker = fixture.addWorker("w");
     worker.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.worker("other");
+    fixture.addWorker("other");
     WorkerView holder = fixture.starts.get(0).run().worker();
     holder.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
-    cell.holdUnanswered(holder, fixture.now);
+    cell.renewalUnanswered(holder, fixture.now);
     final long silentAt = fixture.now;
 
     fixture.advance(CellFixture.TERMS.leaseMillis());
-    keepOthersFresh(holder);
+    reportFromAllExcept(holder);
     cell.tick(fixture.now, fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
 
     fixture.advance(600);
-    keepOthersFresh(holder);
+    reportFromAllExcept(holder);
     cell.tick(fixture.now, fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
@@ -195,19 +195,19 @@
 
   /** A lasting task waited for the lease of a worker that had announced that it leaves. */
   @Test
-  void taskOfDepartedWorkerStartsAtOnce() {
-    final WorkerView leaving = fixture.worker("leaving");
+  void taskOfDepartedWorkerRestartsWithoutWaitingForItsLease() {
+    final WorkerView leaving = fixture.addWorker("leaving");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     leaving.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
-    fixture.worker("staying");
-    fixture.list("leaving", 1, true);
-    fixture.unlist("leaving");
-    cell.departed(List.of("leaving"), fixture.now);
+    fixture.addWorker("staying");
+    fixture.listWorker("leaving", 1, true);
+    fixture.unlistWorker("leaving");
+    cell.workersDeparted(List.of("leaving"), fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
 
-    cell.holdUnanswered(leaving, fixture.now);
+    cell.renewalUnanswered(leaving, fixture.now);
     cell.tick(fixture.now, fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
@@ -215,9 +215,9 @@
   }
 
   @Test
-  void reserveForUrgentWorkDoesNotKeepLastingTaskFromItsRestart() {
-    final WorkerView worker = fixture.worker("w");
-    fixture.submit(spec("service", LESS_URGENT, CellFixture.lasting(1)));
+  void urgentReserveDoesNotBlockRestartOfPersistentTask() {
+    final WorkerView worker = fixture.addWorker("w");
+    fixture.submit(spec("service", LESS_URGENT, CellFixture.persistentStep(1)));
     fixture.submit(spec("checks", QUEUE, step(15, 1_000, 500, false)));
     fixture.confirmAll();
     for (int tick = 0; tick < 200; tick++) {
@@ -225,10 +225,10 @@
     }
     EndedRun[] ends = new EndedRun[fixture.starts.size()];
     for (int index = 0; index < ends.length; index++) {
-      ends[index] = end(index + 1, fixture.starts.get(index).run(), RunEnd.DONE);
+      ends[index] = endedRun(index + 1, fixture.starts.get(index).run(), RunEnd.DONE);
     }
-    fixture.hear(worker, ends);
-    fixture.write();
+    fixture.reportFrom(worker, ends);
+    fixture.writePending();
     fixture.pass();
     assertThat(fixture.starts.get(fixture.starts.size() - 1).run().key().task().submission())
         .isEqualTo("service");
@@ -239,8 +239,8 @@
    * A worker that came back under its id ran the repeated order by its new clock, past any lease.
    */
   @Test
-  void orderIsNotRepeatedToWorkerThatMayHaveNewLife() {
-    fixture.worker("w");
+  void unansweredStartIsNotRepeatedToWorkerThatMayHaveRestarted() {
+    fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     Run run = fixture.starts.get(0).run();
     fixture.advance(1_200);
@@ -251,25 +251,25 @@
 
   /** A report that was on its way when its worker left would bring the runs back for good. */
   @Test
-  void reportOfForgottenWorkerIsIgnored() {
-    final WorkerView leaving = fixture.worker("leaving");
+  void lateReportOfRemovedWorkerIsIgnored() {
+    final WorkerView leaving = fixture.addWorker("leaving");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     final RunKey run = fixture.starts.get(0).run().key();
-    fixture.worker("staying");
-    fixture.unlist("leaving");
-    cell.holdUnanswered(leaving, fixture.now);
-    cell.departed(List.of("leaving"), fixture.now);
-    fixture.hear(leaving, 1, List.of(run));
+    fixture.addWorker("staying");
+    fixture.unlistWorker("leaving");
+    cell.renewalUnanswered(leaving, fixture.now);
+    cell.workersDeparted(List.of("leaving"), fixture.now);
+    fixture.reportFrom(leaving, 1, List.of(run));
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
     assertThat(fixture.stops).isEmpty();
   }
 
-  private void keepOthersFresh(WorkerView silent) {
+  private void reportFromAllExcept(WorkerView silent) {
     for (WorkerView worker : cell.workers()) {
       if (worker != silent) {
-        fixture.hear(worker);
+        fixture.reportFrom(worker);
       }
     }
   }
@@ -280,7 +280,7 @@
    * does not.
    */
   @Test
-  void takenOverTaskWaitsForUnheardWorkers() {
+  void takenOverTaskWaitsForWorkersThatHaveNotReported() {
     CellFixture successor = new CellFixture(2);
     successor.cell.restore(
         spec("old", QUEUE, step(1, 1_000, 500, false)),
@@ -294,14 +294,15 @@
                 new WorkerEntry(
                     "dark", "service", "10.0.0.2:1", false, 0, CellFixture.CAPACITY, List.of(), 1),
                 RosterEntry.OPEN)));
-    successor.worker("w");
+    successor.addWorker("w");
     successor.submit(spec("new", QUEUE, step(1, 1_000, 500, false)));
     assertThat(successor.starts).hasSize(1);
     assertThat(successor.starts.get(0).run().key().task().submission()).isEqualTo("new");
 
-    successor.advance(CellFixture.TERMS.silentWorkerMillis() + 1);
+    successor.advance(CellFixture.TERMS.silentWorkerTimeoutMillis() + 1);
     successor.confirmAll();
-    successor.hear(successor.view("w"), 1, List.of(successor.starts.get(0).run().key()));
+    successor.reportFrom(
+        successor.findWorker("w"), 1, List.of(successor.starts.get(0).run().key()));
     successor.pass();
     assertThat(successor.starts).hasSize(2);
     assertThat(successor.starts.get(1).run().key().number()).isGreaterThan(1_000);
@@ -313,23 +314,23 @@
    * rest is off the roster, so nobody waits for it; it gets nothing before it is on it again.
    */
   @Test
-  void workerAtRestIsOffTheRosterUntilItMayTakeWorkAgain() {
-    final WorkerView leaving = fixture.worker("leaving");
-    fixture.worker("staying");
+  void idleDrainingWorkerLeavesTheRosterUntilItIsReadyAgain() {
+    final WorkerView leaving = fixture.addWorker("leaving");
+    fixture.addWorker("staying");
     assertThat(fixture.roster)
         .extracting(each -> each.worker().id())
         .containsExactly("leaving", "staying");
 
-    fixture.list("leaving", 1, true);
+    fixture.listWorker("leaving", 1, true);
     cell.tick(fixture.now, fixture.now);
-    fixture.write();
+    fixture.writePending();
     assertThat(fixture.roster).extracting(each -> each.worker().id()).containsExactly("staying");
 
-    fixture.list("leaving", 1, false);
+    fixture.listWorker("leaving", 1, false);
     assertThat(leaving.takesWork(fixture.now)).isFalse();
     cell.tick(fixture.now, fixture.now);
     assertThat(leaving.takesWork(fixture.now)).isFalse();
-    fixture.write();
+    fixture.writePending();
     assertThat(fixture.roster)
         .extracting(each -> each.worker().id())
         .containsExactly("leaving", "staying");
@@ -342,18 +343,18 @@
    * at once.
    */
   @Test
-  void takenOverTaskDoesNotWaitForWorkerClosedBeforeItCame() {
-    fixture.worker("leaving");
+  void takenOverTaskDoesNotWaitForWorkerThatDrainedBeforeItWasAccepted() {
+    fixture.addWorker("leaving");
     fixture.submit(spec("before", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.list("leaving", 1, true);
+    fixture.listWorker("leaving", 1, true);
     cell.tick(fixture.now, fixture.now);
-    fixture.write();
+    fixture.writePending();
     fixture.submit(spec("after", QUEUE, step(1, 1_000, 500, false)));
     assertThat(fixture.starts).hasSize(1);
 
     CellFixture successor = fixture.successor(2, "before", "after");
-    successor.worker("staying");
+    successor.addWorker("staying");
     successor.pass();
     assertThat(successor.starts)
         .extracting(each -> each.run().key().task().submission())
@@ -367,10 +368,10 @@
    * was still being stopped.
    */
   @Test
-  void taskWaitsForEveryRunOfItThatIsBeingStopped() {
+  void taskDoesNotStartWhileAnyOfItsRunsIsBeingStopped() {
     CellFixture successor = new CellFixture(2);
-    final WorkerView first = successor.worker("first");
-    final WorkerView second = successor.worker("second");
+    final WorkerView first = successor.addWorker("first");
+    final WorkerView second = successor.addWorker("second");
     successor.cell.restore(
         spec("s", QUEUE, step(1, 1_000, 500, false)),
         7,
@@ -379,16 +380,16 @@
         successor.now);
     RunKey one = new RunKey(new TaskName("s", 0, 0, 0), 1);
     RunKey two = new RunKey(new TaskName("s", 0, 0, 0), 2);
-    successor.hear(first, 1, List.of(one));
-    successor.hear(second, 1, List.of(two));
+    successor.reportFrom(first, 1, List.of(one));
+    successor.reportFrom(second, 1, List.of(two));
     assertThat(successor.stops).containsExactly(two);
-    successor.hear(first, 1, List.of(), new EndedRun(1, one, RunEnd.FAILED, ""));
-    successor.write();
+    successor.reportFrom(first, 1, List.of(), new EndedRun(1, one, RunEnd.FAILED, ""));
+    successor.writePending();
     successor.pass();
     assertThat(successor.starts).isEmpty();
 
-    successor.hear(second, 1, List.of(), new EndedRun(1, two, RunEnd.STOPPED, ""));
-    successor.write();
+    successor.reportFrom(second, 1, List.of(), new EndedRun(1, two, RunEnd.STOPPED, ""));
+    successor.writePending();
     successor.pass();
     assertThat(successor.starts).hasSize(1);
   }
@@ -399,24 +400,24 @@
    * would not wait for what it runs.
    */
   @Test
-  void workerOpenedAgainWaitsForTheRosterThatSaysSo() {
-    final WorkerView worker = fixture.worker("w");
+  void reopenedWorkerTakesNoWorkBeforeItsRosterEntryIsWritten() {
+    final WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.list("w", 1, true);
+    fixture.listWorker("w", 1, true);
     cell.tick(fixture.now, fixture.now);
-    fixture.list("w", 1, false);
+    fixture.listWorker("w", 1, false);
     cell.tick(fixture.now, fixture.now);
-    fixture.write();
+    fixture.writePending();
     assertThat(worker.takesWork(fixture.now)).isFalse();
     cell.tick(fixture.now, fixture.now);
-    fixture.write();
+    fixture.writePending();
     assertThat(worker.takesWork(fixture.now)).isTrue();
   }
 
   /** A worker that no earlier owner had on its roster got nothing from it. */
   @Test
-  void takenOverTaskDoesNotWaitForWorkersThatGotNothing() {
+  void takenOverTaskDoesNotWaitForWorkersOutsideTheRoster() {
     CellFixture successor = new CellFixture(2);
     successor.cell.restore(
         spec("old", QUEUE, step(1, 1_000, 500, false)),
@@ -424,16 +425,16 @@
         new Progress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
         successor.now,
         successor.now);
-    successor.list("dark", 1);
-    successor.worker("w");
+    successor.listWorker("dark", 1);
+    successor.addWorker("w");
     successor.pass();
     assertThat(successor.starts).hasSize(1);
   }
 
   @Test
-  void customersLimitCountsWhatIsBeingStopped() {
-    fixture.worker("w");
-    cell.configure(List.of(new CustomerTerms("customer", 100, new Resources(2_000, 0, 0))));
+  void customerLimitCountsRunsThatAreBeingStopped() {
+    fixture.addWorker("w");
+    cell.configure(List.of(new CustomerLimits("customer", 100, new Resources(2_000, 0, 0))));
     final Submission first = fixture.submit(spec("a", QUEUE, step(2, 1_000, 500, false)));
     fixture.confirmAll();
     fixture.submit(spec("b", QUEUE, step(1, 1_000, 500, false)));
@@ -442,35 +443,35 @@
     assertThat(fixture.starts).hasSize(2);
 
     fixture.advance(10);
-    fixture.hear(
-        fixture.view("w"),
-        end(1, fixture.starts.get(0).run(), RunEnd.STOPPED),
-        end(2, fixture.starts.get(1).run(), RunEnd.STOPPED));
+    fixture.reportFrom(
+        fixture.findWorker("w"),
+        endedRun(1, fixture.starts.get(0).run(), RunEnd.STOPPED),
+        endedRun(2, fixture.starts.get(1).run(), RunEnd.STOPPED));
     fixture.pass();
     assertThat(fixture.starts).hasSize(3);
   }
 
   @Test
-  void submissionFailsAfterItsLastAttemptOnly() {
-    final WorkerView worker = fixture.worker("w");
+  void submissionFailsOnlyAfterItsLastAttempt() {
+    final WorkerView worker = fixture.addWorker("w");
     final Submission submission = fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     Run first = fixture.starts.get(0).run();
-    fixture.hear(worker, end(1, first, RunEnd.FAILED));
-    fixture.hear(worker, end(1, first, RunEnd.FAILED));
+    fixture.reportFrom(worker, endedRun(1, first, RunEnd.FAILED));
+    fixture.reportFrom(worker, endedRun(1, first, RunEnd.FAILED));
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
 
     fixture.confirmAll();
     fixture.advance(10);
-    fixture.hear(worker, end(2, fixture.starts.get(1).run(), RunEnd.FAILED));
-    fixture.write();
-    assertThat(submission.shown()).isEqualTo(SubmissionState.FAILED);
+    fixture.reportFrom(worker, endedRun(2, fixture.starts.get(1).run(), RunEnd.FAILED));
+    fixture.writePending();
+    assertThat(submission.visibleState()).isEqualTo(SubmissionState.FAILED);
   }
 
   @Test
-  void gangStartsWholeUnderOneNumberAndStopsWhole() {
-    final WorkerView worker = fixture.worker("w");
+  void gangMembersShareOneRunNumberAndStopTogether() {
+    final WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(3, 5_000, 500, true)));
     assertThat(fixture.starts).hasSize(3);
     assertThat(fixture.starts).allMatch(next -> next.run().key().number() == 1);
@@ -491,15 +492,15 @@
    * kept in short form. It remains one submission: nothing runs again.
    */
   @Test
-  void retryOfAnEndedSubmissionRunsNothing() {
-    final WorkerView worker = fixture.worker("w");
+  void retryOfEndedSubmissionStartsNoRun() {
+    final WorkerView worker = fixture.addWorker("w");
     SubmissionSpec spec = spec("s", QUEUE, step(1, 1_000, 500, false));
     fixture.submit(spec);
     fixture.confirmAll();
-    fixture.hear(worker, end(1, fixture.starts.get(0).run(), RunEnd.DONE));
+    fixture.reportFrom(worker, endedRun(1, fixture.starts.get(0).run(), RunEnd.DONE));
     for (int round = 0; round < 3; round++) {
       fixture.cell.tick(fixture.now, fixture.now);
-      fixture.write();
+      fixture.writePending();
     }
     assertThat(cell.size()).isZero();
     assertThat(cell.accept(spec, fixture.now)).isNull();
@@ -507,22 +508,22 @@
   }
 
   @Test
-  void persistentTaskStartsAgainHoweverItEnds() {
+  void persistentTaskRestartsAfterSuccessAndFailure() {
     StepFlags lasting = new StepFlags(false, false, false, false, true, false);
-    final WorkerView worker = fixture.worker("w");
+    final WorkerView worker = fixture.addWorker("w");
     StepSpec step =
         new StepSpec(1, new Resources(1_000, 1, 0), 100, List.of(), lasting, "", "", 0, "", 0, 0);
     final Submission submission = fixture.submit(spec("s", QUEUE, step));
     for (int run = 0; run < 4; run++) {
       fixture.confirmAll();
       RunEnd how = run % 2 == 0 ? RunEnd.DONE : RunEnd.FAILED;
-      fixture.hear(worker, end(run + 1, fixture.starts.get(run).run(), how));
+      fixture.reportFrom(worker, endedRun(run + 1, fixture.starts.get(run).run(), how));
       fixture.advance(50);
-      fixture.hear(worker);
+      fixture.reportFrom(worker);
       fixture.pass();
     }
     assertThat(fixture.starts).hasSize(5);
-    assertThat(submission.shown()).isEqualTo(SubmissionState.RUNNING);
+    assertThat(submission.visibleState()).isEqualTo(SubmissionState.RUNNING);
   }
 
   @Test
--- a/core/src/test/java/org/hickorypier/core/cell/PlacerTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/PlacerTest.java
@@ -38,7 +38,7 @@
     return Placer.choose(run, List.of(run.tasks), workers, next -> true, 0);
   }
 
-  private static StepSpec with(int count, StepFlags flags, String affinity, int antiAffinity) {
+  private static StepSpec stepWith(int count, StepFlags flags, String affinity, int antiAffinity) {
     return new StepSpec(
         count,
         new Resources(4_000, 1_000, 0),
@@ -54,14 +54,14 @@
   }
 
   @Test
-  void bestFitLeavesWholeGapsForWideTasks() {
+  void bestFitLeavesEmptyWorkersForWideTasks() {
     worker("empty", "r1", 16_000);
     WorkerView used = worker("used", "r1", 5_000);
     assertThat(choose(step(1, 4_000, 1_000, false)).values()).containsOnly(used);
   }
 
   @Test
-  void gangIsPlacedWholeOrNotAtAll() {
+  void gangIsPlacedCompletelyOrNotAtAll() {
     worker("one", "r1", 8_000);
     assertThat(choose(step(3, 4_000, 1_000, true))).isEmpty();
     worker("two", "r1", 4_000);
@@ -69,26 +69,26 @@
   }
 
   @Test
-  void gangOfOneRackWaitsForOneBeforeItSpreads() {
+  void sameRackGangWaitsForOneRackBeforeItSpreads() {
     worker("one", "r1", 8_000);
     worker("two", "r2", 8_000);
     StepFlags oneRack = new StepFlags(true, true, false, false, false, false);
-    assertThat(choose(with(3, oneRack, "", 0))).isEmpty();
+    assertThat(choose(stepWith(3, oneRack, "", 0))).isEmpty();
     WorkerView third = worker("three", "r2", 4_000);
-    assertThat(choose(with(3, oneRack, "", 0)).values()).contains(third);
+    assertThat(choose(stepWith(3, oneRack, "", 0)).values()).contains(third);
   }
 
   @Test
-  void tasksGoToTheirData() {
+  void tasksPreferWorkersWithTheirAffinityLabel() {
     worker("far", "r1", 4_000);
     WorkerView near = worker("near", "r2", 16_000);
-    assertThat(choose(with(1, StepFlags.PLAIN, "r2", 0)).values()).containsOnly(near);
+    assertThat(choose(stepWith(1, StepFlags.PLAIN, "r2", 0)).values()).containsOnly(near);
   }
 
   @Test
-  void antiAffinityBoundsTheTasksOnOneWorker() {
+  void antiAffinityLimitsTasksPerWorker() {
     worker("one", "r1", 16_000);
     worker("two", "r1", 16_000);
-    assertThat(choose(with(4, StepFlags.PLAIN, "", 1))).hasSize(2);
+    assertThat(choose(stepWith(4, StepFlags.PLAIN, "", 1))).hasSize(2);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/ComeBackTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/RetryAfterTest.java
@@ -11,11 +11,11 @@
 import org.hickorypier.core.submission.SubmissionSpec;
 import org.junit.jupiter.api.Test;
 
-class ComeBackTest {
+class RetryAfterTest {
 
-  private static final int TRIES = 5;
+  private static final int MAX_ATTEMPTS = 5;
 
-  private static SubmissionSpec work(long estimate, double stretch, long objective) {
+  private static SubmissionSpec submission(long estimate, double stretch, long objective) {
     StepSpec step =
         new StepSpec(1, Resources.NONE, estimate, List.of(), StepFlags.PLAIN, "", "", 0, "", 0, 0);
     QueueTerms queue = new QueueTerms("q", "service", 0, 3, stretch, objective, Optional.empty());
@@ -23,13 +23,13 @@
   }
 
   /** Returns when a caller that is refused until the store is back gets in, or -1. */
-  private static long acceptedAt(SubmissionSpec spec, long outage) {
+  private static long acceptedAtMillis(SubmissionSpec spec, long outage) {
     long at = 0;
-    for (int tried = 0; tried < TRIES; tried++) {
+    for (int tried = 0; tried < MAX_ATTEMPTS; tried++) {
       if (at >= outage) {
         return at;
       }
-      at += ComeBack.afterMillis(spec);
+      at += RetryAfter.delayMillis(spec);
     }
     return -1;
   }
@@ -40,16 +40,16 @@
    * make it 4 s.
    */
   @Test
-  void shortCheckIsBackSoonAfterTheStore() {
-    assertThat(acceptedAt(work(640, 1.5, 250), 2_300)).isEqualTo(3_000);
-    assertThat(ComeBack.afterMillis(work(10, 1.5, 0))).isEqualTo(1_000);
+  void shortCheckIsAcceptedSoonAfterStoreOutage() {
+    assertThat(acceptedAtMillis(submission(640, 1.5, 250), 2_300)).isEqualTo(3_000);
+    assertThat(RetryAfter.delayMillis(submission(10, 1.5, 0))).isEqualTo(1_000);
   }
 
   /** The store is away for 9 s. A batch of 6 s keeps a try for its return, and is still in time. */
   @Test
-  void longBatchKeepsTriesForLongOutage() {
-    SubmissionSpec batch = work(6_200, 2.2, 1_000);
-    assertThat(acceptedAt(batch, 9_000)).isEqualTo(9_000);
-    assertThat(ComeBack.afterMillis(work(3_600_000, 2, 0))).isEqualTo(3_000);
+  void longBatchKeepsAttemptsForLongStoreOutage() {
+    SubmissionSpec batch = submission(6_200, 2.2, 1_000);
+    assertThat(acceptedAtMillis(batch, 9_000)).isEqualTo(9_000);
+    assertThat(RetryAfter.delayMillis(submission(3_600_000, 2, 0))).isEqualTo(3_000);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/AdviceTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/StepAdviceTest.java
@@ -10,17 +10,17 @@
 import org.hickorypier.core.submission.StepSpec;
 import org.junit.jupiter.api.Test;
 
-class AdviceTest {
+class StepAdviceTest {
 
   private final CellFixture fixture = new CellFixture(1);
 
   @Test
   void tasksStartOnlyOnSuitableWorkersWithTheirTickets() {
-    fixture.worker("good");
-    final WorkerView bad = fixture.worker("bad");
+    fixture.addWorker("good");
+    final WorkerView bad = fixture.addWorker("bad");
     fixture.submit(spec("s", ADVISED, step(4, 1_000, 500, false)));
     assertThat(fixture.starts).isEmpty();
-    assertThat(fixture.questions).hasSize(1);
+    assertThat(fixture.adviceRequests).hasSize(1);
 
     answer(0, Map.of("good", "ticket"));
     assertThat(fixture.starts).hasSize(4);
@@ -33,15 +33,15 @@
    * meanwhile smaller work must not take the room, or the gang would never start.
    */
   @Test
-  void roomIsHeldWhileNewTicketsAreOnTheirWay() {
-    WorkerView worker = fixture.worker("w");
+  void roomIsClaimedWhileTicketsAreRenewed() {
+    WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("wide", ADVISED, step(3, 5_000, 500, true)));
-    fixture.cell.holdUnanswered(worker, fixture.now);
+    fixture.cell.renewalUnanswered(worker, fixture.now);
     answer(0, Map.of("w", "old"));
     fixture.advance(3_000);
-    fixture.hear(worker);
+    fixture.reportFrom(worker);
     fixture.pass();
-    assertThat(fixture.questions).hasSize(2);
+    assertThat(fixture.adviceRequests).hasSize(2);
 
     fixture.submit(spec("small", CellFixture.QUEUE, step(1, 4_000, 100, false)));
     assertThat(fixture.starts).isEmpty();
@@ -52,17 +52,19 @@
   }
 
   @Test
-  void advisorIsAskedWhileTheLeaseOfLostWorkerRunsOut() {
-    final WorkerView lost = fixture.worker("lost");
-    fixture.submit(spec("s", ADVISED, CellFixture.lasting(1)));
+  void adviceIsRequestedBeforeTheLeaseOfLostWorkerExpires() {
+    final WorkerView lost = fixture.addWorker("lost");
+    fixture.submit(spec("s", ADVISED, CellFixture.persistentStep(1)));
     answer(0, Map.of("lost", "ticket"));
     fixture.confirmAll();
-    fixture.worker("other");
-    fixture.cell.holdUnanswered(lost, fixture.now);
+    fixture.addWorker("other");
+    fixture.cell.renewalUnanswered(lost, fixture.now);
     fixture.cell.tick(fixture.now, fixture.now);
     fixture.pass();
-    assertThat(fixture.questions).hasSize(2);
-    assertThat(fixture.questions.get(1).workers()).extracting(WorkerView::id).contains("other");
+    assertThat(fixture.adviceRequests).hasSize(2);
+    assertThat(fixture.adviceRequests.get(1).workers())
+        .extracting(WorkerView::id)
+        .contains("other");
   }
 
   /**
@@ -70,25 +72,25 @@
    * for the second while the first is at work, so that each starts as soon as it may.
    */
   @Test
-  void advisorIsAskedAheadOfEachStep() {
-    final WorkerView worker = fixture.worker("w");
+  void adviceIsRequestedBeforeEachStepIsReady() {
+    final WorkerView worker = fixture.addWorker("w");
     StepSpec second = CellFixture.stepAfter(0, 2, 1_000, 500);
     fixture.cell.accept(spec("s", ADVISED, step(1, 1_000, 500, false), second), fixture.now);
     fixture.pass();
-    assertThat(fixture.questions).hasSize(1);
+    assertThat(fixture.adviceRequests).hasSize(1);
     answer(0, Map.of("w", "first"));
     assertThat(fixture.starts).isEmpty();
-    fixture.write();
+    fixture.writePending();
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
 
     fixture.confirmAll();
     fixture.cell.tick(fixture.now, fixture.now);
     fixture.pass();
-    assertThat(fixture.questions).hasSize(2);
+    assertThat(fixture.adviceRequests).hasSize(2);
     answer(1, Map.of("w", "second"));
     assertThat(fixture.starts).hasSize(1);
-    fixture.hear(worker, new EndedRun(1, fixture.starts.get(0).run().key(), RunEnd.DONE, ""));
+    fixture.reportFrom(worker, new EndedRun(1, fixture.starts.get(0).run().key(), RunEnd.DONE, ""));
     fixture.pass();
     assertThat(fixture.starts).hasSize(3);
     assertThat(fixture.starts.get(2).ticket()).isEqualTo("second");
@@ -96,35 +98,35 @@
 
   /** Tickets would expire before a long step is done, and the question would be asked twice. */
   @Test
-  void advisorIsNotAskedLongAhead() {
-    fixture.worker("w");
+  void adviceIsNotRequestedSoEarlyThatTicketsExpire() {
+    fixture.addWorker("w");
     StepSpec second = CellFixture.stepAfter(0, 2, 1_000, 500);
     fixture.submit(spec("s", ADVISED, step(1, 1_000, 5_000, false), second));
     answer(0, Map.of("w", "first"));
     fixture.confirmAll();
     fixture.cell.tick(fixture.now, fixture.now);
     fixture.pass();
-    assertThat(fixture.questions).hasSize(1);
+    assertThat(fixture.adviceRequests).hasSize(1);
 
     fixture.advance(4_000);
-    fixture.hear(fixture.view("w"), 1, List.of(fixture.starts.get(0).run().key()));
+    fixture.reportFrom(fixture.findWorker("w"), 1, List.of(fixture.starts.get(0).run().key()));
     fixture.cell.tick(fixture.now, fixture.now);
     fixture.pass();
-    assertThat(fixture.questions).hasSize(2);
+    assertThat(fixture.adviceRequests).hasSize(2);
   }
 
   @Test
-  void busyAdvisorIsAskedAgainLater() {
-    fixture.worker("w");
-    fixture.advisorFree = false;
+  void adviceIsRequestedAgainAfterTheAdvisorWasBusy() {
+    fixture.addWorker("w");
+    fixture.advisorAvailable = false;
     fixture.submit(spec("s", ADVISED, step(1, 1_000, 500, false)));
-    fixture.advisorFree = true;
+    fixture.advisorAvailable = true;
     fixture.pass();
-    assertThat(fixture.questions).hasSize(1);
+    assertThat(fixture.adviceRequests).hasSize(1);
   }
 
   private void answer(int question, Map<String, String> tickets) {
-    CellFixture.Asked asked = fixture.questions.get(question);
+    CellFixture.AdviceRequest asked = fixture.adviceRequests.get(question);
     fixture.cell.adviceAnswered(asked.step(), asked.workers(), tickets, 2_500, fixture.now);
     fixture.pass();
   }
--- a/core/src/test/java/org/hickorypier/core/cell/StragglersTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/StragglersTest.java
@@ -32,7 +32,7 @@
 
   private void listWorkers() {
     for (int index = 0; index < 4; index++) {
-      fixture.worker("w" + index);
+      fixture.addWorker("w" + index);
     }
   }
 
@@ -47,10 +47,10 @@
       Run run = fixture.starts.get(index).run();
       ends[index] = new EndedRun(1_000 + index, run.key(), RunEnd.DONE, "");
     }
-    fixture.hear(fixture.starts.get(0).run().worker(), ends);
-    fixture.write();
+    fixture.reportFrom(fixture.starts.get(0).run().worker(), ends);
+    fixture.writePending();
     fixture.starts.clear();
-    fixture.cell.workers().forEach(fixture::hear);
+    fixture.cell.workers().forEach(fixture::reportFrom);
   }
 
   /** Lets time pass while the run gets on at some part of the usual speed. */
@@ -59,7 +59,7 @@
     for (long passed = 100; passed <= millis; passed += 100) {
       fixture.advance(95);
       int percent = (int) (100 * speed * passed / WORK_MILLIS);
-      fixture.progress(run.worker(), new RunningTask(run.key(), "", percent));
+      fixture.reportProgress(run.worker(), new RunningTask(run.key(), "", percent));
     }
   }
 
@@ -75,7 +75,7 @@
     watch(1.0 / 6, 500);
     assertThat(fixture.stops).containsExactly(slow.key());
 
-    fixture.hear(slow.worker(), new EndedRun(2_000, slow.key(), RunEnd.STOPPED, ""));
+    fixture.reportFrom(slow.worker(), new EndedRun(2_000, slow.key(), RunEnd.STOPPED, ""));
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
     assertThat(fixture.starts.get(1).run().worker()).isNotSameAs(slow.worker());
@@ -126,9 +126,9 @@
     fixture.confirmAll();
     for (int look = 1; look <= 6; look++) {
       fixture.advance(95);
-      for (CellFixture.Started started : List.copyOf(fixture.starts)) {
+      for (CellFixture.StartedRun started : List.copyOf(fixture.starts)) {
         Run run = started.run();
-        fixture.progress(run.worker(), new RunningTask(run.key(), "", look));
+        fixture.reportProgress(run.worker(), new RunningTask(run.key(), "", look));
       }
     }
     assertThat(fixture.cell.workers()).filteredOn(each -> each.takesWork(fixture.now)).hasSize(3);
--- a/core/src/test/java/org/hickorypier/core/cell/TakenOverLeaseTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/TakenOverLeaseTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.hickorypier.core.cell.CellFixture.QUEUE;
 import static org.hickorypier.core.cell.CellFixture.TERMS;
-import static org.hickorypier.core.cell.CellFixture.lasting;
+import static org.hickorypier.core.cell.CellFixture.persistentStep;
 import static org.hickorypier.core.cell.CellFixture.spec;
 
 import java.util.List;
@@ -19,11 +19,11 @@
 
   /** Starts a lasting task on a worker that is then silent for some time. */
   private WorkerView leaveWithLastingTask(String id, long silentMillis) {
-    WorkerView leaving = fixture.worker("leaving-" + id);
+    WorkerView leaving = fixture.addWorker("leaving-" + id);
     leaving.nextDeadline(fixture.now, TERMS.leaseMillis());
-    fixture.submit(spec(id, QUEUE, lasting(1)));
+    fixture.submit(spec(id, QUEUE, persistentStep(1)));
     fixture.confirmAll();
-    fixture.cell.holdUnanswered(leaving, fixture.now);
+    fixture.cell.renewalUnanswered(leaving, fixture.now);
     pass(fixture, silentMillis);
     return leaving;
   }
@@ -36,13 +36,13 @@
       for (WorkerView worker : owner.cell.workers()) {
         if (worker.id().startsWith("staying")) {
           List<RunKey> running = List.copyOf(worker.runs.keySet());
-          owner.hear(worker, worker.bornMillis, running);
+          owner.reportFrom(worker, worker.bornMillis, running);
         } else if (!worker.silent) {
-          owner.cell.holdUnanswered(worker, owner.now);
+          owner.cell.renewalUnanswered(worker, owner.now);
         }
       }
       owner.cell.tick(owner.now, owner.now);
-      owner.write();
+      owner.writePending();
       owner.pass();
     }
   }
@@ -51,7 +51,7 @@
   void taskOfLostWorkerStartsWhenItsLeaseEndsThoughTheOwnerIsReplaced() {
     leaveWithLastingTask("s", 1_000);
     CellFixture successor = fixture.successor(2, "s");
-    successor.worker("staying");
+    successor.addWorker("staying");
     pass(successor, TERMS.leaseMillis() - 1_100);
     assertThat(successor.starts).isEmpty();
 
@@ -65,18 +65,18 @@
     CellFixture owner = fixture;
     for (int epoch = 2; epoch < 8; epoch++) {
       owner = owner.successor(epoch, "s");
-      owner.worker("staying");
+      owner.addWorker("staying");
       pass(owner, 1_200);
     }
-    assertThat(owner.view("staying").runs).hasSize(1);
+    assertThat(owner.findWorker("staying").runs).hasSize(1);
   }
 
   @Test
   void onlyTasksThatLostWorkerMayRunWaitForIt() {
     leaveWithLastingTask("lost", 1_000);
-    fixture.submit(spec("waiting", QUEUE, lasting(1)));
+    fixture.submit(spec("waiting", QUEUE, persistentStep(1)));
     CellFixture successor = fixture.successor(2, "lost", "waiting");
-    successor.worker("staying");
+    successor.addWorker("staying");
     successor.pass();
     assertThat(successor.starts)
         .extracting(each -> each.run().key().task().submission())
@@ -88,11 +88,11 @@
     WorkerView worker = leaveWithLastingTask("s", 1_000);
     assertThat(fixture.roster).noneMatch(RosterEntry::renewed);
 
-    fixture.hear(worker, worker.bornMillis, List.copyOf(worker.runs.keySet()));
+    fixture.reportFrom(worker, worker.bornMillis, List.copyOf(worker.runs.keySet()));
     assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isNegative();
     fixture.cell.tick(fixture.now, fixture.now);
     assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isNegative();
-    fixture.write();
+    fixture.writePending();
     assertThat(fixture.roster).allMatch(RosterEntry::renewed);
     assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isPositive();
   }
@@ -101,10 +101,10 @@
   void leaseOfEarlierOwnerCountsUntilItsEndThoughTheWorkerWasHeardOnce() {
     WorkerView worker = leaveWithLastingTask("s", 1_000);
     CellFixture successor = fixture.successor(2, "s");
-    successor.worker("staying");
-    WorkerView heard = successor.view(worker.id());
-    successor.hear(heard, 1, List.copyOf(heard.runs.keySet()));
-    successor.cell.holdUnanswered(heard, successor.now);
+    successor.addWorker("staying");
+    WorkerView heard = successor.findWorker(worker.id());
+    successor.reportFrom(heard, 1, List.copyOf(heard.runs.keySet()));
+    successor.cell.renewalUnanswered(heard, successor.now);
     pass(successor, TERMS.leaseMillis() - 1_100);
     assertThat(successor.starts).isEmpty();
     pass(successor, 1_500);
@@ -115,9 +115,9 @@
   void laterRunOfTaskGoesOnThoughTheRosterNamesAnEarlierOne() {
     leaveWithLastingTask("s", 1_000);
     CellFixture successor = fixture.successor(2, "s");
-    WorkerView staying = successor.worker("staying");
+    WorkerView staying = successor.addWorker("staying");
     RunKey later = new RunKey(new TaskName("s", 0, 0, 0), 2);
-    successor.hear(staying, 1, List.of(later));
+    successor.reportFrom(staying, 1, List.of(later));
     assertThat(successor.stops).doesNotContain(later);
   }
 
@@ -125,9 +125,9 @@
   @Test
   void formerOwnerTellsWhatTheRosterDoesNot() {
     final WorkerView leaving = leaveWithLastingTask("s", 0);
-    fixture.submit(spec("waiting", QUEUE, lasting(1)));
+    fixture.submit(spec("waiting", QUEUE, persistentStep(1)));
     CellFixture successor = fixture.successor(2, "s", "waiting");
-    successor.worker("staying");
+    successor.addWorker("staying");
     successor.pass();
     assertThat(successor.starts).isEmpty();
 
@@ -140,18 +140,18 @@
         .containsExactly("waiting");
 
     pass(successor, TERMS.leaseMillis() - 200);
-    assertThat(successor.view("staying").runs).hasSize(1);
+    assertThat(successor.findWorker("staying").runs).hasSize(1);
     pass(successor, 700);
-    assertThat(successor.view("staying").runs).hasSize(2);
+    assertThat(successor.findWorker("staying").runs).hasSize(2);
   }
 
   @Test
   void workerThatTheFormerOwnerLeftEmptyHoldsUpNothing() {
-    WorkerView leaving = fixture.worker("leaving");
-    fixture.cell.holdUnanswered(leaving, fixture.now);
-    fixture.submit(spec("s", QUEUE, lasting(1)));
+    WorkerView leaving = fixture.addWorker("leaving");
+    fixture.cell.renewalUnanswered(leaving, fixture.now);
+    fixture.submit(spec("s", QUEUE, persistentStep(1)));
     CellFixture successor = fixture.successor(2, "s");
-    successor.worker("staying");
+    successor.addWorker("staying");
     successor.pass();
     assertThat(successor.starts).isEmpty();
 
@@ -163,38 +163,38 @@
   /** The end was known to the former owner alone, and the worker reports it again. */
   @Test
   void taskThatEndedUnsavedBeforeTheHandoverDoesNotRunAgain() {
-    WorkerView worker = fixture.worker("w");
+    WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, CellFixture.step(1, 1_000, 500, false)));
     fixture.confirmAll();
     CellFixture successor = fixture.successor(2, "s");
     RunKey run = fixture.starts.get(0).run().key();
     EndedRun end = new EndedRun(1, run, RunEnd.DONE, "");
-    fixture.hear(worker, end);
-    successor.worker("staying");
+    fixture.reportFrom(worker, end);
+    successor.addWorker("staying");
     successor.cell.formerOwnerEnded(fixture.cell.finalRoster(fixture.now), successor.now);
     successor.pass();
     assertThat(successor.starts).isEmpty();
 
-    successor.hear(successor.view("w"), end);
-    successor.write();
+    successor.reportFrom(successor.findWorker("w"), end);
+    successor.writePending();
     successor.pass();
     assertThat(successor.starts).isEmpty();
-    assertThat(successor.cell.find("s").shown()).isEqualTo(SubmissionState.COMPLETED);
+    assertThat(successor.cell.find("s").visibleState()).isEqualTo(SubmissionState.COMPLETED);
   }
 
   @Test
   void departedWorkerIsOnTheFinalRosterUntilItsEndsAreDurable() {
-    final WorkerView leaving = fixture.worker("leaving");
+    final WorkerView leaving = fixture.addWorker("leaving");
     fixture.submit(spec("s", QUEUE, CellFixture.step(1, 1_000, 500, false)));
     fixture.confirmAll();
     RunKey run = fixture.starts.get(0).run().key();
-    fixture.hear(leaving, new EndedRun(1, run, RunEnd.DONE, ""));
-    fixture.cell.holdUnanswered(leaving, fixture.now);
-    fixture.unlist("leaving");
-    fixture.cell.departed(List.of("leaving"), fixture.now);
+    fixture.reportFrom(leaving, new EndedRun(1, run, RunEnd.DONE, ""));
+    fixture.cell.renewalUnanswered(leaving, fixture.now);
+    fixture.unlistWorker("leaving");
+    fixture.cell.workersDeparted(List.of("leaving"), fixture.now);
     assertThat(fixture.cell.finalRoster(fixture.now)).hasSize(1);
 
-    fixture.write();
+    fixture.writePending();
     fixture.cell.tick(fixture.now, fixture.now);
     assertThat(fixture.cell.finalRoster(fixture.now)).isEmpty();
     assertThat(fixture.cell.workers()).isEmpty();
@@ -206,32 +206,32 @@
     WorkerView worker = leaveWithLastingTask("s", 0);
     List<RosterEntry> left = fixture.cell.finalRoster(fixture.now);
     CellFixture successor = fixture.successor(2, "s");
-    WorkerView heard = successor.view(worker.id());
-    successor.hear(heard);
+    WorkerView heard = successor.findWorker(worker.id());
+    successor.reportFrom(heard);
     successor.cell.formerOwnerEnded(left, successor.now);
     assertThat(heard.runs).isEmpty();
   }
 
   @Test
   void laterRunOfGangGoesOnThoughTheRosterNamesAnEarlierOne() {
-    final WorkerView leaving = fixture.worker("leaving");
-    fixture.worker("other");
+    final WorkerView leaving = fixture.addWorker("leaving");
+    fixture.addWorker("other");
     fixture.submit(spec("g", QUEUE, CellFixture.step(2, 9_000, 500, true)));
     fixture.confirmAll();
-    fixture.list("leaving", 1, true);
+    fixture.listWorker("leaving", 1, true);
     fixture.cell.tick(fixture.now, fixture.now);
-    fixture.write();
+    fixture.writePending();
 
     CellFixture successor = fixture.successor(2, "g");
     RunKey member = leaving.runs.keySet().iterator().next();
     RunKey later = new RunKey(member.task(), 2);
-    successor.hear(successor.worker("staying"), 1, List.of(later));
+    successor.reportFrom(successor.addWorker("staying"), 1, List.of(later));
     assertThat(successor.stops).contains(member).doesNotContain(later);
   }
 
   @Test
   void renewalAfterLongSilenceCarriesNoDeadline() {
-    WorkerView worker = fixture.worker("w");
+    WorkerView worker = fixture.addWorker("w");
     assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isPositive();
     fixture.advance(6_000);
     assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isNegative();
--- a/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
@@ -12,11 +12,11 @@
 /** A full cell: a backlog that is beyond hope, a customer's flood, urgent checks, wide gangs. */
 class UrgencyOrderTest {
 
-  private static StepRun waiting(String id, int priority, long acceptedAt, boolean beyond) {
+  private static StepRun waitingStep(String id, int priority, long acceptedAt, boolean beyond) {
     QueueTerms queue = new QueueTerms("q", "service", priority, 1, 2, 500, Optional.empty());
     Submission submission =
         new Submission(spec(id, queue, step(1, 1_000, 1_000, false)), 1, acceptedAt, 1);
-    submission.beyondShare = beyond;
+    submission.exceedsShare = beyond;
     return submission.occurrences[0][0];
   }
 
@@ -25,10 +25,10 @@
    * what such checks have taken it is in time, and comes before the batches.
    */
   @Test
-  void learnedWorkGoesBeforeAnEstimateThatIsFarOff() {
+  void learnedDurationOverridesTooLowEstimate() {
     QueueTerms queue = new QueueTerms("checks", "service", 0, 1, 1.5, 250, Optional.empty());
     Submission check = new Submission(spec("check", queue, step(1, 1_000, 70, false)), 1, 0, 1);
-    StepRun batch = waiting("batch", 2, 0, false);
+    StepRun batch = waitingStep("batch", 2, 0, false);
     LearnedWork learned = new LearnedWork();
     long now = 1_100;
     assertThat(UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), learned, now).get(0))
@@ -39,31 +39,31 @@
   }
 
   @Test
-  void lastingTaskThatWasLostDoesNotComeAfterHopelessWork() {
+  void lostPersistentTaskIsPlacedBeforeLateWork() {
     long now = 100_000;
     QueueTerms queue = new QueueTerms("q", "service", 1, 1, 2, 500, Optional.empty());
     Submission service =
-        new Submission(spec("service", queue, CellFixture.lasting(1)), 1, now - 60_000, 1);
+        new Submission(spec("service", queue, CellFixture.persistentStep(1)), 1, now - 60_000, 1);
     StepRun lost = service.occurrences[0][0];
-    lost.tasks[0].waitsSince = now - 100;
-    StepRun late = waiting("late", 1, now - 2_000, false);
+    lost.tasks[0].waitingSince = now - 100;
+    StepRun late = waitingStep("late", 1, now - 2_000, false);
     assertThat(UrgencyOrder.sorted(List.of(late, lost), new LearnedWork(), now))
         .containsExactly(lost, late);
     // A successor does not know when it was lost.
-    lost.tasks[0].waitsSince = 0;
-    StepRun inTime = waiting("in time", 1, now - 100, false);
+    lost.tasks[0].waitingSince = 0;
+    StepRun inTime = waitingStep("in time", 1, now - 100, false);
     assertThat(UrgencyOrder.sorted(List.of(inTime, lost), new LearnedWork(), now))
         .containsExactly(lost, inTime);
   }
 
   @Test
-  void urgentWorkComesFirstAndHopelessWorkLast() {
+  void urgentWorkIsPlacedFirstAndUselessWorkLast() {
     long now = 100_000;
-    StepRun hopeless = waiting("hopeless", 0, now - 20_000, false);
-    StepRun late = waiting("late", 0, now - 2_000, false);
-    StepRun urgent = waiting("urgent", 0, now - 100, false);
-    StepRun usual = waiting("usual", 1, now - 500, false);
-    StepRun flood = waiting("flood", 0, now - 50, true);
+    StepRun hopeless = waitingStep("hopeless", 0, now - 20_000, false);
+    StepRun late = waitingStep("late", 0, now - 2_000, false);
+    StepRun urgent = waitingStep("urgent", 0, now - 100, false);
+    StepRun usual = waitingStep("usual", 1, now - 500, false);
+    StepRun flood = waitingStep("flood", 0, now - 50, true);
 
     assertThat(
             UrgencyOrder.sorted(
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.hickorypier.core.cell.Cell;
 import org.hickorypier.core.cell.CellOutput;
-import org.hickorypier.core.cell.CellTerms;
+import org.hickorypier.core.cell.CellTimings;
 import org.hickorypier.core.cell.HoldReport;
 import org.hickorypier.core.cell.RosterEntry;
 import org.hickorypier.core.cell.Run;
@@ -26,7 +26,8 @@
 /** One owner: the real cell, with the model's journal, network and workers around it. */
 final class ModelOwner implements CellOutput {
 
-  private static final CellTerms TERMS = CellTerms.of(ModelWorker.LONGEST_LEASE, 3_000, 600_000);
+  private static final CellTimings TERMS =
+      CellTimings.of(ModelWorker.LONGEST_LEASE, 3_000, 600_000);
   private static final long ORDER_TIMEOUT = 400;
 
   final int epoch;
@@ -73,7 +74,7 @@
   }
 
   private boolean mayOrder() {
-    return !ended && time.now() - provenAt <= TERMS.proofMillis();
+    return !ended && time.now() - provenAt <= TERMS.ownershipProofMillis();
   }
 
   private void loop() {
@@ -82,7 +83,7 @@
     }
     if (mayOrder()) {
       cell.tick(time.now(), time.now());
-      if (cell.wantsPass()) {
+      if (cell.needsPass()) {
         cell.pass(time.now(), time.now());
       }
     }
@@ -103,7 +104,7 @@
           entries.put(worker.id, worker.entry());
         }
       }
-      cell.listed(entries, time.now());
+      cell.workersListed(entries, time.now());
     }
     for (WorkerView worker : cell.workers()) {
       if (conversations.put(worker, true) == null) {
@@ -114,7 +115,7 @@
   }
 
   private void renew(WorkerView worker) {
-    if (ended || !cell.knows(worker)) {
+    if (ended || !cell.isKnown(worker)) {
       return;
     }
     if (!mayOrder()) {
@@ -131,7 +132,7 @@
         () -> {
           if (!answered[0] && !ended) {
             answered[0] = true;
-            cell.holdUnanswered(worker, time.now());
+            cell.renewalUnanswered(worker, time.now());
             time.after(250, () -> renew(worker));
           }
         });
@@ -172,7 +173,7 @@
             end();
             return;
           }
-          cell.held(worker, first, sentAt, time.now());
+          cell.renewalAnswered(worker, first, sentAt, time.now());
           boolean[] begun = {false};
           Runnable next =
               () -> {
@@ -281,7 +282,7 @@
     for (Submission submission : dirty) {
       versions.put(submission, submission.version());
       specs.put(submission.spec().id(), submission.spec());
-      if (submission.worthSaving() || !submission.durable()) {
+      if (submission.needsSaving() || !submission.durable()) {
         progress.put(submission.spec().id(), submission.progress());
       }
     }
@@ -337,7 +338,7 @@
                 provenAt = sentAt;
                 versions.forEach(
                     (submission, version) -> {
-                      cell.durable(submission, version);
+                      cell.markDurable(submission, version);
                       world.written(submission);
                     });
                 actions.forEach(Runnable::run);
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelWorld.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelWorld.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 import org.hickorypier.core.cell.Submission;
 import org.hickorypier.core.cell.SubmissionStatus;
 import org.hickorypier.core.cell.TaskName;
@@ -140,10 +140,10 @@
     time.after(LOOK, this::look);
   }
 
-  List<CustomerTerms> customers() {
+  List<CustomerLimits> customers() {
     return List.of(
-        new CustomerTerms("large", 100, Resources.NONE),
-        new CustomerTerms("small", 100, new Resources(12_000, 0, 0)));
+        new CustomerLimits("large", 100, Resources.NONE),
+        new CustomerLimits("small", 100, new Resources(12_000, 0, 0)));
   }
 
   /** Plays the day, and returns what was broken. */
@@ -226,8 +226,8 @@
   void written(Submission submission) {
     accepted.add(submission.spec().id());
     promises.accepted(submission.spec().id());
-    promises.shown(submission.spec().id(), submission.shown());
-    if (submission.shown() == SubmissionState.CANCELLED) {
+    promises.shown(submission.spec().id(), submission.visibleState());
+    if (submission.visibleState() == SubmissionState.CANCELLED) {
       promises.cancelAcknowledged(submission.spec().id());
     }
   }
--- a/core/src/test/java/org/hickorypier/core/cluster/ClusterConfigurationTest.java
+++ b/core/src/test/java/org/hickorypier/core/cluster/ClusterConfigurationTest.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 import org.hickorypier.core.model.Resources;
 import org.hickorypier.core.submission.QueueTerms;
 import org.junit.jupiter.api.Test;
 
 class ClusterConfigurationTest {
 
-  private static final CustomerTerms CUSTOMER = new CustomerTerms("customer", 5, Resources.NONE);
+  private static final CustomerLimits CUSTOMER = new CustomerLimits("customer", 5, Resources.NONE);
   private static final CustomerAccess ACCESS =
       new CustomerAccess(CUSTOMER, Set.of("key-1", "key-2"));
   private static final ClusterConfiguration CONFIGURATION =
--- a/daemon/src/main/java/org/hickorypier/daemon/front/Judgement.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/Judgement.java
@@ -1,6 +1,6 @@
 package org.hickorypier.daemon.front;
 
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 import org.hickorypier.core.cluster.ClusterConfiguration;
 import org.hickorypier.core.cluster.QueueRoute;
 
@@ -55,7 +55,7 @@
     if (authorization == null || !authorization.startsWith(BEARER)) {
       return refused(UNAUTHORIZED, "no key", version);
     }
-    CustomerTerms customer =
+    CustomerLimits customer =
         configuration.customerOf(authorization.substring(BEARER.length()).trim()).orElse(null);
     return customer == null
         ? refused(UNAUTHORIZED, "unknown key", version)
--- a/daemon/src/main/java/org/hickorypier/daemon/node/NodeSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/NodeSettings.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.hickorypier.core.cell.CellTerms;
+import org.hickorypier.core.cell.CellTimings;
 import org.hickorypier.daemon.owner.Strength;
 import org.hickorypier.platform.http.ServiceAddress;
 
@@ -40,7 +40,7 @@
     ServiceAddress ready,
     ServiceAddress store,
     ServiceAddress advisor,
-    CellTerms cell,
+    CellTimings cell,
     Strength strength,
     long revokeMillis,
     long groupLifetimeMillis,
@@ -101,7 +101,7 @@
         reader.service("ready"),
         reader.service("store"),
         json.getString("advisor", "").isEmpty() ? null : reader.service("advisor"),
-        CellTerms.of(
+        CellTimings.of(
             (long) reader.number("longestLeaseMillis", 1),
             (long) reader.number("gangMillis", 1),
             kept),
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Gateway.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Gateway.java
@@ -8,8 +8,8 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import org.hickorypier.core.cell.ComeBack;
 import org.hickorypier.core.cell.EventLog;
+import org.hickorypier.core.cell.RetryAfter;
 import org.hickorypier.daemon.link.Link;
 import org.hickorypier.daemon.link.LinkHandler;
 import org.hickorypier.daemon.link.LinkReply;
@@ -412,7 +412,7 @@
 
   private static long comeBackMillis(LinkRequest request) {
     return request instanceof LinkRequest.Submit submit
-        ? ComeBack.afterMillis(submit.spec())
+        ? RetryAfter.delayMillis(submit.spec())
         : ASK_AGAIN_MILLIS;
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Instruments.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Instruments.java
@@ -1,7 +1,7 @@
 package org.hickorypier.daemon.owner;
 
 import java.util.function.LongSupplier;
-import org.hickorypier.core.cell.CellTerms;
+import org.hickorypier.core.cell.CellTimings;
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.daemon.time.PauseGuard;
 import org.hickorypier.daemon.time.TimerService;
@@ -29,5 +29,5 @@
     LongSupplier wall,
     PauseGuard pauses,
     EventLog log,
-    CellTerms terms,
+    CellTimings terms,
     long workerHeartbeatMillis) {}
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
@@ -240,7 +240,7 @@
         bytes += spec.length;
         records.add(new KeyedRecord(JournalKeys.spec(id), spec));
       }
-      if (submission.worthSaving()) {
+      if (submission.needsSaving()) {
         byte[] value = SubmissionCodec.encodeProgress(submission.progress());
         bytes += value.length;
         records.add(new KeyedRecord(JournalKeys.progress(id), value));
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.hickorypier.core.cell.Cell;
-import org.hickorypier.core.cell.ComeBack;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
+import org.hickorypier.core.cell.RetryAfter;
 import org.hickorypier.core.cell.RosterEntry;
 import org.hickorypier.core.cell.Submission;
 import org.hickorypier.core.cell.SubmissionStatus;
@@ -76,7 +76,7 @@
       Instruments instruments,
       Takeover.Taken taken,
       AdviceDesk advice,
-      Optional<Collection<CustomerTerms>> customers,
+      Optional<Collection<CustomerLimits>> customers,
       Consumer<String> lost) {
     this.instruments = instruments;
     this.epoch = taken.epoch();
@@ -121,7 +121,7 @@
     return epoch;
   }
 
-  void configure(Collection<CustomerTerms> customers) {
+  void configure(Collection<CustomerLimits> customers) {
     cell.configure(customers);
     requestPass();
   }
@@ -147,7 +147,7 @@
     if (known == null && journal.unavailableMillis() > HANDOVER_MILLIS) {
       // No other instance has taken over, so the store is away for all: the caller is better off
       // knowing at once. Before that its request waits, since a successor takes it in a moment.
-      return refused(spec, "the store is unavailable", ComeBack.afterMillis(spec));
+      return refused(spec, "the store is unavailable", RetryAfter.delayMillis(spec));
     }
     Submission submission = cell.accept(spec, now());
     requestPass();
@@ -220,7 +220,7 @@
   }
 
   LinkReply count(String queue) {
-    return knowsAll() ? new LinkReply.Number(cell.waiting(queue)) : new LinkReply.NotOwner();
+    return knowsAll() ? new LinkReply.Number(cell.countWaiting(queue)) : new LinkReply.NotOwner();
   }
 
   private SubmissionStatus visible(String id, String customer) {
@@ -300,12 +300,12 @@
   }
 
   private boolean mayOrder() {
-    return !ended && journal.proven(instruments.terms().proofMillis());
+    return !ended && journal.proven(instruments.terms().ownershipProofMillis());
   }
 
   private void listed(Map<String, WorkerEntry> entries, Set<String> departed) {
-    cell.listed(entries, now());
-    cell.departed(departed, now());
+    cell.workersListed(entries, now());
+    cell.workersDeparted(departed, now());
     renewAll();
     requestPass();
   }
@@ -337,7 +337,7 @@
   }
 
   private void requestPass() {
-    if (!passScheduled && !ended && cell.wantsPass()) {
+    if (!passScheduled && !ended && cell.needsPass()) {
       passScheduled = true;
       instruments.timers().after(PASS_DELAY, this::pass);
     }
@@ -393,7 +393,7 @@
     @Override
     public void written(Submission submission, long version) {
       boolean first = !submission.durable();
-      cell.durable(submission, version);
+      cell.markDurable(submission, version);
       if (first) {
         instruments
             .log()
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
@@ -11,7 +11,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
 import org.hickorypier.platform.store.Append;
@@ -86,7 +86,7 @@
   private final AdviceDesk advice;
   private OwnerCheck ownerCheck;
   private LongSupplier silentMillis = () -> 0;
-  private Optional<Collection<CustomerTerms>> customers = Optional.empty();
+  private Optional<Collection<CustomerLimits>> customers = Optional.empty();
   private Owner owner;
 
   /** The last ownership of this process, until the successor knows what it left on the workers. */
@@ -186,7 +186,7 @@
    *
    * @param newer all customers
    */
-  public void configure(Collection<CustomerTerms> newer) {
+  public void configure(Collection<CustomerLimits> newer) {
     customers = Optional.of(newer);
     if (owner != null) {
       owner.configure(newer);
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Renewals.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Renewals.java
@@ -95,7 +95,7 @@
     if (stopped) {
       return;
     }
-    if (!cell.knows(worker)) {
+    if (!cell.isKnown(worker)) {
       stopped = true;
       return;
     }
@@ -133,7 +133,7 @@
       return;
     }
     long now = instruments.timers().nowMillis();
-    cell.held(worker, report, sentAt, now);
+    cell.renewalAnswered(worker, report, sentAt, now);
     events.answered();
     if (wait == 0) {
       start();
@@ -177,7 +177,7 @@
       return;
     }
     boolean again = worker.silent();
-    cell.holdUnanswered(worker, instruments.timers().nowMillis());
+    cell.renewalUnanswered(worker, instruments.timers().nowMillis());
     instruments.timers().after(again ? RETRY : FIRST_RETRY, this::start);
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/front/JudgementTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/front/JudgementTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 import org.hickorypier.core.cluster.ClusterConfiguration;
 import org.hickorypier.core.cluster.CustomerAccess;
 import org.hickorypier.core.cluster.QueueRoute;
@@ -21,7 +21,7 @@
           List.of(route("closed", false), route("open", true)),
           List.of(
               new CustomerAccess(
-                  new CustomerTerms("customer", 1, Resources.NONE), Set.of("the-key"))));
+                  new CustomerLimits("customer", 1, Resources.NONE), Set.of("the-key"))));
 
   private static QueueRoute route(String name, boolean open) {
     return new QueueRoute(
--- a/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
@@ -25,8 +25,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.hickorypier.core.cell.CellTerms;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CellTimings;
+import org.hickorypier.core.cell.CustomerLimits;
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.core.cluster.CustomerAccess;
 import org.hickorypier.core.model.Resources;
@@ -138,13 +138,13 @@
 
   /** Gives the customer these keys and no others. */
   void configure(String... keys) {
-    CustomerTerms terms = new CustomerTerms("customer", 100, Resources.NONE);
+    CustomerLimits terms = new CustomerLimits("customer", 100, Resources.NONE);
     operator.configure(List.of(new CustomerAccess(terms, Set.of(keys))));
   }
 
   /** Gives the customer a limit of one processor. */
   void limitToOneProcessor() {
-    CustomerTerms terms = new CustomerTerms("customer", 100, new Resources(1_000, 0, 0));
+    CustomerLimits terms = new CustomerLimits("customer", 100, new Resources(1_000, 0, 0));
     operator.configure(List.of(new CustomerAccess(terms, Set.of(KEY))));
   }
 
@@ -166,7 +166,7 @@
         new ServiceAddress(host, LoopbackPort.free()),
         storeAddress,
         null,
-        CellTerms.of(10_000, 3_000, 60_000),
+        CellTimings.of(10_000, 3_000, 60_000),
         strength,
         5_000,
         1_000,
--- a/measure/src/main/java/org/hickorypier/measure/soak/StandInPlatform.java
+++ b/measure/src/main/java/org/hickorypier/measure/soak/StandInPlatform.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CopyOnWriteArrayList;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 import org.hickorypier.core.cluster.CustomerAccess;
 import org.hickorypier.core.model.Resources;
 import org.hickorypier.core.submission.QueueTerms;
@@ -116,6 +116,6 @@
   }
 
   private static CustomerAccess customer(String name, String key, Resources limit) {
-    return new CustomerAccess(new CustomerTerms(name, WEIGHT, limit), Set.of(key));
+    return new CustomerAccess(new CustomerLimits(name, WEIGHT, limit), Set.of(key));
   }
 }
