--- a/core/src/main/java/org/hickorypier/core/cell/Archive.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Archive.java
@@ -7,9 +7,10 @@
 import org.hickorypier.core.submission.SubmissionCodec;
 
 /**
- * Moves submissions that have ended to their short form, and forgets them after their time.
+ * Converts ended submissions to their archived form, and deletes that after the retention time.
  *
- * <p>Invariant: what leaves is durable and shown. Belongs to the control thread.
+ * <p>Invariant: a submission is archived only once its end state is durable and visible. Confined
+ * to the control thread.
  */
 final class Archive {
 
@@ -20,16 +21,16 @@
   }
 
   void tick(long wallMillis) {
-    List<Submission> settled = new ArrayList<>();
+    List<Submission> archivable = new ArrayList<>();
     for (Submission submission : cell.submissions.values()) {
       if (submission.state.terminal() && submission.endedAtMillis == 0) {
         submission.endedAtMillis = wallMillis;
         cell.recordChange(submission);
       } else if (submission.state.terminal() && submission.visibleState == submission.state) {
-        settled.add(submission);
+        archivable.add(submission);
       }
     }
-    settled.forEach(this::archive);
+    archivable.forEach(this::archive);
     removeExpired(wallMillis);
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/Cell.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Cell.java
@@ -10,18 +10,22 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * All that one owner decides: it takes submissions, places their tasks, follows their runs and
- * answers for their state.
+ * The scheduling state of a cell at its owner: accepts submissions, places their tasks, tracks
+ * their runs and reports their state.
  *
- * <p>Invariants: no start before the submission is durable; no start on a worker before it has
- * answered under this owner's token; an end is acknowledged to a worker only once its effect is
- * durable; an end state is shown only once it is durable. Belongs to the control thread.
+ * <p>Invariants: no run starts before its submission is durable; no run starts on a worker that has
+ * not answered under this owner's fencing token; the end of a run is acknowledged to its worker
+ * only once its effect is durable; an end state is visible only once it is durable. Confined to the
+ * control thread.
  */
 public final class Cell {
 
   private static final String PART = "cell";
 
-  /** More runs of one task than any owner orders: each is seconds long, an epoch some minutes. */
+  /**
+   * Exceeds the number of runs of one task that an owner orders: a run takes seconds, an epoch some
+   * minutes.
+   */
   private static final int MAX_RUNS_PER_EPOCH = 1_000;
 
   private final CellState state;
@@ -39,14 +43,14 @@
   /**
    * Creates an empty cell.
    *
-   * @param terms the figures to work with
-   * @param output takes the orders
-   * @param log takes the events
+   * @param timings the time limits of the cell
+   * @param output receives the orders
+   * @param log receives the events
    * @param epoch the owner's epoch, from 1
-   * @param now the owner's steady clock, in milliseconds
+   * @param now the owner's monotonic clock, in milliseconds
    */
-  public Cell(CellTimings terms, CellOutput output, EventLog log, int epoch, long now) {
-    this.state = new CellState(terms, output, log, epoch, now);
+  public Cell(CellTimings timings, CellOutput output, EventLog log, int epoch, long now) {
+    this.state = new CellState(timings, output, log, epoch, now);
     this.runs = new RunBook(state);
     RunAdoption adoption = new RunAdoption(state, runs);
     this.reports =
@@ -61,7 +65,7 @@
   }
 
   /**
-   * Takes the customers of a configuration.
+   * Replaces the customers by those of a configuration.
    *
    * @param customers all customers
    */
@@ -71,9 +75,9 @@
   }
 
   /**
-   * Takes a submission, or finds the one that is there.
+   * Accepts a submission, or returns the existing one with its id.
    *
-   * @param spec what the caller handed in
+   * @param spec the specification from the caller
    * @param now the time
    * @return the submission, which may be acknowledged once it is durable; null if it has ended
    */
@@ -98,23 +102,24 @@
   }
 
   /**
-   * Takes a submission of an earlier owner.
+   * Restores a submission of an earlier owner.
    *
-   * @param spec what the caller handed in
-   * @param number the number under which that owner took it, or 0
-   * @param progress what was written of it last
+   * @param spec the specification from the caller
+   * @param number the sequence number that its owner assigned, or 0
+   * @param progress the progress that was stored last
    * @param now the time
-   * @param wallMillis the time of day, milliseconds since 1970
+   * @param wallMillis the wall-clock time, milliseconds since 1970
+   * @throws IllegalStateException if the roster was restored before
    */
   public void restore(
       SubmissionSpec spec, long number, Progress progress, long now, long wallMillis) {
     if (rosterRestored) {
-      throw new IllegalStateException("the roster names runs of submissions restored before it");
+      throw new IllegalStateException("submissions must be restored before the roster");
     }
-    // Numbers below the range of this epoch may have been used by a run that nobody knows of.
-    int firstRun = MAX_RUNS_PER_EPOCH * (state.epoch - 1) + 1;
+    // An unknown run of an earlier epoch may have used any number below the range of this epoch.
+    int firstRunNumber = MAX_RUNS_PER_EPOCH * (state.epoch - 1) + 1;
     long age = Math.max(0, wallMillis - spec.acceptedAtMillis());
-    Submission submission = new Submission(spec, number, now - age, firstRun);
+    Submission submission = new Submission(spec, number, now - age, firstRunNumber);
     submission.restore(progress);
     state.submissions.put(spec.id(), submission);
     state.reserve.recordPriority(spec.queue().service(), spec.queue().priority());
@@ -122,17 +127,17 @@
   }
 
   /**
-   * Takes a submission of an earlier owner that has ended.
+   * Restores an ended submission of an earlier owner.
    *
    * @param id its id
-   * @param past what is kept of it
+   * @param past its archived form
    */
   public void restoreEnded(String id, EndedSubmission past) {
     state.endedSubmissions.put(id, past);
   }
 
   /**
-   * Notes that a submission was written as it was at some version.
+   * Records that a version of a submission is durable.
    *
    * @param submission the submission
    * @param version the version that was written
@@ -158,11 +163,12 @@
   }
 
   /**
-   * Explains where a submission stands, for operators.
+   * Explains the state of a submission for operators.
    *
    * @param id its id
    * @param now the time
-   * @return one line a step, or one that says that it is not known
+   * @return a line for the submission and one for each step; a single line if it is unknown or has
+   *     ended
    */
   public List<String> explain(String id, long now) {
     Submission submission = state.submissions.get(id);
@@ -174,7 +180,7 @@
   }
 
   /**
-   * Returns how many submissions have not ended yet.
+   * Returns the number of submissions that are not archived.
    *
    * @return the number
    */
@@ -183,7 +189,7 @@
   }
 
   /**
-   * Tells what callers may know of a submission.
+   * Returns what callers may be told about a submission.
    *
    * @param id its id
    * @return the status, or null if there is none
@@ -199,7 +205,7 @@
   }
 
   /**
-   * Cancels a submission, unless it has ended; to be acknowledged once it is durable.
+   * Cancels a submission unless it has ended. The caller acknowledges it once it is durable.
    *
    * @param submission the submission
    * @param now the time
@@ -220,7 +226,7 @@
   }
 
   /**
-   * Counts a queue's accepted submissions of which no task has started.
+   * Counts the durable submissions of a queue of which no task has started.
    *
    * @param queue the queue's name
    * @return their number
@@ -238,9 +244,9 @@
   }
 
   /**
-   * Takes the roster that an earlier owner wrote, after all its submissions.
+   * Restores an earlier owner's roster, after all its submissions.
    *
-   * @param entries the workers that may hold runs
+   * @param entries the workers that may hold runs of that owner
    */
   public void restoreRoster(Collection<RosterEntry> entries) {
     rosterRestored = true;
@@ -248,20 +254,20 @@
   }
 
   /**
-   * Returns what may still run on the workers; for an owner that orders and renews nothing any
-   * more.
+   * Returns what may still run on the workers, for an owner that no longer orders starts or renews
+   * leases.
    *
    * @param now the time
-   * @return the workers on which something may run, with the time left of their leases
+   * @return the workers that may hold runs, with the remaining time of their leases
    */
   public List<RosterEntry> finalRoster(long now) {
     return workers.finalRoster(now);
   }
 
   /**
-   * Takes the final roster of the owner before this one.
+   * Applies the final roster of the previous owner.
    *
-   * @param entries the workers on which something of that owner may run; on no other does it
+   * @param entries the only workers that may hold runs of that owner
    * @param now the time
    */
   public void formerOwnerEnded(Collection<RosterEntry> entries, long now) {
@@ -269,7 +275,7 @@
   }
 
   /**
-   * Takes the list of workers as the platform tells it.
+   * Applies the worker list of the platform.
    *
    * @param entries all listed workers, by id
    * @param now the time
@@ -279,7 +285,7 @@
   }
 
   /**
-   * Takes notice of workers that have left, so that nothing runs there any more.
+   * Records that workers have left the cell, so that none of their runs is active any more.
    *
    * @param ids the workers
    * @param now the time
@@ -292,7 +298,7 @@
    * Tells whether a worker is listed or may still hold runs.
    *
    * @param worker the worker
-   * @return false once it is forgotten
+   * @return false once it is removed
    */
   public boolean isKnown(WorkerView worker) {
     return state.workers.get(worker.id()) == worker;
@@ -308,7 +314,7 @@
   }
 
   /**
-   * Takes a worker's answer to a renewal.
+   * Applies a worker's answer to a lease renewal.
    *
    * @param worker the worker
    * @param report the answer
@@ -322,7 +328,7 @@
   }
 
   /**
-   * Notes that a renewal had no answer in time.
+   * Records that a lease renewal was not answered in time.
    *
    * @param worker the worker
    * @param now the time
@@ -332,10 +338,10 @@
   }
 
   /**
-   * Takes the outcome of an order to start.
+   * Applies the outcome of a start order.
    *
    * @param run the run
-   * @param outcome what became of the order
+   * @param outcome the outcome of the order
    * @param now the time
    */
   public void startAnswered(Run run, StartOutcome outcome, long now) {
@@ -343,7 +349,7 @@
   }
 
   /**
-   * Notes that a worker has taken an order to stop.
+   * Records that a worker has confirmed a stop order.
    *
    * @param worker the worker
    * @param run the run
@@ -354,12 +360,12 @@
   }
 
   /**
-   * Takes the advisor's answer.
+   * Applies an answer of the advisor.
    *
    * @param step the step
-   * @param named the workers that were named
-   * @param tickets the tickets of the suitable ones, by worker
-   * @param validMillis how long the tickets are valid, in milliseconds
+   * @param named the workers named in the request
+   * @param tickets the tickets of the suitable workers, by worker id
+   * @param validMillis validity of the tickets, in milliseconds
    * @param now the time
    */
   public void adviceAnswered(
@@ -372,7 +378,7 @@
   }
 
   /**
-   * Notes that the advisor gave no answer.
+   * Records that the advisor did not answer.
    *
    * @param step the step
    * @param now the time
@@ -382,19 +388,19 @@
   }
 
   /**
-   * Tells whether a pass over the waiting steps may start something.
+   * Tells whether a scheduling pass may start a task.
    *
-   * @return true after a change
+   * @return true after a change of state that may let a task start
    */
   public boolean needsPass() {
     return state.dirty || state.stepsMayBeReady;
   }
 
   /**
-   * Places what can be placed.
+   * Runs a scheduling pass: places the waiting tasks that can start.
    *
    * @param now the time
-   * @param wallMillis the time of day, milliseconds since 1970
+   * @param wallMillis the wall-clock time, milliseconds since 1970
    */
   public void pass(long now, long wallMillis) {
     if (state.stepsMayBeReady) {
@@ -406,10 +412,10 @@
   }
 
   /**
-   * Does what is due by time alone.
+   * Performs the periodic work.
    *
    * @param now the time
-   * @param wallMillis the time of day, milliseconds since 1970
+   * @param wallMillis the wall-clock time, milliseconds since 1970
    */
   public void tick(long now, long wallMillis) {
     workers.tick(now);
--- a/core/src/main/java/org/hickorypier/core/cell/CellOutput.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellOutput.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** What the owner of a cell orders. Called on the control thread only. */
+/** Receives the orders and writes of a {@link Cell}. Called on the control thread only. */
 public interface CellOutput {
 
   /**
-   * Orders a start; the outcome comes back through {@link Cell#startAnswered}.
+   * Sends a start order; its outcome is reported through {@link Cell#startAnswered}.
    *
    * @param run the run
    * @param deadline the order's deadline on the worker's clock, in milliseconds
@@ -15,7 +15,7 @@
   void start(Run run, long deadline, String ticket);
 
   /**
-   * Orders a stop; an answer comes back through {@link Cell#stopAnswered}.
+   * Sends a stop order; an answer is reported through {@link Cell#stopAnswered}.
    *
    * @param worker the worker
    * @param run the run
@@ -23,40 +23,40 @@
   void stop(WorkerView worker, RunKey run);
 
   /**
-   * Asks the advisor; the answer comes back through {@link Cell#adviceAnswered}.
+   * Requests advice; the answer is reported through {@link Cell#adviceAnswered}.
    *
    * @param step the step
-   * @param workers the workers to name
-   * @return false if the advisor has too much to do already; nothing was asked then
+   * @param workers the workers to name in the request
+   * @return false if too many requests are pending, and none was sent
    */
   boolean advise(StepRun step, List<WorkerView> workers);
 
   /**
-   * Writes what must last of a submission, with the next write; {@link Cell#markDurable} follows.
+   * Stores a submission with the next write; {@link Cell#markDurable} is called afterwards.
    *
    * @param submission the submission
    */
   void save(Submission submission);
 
   /**
-   * Drops what was written of a submission whose end state need not be told any longer.
+   * Deletes the stored state of a submission whose retention time is over.
    *
    * @param id the submission's id
    */
   void drop(String id);
 
   /**
-   * Runs something once all that was handed to {@link #save} before is durable.
+   * Runs an action once all submissions passed to {@link #save} before are durable.
    *
-   * @param action what to run, on the control thread
+   * @param action the action, which runs on the control thread
    */
   void afterSave(Runnable action);
 
   /**
-   * Writes the list of workers that may hold runs, before the first start on a new one.
+   * Writes the workers that may hold runs; called before the first start on a new worker.
    *
    * @param entries the workers
-   * @param written what to run once it is durable, on the control thread
+   * @param written the action to run on the control thread once the roster is durable
    */
   void saveRoster(List<RosterEntry> entries, Runnable written);
 }
--- a/core/src/main/java/org/hickorypier/core/cell/CellState.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellState.java
@@ -16,12 +16,12 @@
 import org.hickorypier.core.submission.SubmissionSpec;
 import org.hickorypier.wire.UndecodableException;
 
-/** What the parts of a cell share. Belongs to the control thread. */
+/** State that the components of a cell share. Confined to the control thread. */
 final class CellState {
 
   private static final String RUN_PART = "run";
 
-  /** More submissions than any owner takes; so numbers rise from one owner to the next. */
+  /** Exceeds the submissions that an owner accepts, so numbers increase from owner to owner. */
   private static final long MAX_SUBMISSIONS_PER_EPOCH = 1L << 32;
 
   final CellTimings timings;
@@ -36,22 +36,22 @@
   final UrgentReserve reserve = new UrgentReserve();
   final Map<String, Submission> submissions = new HashMap<>();
 
-  /** Submissions that have ended, while callers may ask for them. */
+  /** Ended submissions in their archived form, by id, until their retention time is over. */
   final Map<String, EndedSubmission> endedSubmissions = new HashMap<>();
 
   final Map<String, WorkerView> workers = new LinkedHashMap<>();
 
-  /** Steps whose turn has come and that have tasks that wait. */
+  /** Steps that are due, have no unfinished dependencies, and have waiting tasks. */
   final Set<StepRun> readySteps = new LinkedHashSet<>();
 
-  /** Something changed that may let a task start. */
+  /** True after a change that may let a task start. */
   boolean dirty = true;
 
-  /** A step has ended, so that others may begin. */
+  /** True after a change, such as the end of a step, that may make other steps ready. */
   boolean stepsMayBeReady = true;
 
-  CellState(CellTimings terms, CellOutput output, EventLog log, int epoch, long now) {
-    this.timings = terms;
+  CellState(CellTimings timings, CellOutput output, EventLog log, int epoch, long now) {
+    this.timings = timings;
     this.output = output;
     this.log = log;
     this.epoch = epoch;
@@ -64,17 +64,20 @@
     output.save(submission);
   }
 
-  /** Tells whether a worker may run what nobody has named. */
+  /**
+   * Tells whether a worker may hold runs that this owner does not know: it has not answered under
+   * this owner's token, and the leases of earlier owners may still be valid.
+   */
   boolean mayHoldUnknownRuns(WorkerView worker, long now) {
     return worker.runsUnknown && !worker.heard && now < worker.earlierLeasesEnd;
   }
 
-  /** Returns for how long a worker that stays silent may go on running something. */
+  /** Returns how long a worker that stays silent may keep its runs, in milliseconds. */
   long remainingLeaseMillis(WorkerView worker, long now) {
     return Math.max(0, worker.leaseEnd() - now);
   }
 
-  /** Tells whether a step is of the most urgent work of its service. */
+  /** Tells whether a step belongs to the most urgent priority of its service. */
   boolean isUrgent(StepRun step) {
     QueueTerms queue = step.submission.spec().queue();
     return reserve.isUrgent(queue.service(), queue.priority());
@@ -89,8 +92,8 @@
   }
 
   /**
-   * Returns the number of the last submission of which a run may be at work that nobody knows of,
-   * or less than any number if there is none.
+   * Returns the number of the last submission that may have an unknown run on some worker, or -1,
+   * which is below all numbers, if there is none.
    */
   long lastUnresolvedNumber(long now) {
     long last = -1;
@@ -102,7 +105,7 @@
     return last;
   }
 
-  /** Tells whether a submission has to wait, since a run of it may be at work unknown. */
+  /** Tells whether a submission must wait, since a worker may hold an unknown run of it. */
   boolean waitsForUnheardWorkers(Submission submission, long unresolvedUpTo) {
     return submission.mayHaveUnknownRuns && submission.number() <= unresolvedUpTo;
   }
@@ -128,8 +131,8 @@
   }
 
   /**
-   * Returns what a task needs, also if its submission has ended: a run of it that is still on a
-   * worker takes room there until it is stopped.
+   * Returns the resources of a task, also if its submission has ended: a run that is still on a
+   * worker uses them until it is stopped.
    */
   Resources resourcesOf(TaskName task) {
     Submission submission = submissions.get(task.submission());
@@ -159,7 +162,7 @@
     return past == null ? "" : past.customer();
   }
 
-  /** Tells of one run. */
+  /** Logs an event of a run. */
   void runEvent(String event, RunKey run, WorkerView worker, Object... more) {
     Object[] named = {
       "id",
@@ -174,14 +177,14 @@
     log.event(RUN_PART, event, concat(named, more));
   }
 
-  /** Tells of a submission. */
+  /** Logs an event of a submission. */
   void submissionEvent(String event, Submission submission, Object... more) {
     SubmissionSpec spec = submission.spec();
     Object[] named = {"id", spec.id(), "customer", spec.customer(), "queue", spec.queue().name()};
     log.event(RUN_PART, event, concat(named, more));
   }
 
-  /** Tells of a worker. */
+  /** Logs an event of a worker. */
   void workerEvent(String event, WorkerView worker, Object... more) {
     log.event(RUN_PART, event, concat(new Object[] {"worker", worker.id()}, more));
   }
--- a/core/src/main/java/org/hickorypier/core/cell/CellTimings.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellTimings.java
@@ -1,68 +1,71 @@
 package org.hickorypier.core.cell;
 
 /**
- * The figures that the owner of a cell works with.
+ * The time limits that the owner of a cell applies.
  *
  * <p>Immutable.
  *
  * @param leaseMillis length of a worker's lease at each renewal, in milliseconds
- * @param ownershipProofMillis how long an owner renews leases after its last proof of ownership
- * @param gangMillis how long a member of a gang waits for the others, in milliseconds
- * @param endStateRetentionMillis how long an end state is told, in milliseconds
+ * @param ownershipProofMillis how long an owner renews leases after its last proof of ownership, in
+ *     milliseconds
+ * @param gangMillis how long a started member of a gang waits for the others, in milliseconds
+ * @param endStateRetentionMillis how long callers can query an end state, in milliseconds
  */
 public record CellTimings(
     long leaseMillis, long ownershipProofMillis, long gangMillis, long endStateRetentionMillis) {
 
   /**
-   * How much slower than ours a worker's clock may be: the platform's pages say 2%. A lease of D
-   * milliseconds on the worker's clock takes up to D / 0.98 on ours.
+   * Lowest rate of a worker's clock relative to the owner's: the platform documents a deviation of
+   * up to 2%. A lease of D milliseconds on the worker's clock lasts up to D / 0.98 on the owner's.
    */
   public static final double SLOWEST_CLOCK_RATE = 0.98;
 
   /**
-   * The longest lease that is asked for. What a lost worker had starts again when it expires, so a
-   * short check is still of use to its caller; shorter, and a restart of all instances together,
-   * measured at 2.3 to 3.1 s until the first renewal, would throw all work away.
+   * The longest lease that an owner requests. The tasks of a lost worker restart when its lease
+   * expires, early enough for a short check to be of use to its caller. A shorter lease could
+   * expire during a restart of all instances, which takes 2.3 to 3.1 s until the first renewal, and
+   * all running work would be lost.
    */
   private static final long MAX_REQUESTED_LEASE_MILLIS = 3_500;
 
   /**
-   * How long an owner renews leases without a proof of ownership. With the last lease it bridges an
-   * outage of the store of 6 s. A successor that cannot hear a worker waits as long as both, which
-   * must be less than the 9 s within which a task that lasts has to run again.
+   * How long an owner renews leases without a proof of ownership. Together with the last lease it
+   * covers a store outage of 6 s. A successor waits for the sum of both for a worker that it cannot
+   * reach, so the sum must be less than the 9 s within which a persistent task has to run again.
    */
   private static final long OWNERSHIP_PROOF_MILLIS = 3_000;
 
-  /** Covers the rounding and the time on the wire when the end of a lease is worked out. */
+  /** Covers rounding and network delay when the end of a lease is calculated. */
   static final long LEASE_MARGIN_MILLIS = 300;
 
   /**
-   * Derives the figures from the bounds of the installation.
+   * Derives the time limits from the bounds of the installation.
    *
    * @param longestLeaseMillis the longest lease that a worker grants, in milliseconds
-   * @param gangMillis how long a member of a gang waits for the others, in milliseconds
-   * @param endStateRetentionMillis how long an end state is told, in milliseconds
-   * @return the figures
+   * @param gangMillis how long a started member of a gang waits for the others, in milliseconds
+   * @param endStateRetentionMillis how long callers can query an end state, in milliseconds
+   * @return the time limits
    */
-  public static CellTimings of(long longestLeaseMillis, long gangMillis, long stateKeptMillis) {
+  public static CellTimings of(
+      long longestLeaseMillis, long gangMillis, long endStateRetentionMillis) {
     long lease = Math.min(longestLeaseMillis, MAX_REQUESTED_LEASE_MILLIS);
-    return new CellTimings(lease, OWNERSHIP_PROOF_MILLIS, gangMillis, stateKeptMillis);
+    return new CellTimings(lease, OWNERSHIP_PROOF_MILLIS, gangMillis, endStateRetentionMillis);
   }
 
   /**
-   * Returns how long after a takeover a worker that stays silent may still run what the predecessor
-   * gave it: the predecessor renews for the time of its proof, and each renewal lasts one lease.
+   * Returns how long after a takeover a worker that stays silent may still run tasks of the
+   * previous owner, which renews leases until its proof expires; each renewal lasts one lease.
    *
-   * @return milliseconds
+   * @return the time in milliseconds
    */
   public long silentWorkerTimeoutMillis() {
     return ownershipProofMillis + longestLeaseMillis();
   }
 
   /**
-   * Returns how long after its renewal a lease may last, on any clock but the worker's.
+   * Returns how long after its renewal a lease may last on a clock other than the worker's.
    *
-   * @return milliseconds
+   * @return the time in milliseconds
    */
   public long longestLeaseMillis() {
     return Math.round(leaseMillis / SLOWEST_CLOCK_RATE) + LEASE_MARGIN_MILLIS;
--- a/core/src/main/java/org/hickorypier/core/cell/CustomerLimits.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CustomerLimits.java
@@ -3,12 +3,12 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * What the configuration says of one customer, as far as scheduling needs it.
+ * The configured limits of one customer that scheduling needs.
  *
  * <p>Immutable.
  *
  * @param name the customer's name
- * @param weight submissions a second that are within its share
- * @param limit the most that it may have running; 0 in a component for no limit
+ * @param weight its share, in submissions per second
+ * @param limit the most resources that its runs may use; 0 in a component means no limit
  */
 public record CustomerLimits(String name, double weight, Resources limit) {}
--- a/core/src/main/java/org/hickorypier/core/cell/CustomerUsage.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CustomerUsage.java
@@ -5,9 +5,10 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * What each customer has running, against its limit.
+ * Tracks the resources that each customer uses, and checks them against its limit.
  *
- * <p>What is being stopped, and orders of unknown fate, count. Belongs to the control thread.
+ * <p>Runs that are being stopped and start orders with an unknown outcome count as used. Confined
+ * to the control thread.
  */
 final class CustomerUsage {
 
@@ -15,7 +16,7 @@
   private final Map<String, CustomerLimits> limits = new HashMap<>();
   private Resources unresolvedCapacity = Resources.NONE;
 
-  /** Before the first configuration nobody's limit is known. */
+  /** False before the first configuration, while no customer's limit is known. */
   private boolean configured;
 
   void configure(Iterable<CustomerLimits> customers) {
@@ -31,8 +32,8 @@
   }
 
   /**
-   * Sets the room of workers that may run what nobody knows of. Any of it may belong to any
-   * customer, so all of it counts against each.
+   * Sets the capacity of workers that may hold unknown runs. Any customer may own these runs, so
+   * the whole capacity counts against each customer's limit.
    */
   void setUnresolvedCapacity(Resources capacity) {
     unresolvedCapacity = capacity;
@@ -49,7 +50,10 @@
     return configured;
   }
 
-  /** Tells whether so many more tasks of a size stay within the customer's limit. */
+  /**
+   * Tells whether so many more tasks of a size stay within the customer's limit; false before the
+   * first configuration.
+   */
   boolean allows(String customer, Resources size, int count) {
     if (!configured) {
       return false;
--- a/core/src/main/java/org/hickorypier/core/cell/Dispatcher.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Dispatcher.java
@@ -11,19 +11,22 @@
 import org.hickorypier.core.submission.QueueTerms;
 
 /**
- * Places the tasks that wait, and asks the advisor for what that needs.
+ * Places waiting tasks on workers and requests the advice that their placement needs.
  *
- * <p>Belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 final class Dispatcher {
 
-  /** The advisor takes longer for each worker named; so many find a good set for wide gangs. */
+  /**
+   * Bounds the time of a request, which grows with each worker named; so many workers are enough to
+   * find a good set for a wide gang.
+   */
   private static final int MAX_WORKERS_PER_REQUEST = 40;
 
-  /** An answer of the advisor that takes longer than this is not waited for any more. */
+  /** Timeout of an advice request. */
   private static final long ADVICE_TIMEOUT_MILLIS = 4_000;
 
-  /** After a question that led to nothing, the advisor is asked again after this time. */
+  /** Delay before the next request after one that failed or yielded no ticket. */
   private static final long ADVICE_RETRY_MILLIS = 500;
 
   private final CellState cell;
@@ -42,7 +45,7 @@
     }
     long unresolvedUpTo = cell.lastUnresolvedNumber(now);
     cell.usage.setUnresolvedCapacity(cell.unresolvedCapacity(now));
-    Map<String, List<WorkerView>> takingByService = new HashMap<>();
+    Map<String, List<WorkerView>> workersByService = new HashMap<>();
     for (StepRun step : UrgencyOrder.sorted(cell.readySteps, cell.learnedWork, now)) {
       if (!step.submission.isLive() || !step.hasWaitingTasks()) {
         releaseClaim(step);
@@ -51,7 +54,7 @@
         String service = step.submission.spec().queue().service();
         placeStep(
             step,
-            takingByService.computeIfAbsent(service, name -> cell.acceptingWorkers(name, now)),
+            workersByService.computeIfAbsent(service, name -> cell.acceptingWorkers(name, now)),
             now);
       }
     }
@@ -59,31 +62,31 @@
       String service = step.submission.spec().queue().service();
       requestAdviceAhead(
           step,
-          takingByService.computeIfAbsent(service, name -> cell.acceptingWorkers(name, now)),
+          workersByService.computeIfAbsent(service, name -> cell.acceptingWorkers(name, now)),
           now);
     }
   }
 
-  private static boolean isRequestPending(StepAdvice book, long now) {
-    return book.requestedAt > 0 && now < book.requestedAt + ADVICE_TIMEOUT_MILLIS;
+  private static boolean isRequestPending(StepAdvice advice, long now) {
+    return advice.requestedAt > 0 && now < advice.requestedAt + ADVICE_TIMEOUT_MILLIS;
   }
 
-  private static boolean hasValidTicket(StepAdvice book, List<WorkerView> workers, long now) {
-    return workers.stream().anyMatch(worker -> book.validTicket(worker, now) != null);
+  private static boolean hasValidTicket(StepAdvice advice, List<WorkerView> workers, long now) {
+    return workers.stream().anyMatch(worker -> advice.validTicket(worker, now) != null);
   }
 
-  /** Asks the advisor for a step that is about to have its turn; it claims no room yet. */
+  /** Requests advice for a step that is about to become ready, without claiming room for it. */
   private void requestAdviceAhead(StepRun step, List<WorkerView> workers, long now) {
-    StepAdvice book = step.advice;
-    if (isRequestPending(book, now)
-        || now < book.nextRequestAt
-        || hasValidTicket(book, workers, now)) {
+    StepAdvice advice = step.advice;
+    if (isRequestPending(advice, now)
+        || now < advice.nextRequestAt
+        || hasValidTicket(advice, workers, now)) {
       return;
     }
     step.urgent = true;
     List<WorkerView> named = unratedWorkersWithRoom(step, step.tasks.length, workers);
     if (!named.isEmpty() && cell.output.advise(step, named)) {
-      book.requestedAt = now;
+      advice.requestedAt = now;
     }
   }
 
@@ -95,30 +98,30 @@
     }
     final Claim claim = step.claim;
     releaseClaim(step);
-    StepAdvice book = step.advice;
+    StepAdvice advice = step.advice;
     Map<Task, WorkerView> chosen =
         Placer.choose(
             step,
             tasks,
             workers,
-            worker -> book == null || book.validTicket(worker, now) != null,
+            worker -> advice == null || advice.validTicket(worker, now) != null,
             now);
     startTasks(step, chosen, now);
-    if (book == null || chosen.size() == tasks.size()) {
+    if (advice == null || chosen.size() == tasks.size()) {
       return;
     }
-    if (isRequestPending(book, now)) {
+    if (isRequestPending(advice, now)) {
       if (claim != null && now < claim.until()) {
         claim(step, claim);
       }
       return;
     }
-    if (now >= book.nextRequestAt) {
+    if (now >= advice.nextRequestAt) {
       requestAdvice(step, startableTasks(step, workers), workers, now);
     }
   }
 
-  /** Returns the tasks that may start now within the customer's limit and beside the reserve. */
+  /** Returns the waiting tasks that fit the customer's limit and leave the urgent reserve free. */
   private List<Task> startableTasks(StepRun step, List<WorkerView> workers) {
     List<Task> waiting = new ArrayList<>();
     if (step.isGang() && !step.allTasksWaiting()) {
@@ -141,7 +144,7 @@
     return waiting;
   }
 
-  /** Tells whether not even one task of a step may start beside the reserve for urgent work. */
+  /** Tells whether the reserve for urgent work leaves no room for even one task of a step. */
   static boolean isBlockedByReserve(CellState cell, StepRun step, List<WorkerView> workers) {
     return step.spec.each().milliProcessors() > unreservedMilliProcessors(cell, step, workers);
   }
@@ -173,32 +176,35 @@
   }
 
   private void requestAdvice(StepRun step, List<Task> tasks, List<WorkerView> workers, long now) {
-    StepAdvice book = step.advice;
+    StepAdvice advice = step.advice;
     if (tasks.isEmpty()) {
       return;
     }
     Map<Task, WorkerView> planned =
-        book.hasSuitableWorkers()
-            ? Placer.choose(step, tasks, workers, book::isSuitable, now)
+        advice.hasSuitableWorkers()
+            ? Placer.choose(step, tasks, workers, advice::isSuitable, now)
             : Map.of();
     if (!planned.isEmpty()) {
       Set<WorkerView> named = new LinkedHashSet<>(planned.values());
       if (cell.output.advise(step, List.copyOf(named))) {
-        book.requestedAt = now;
+        advice.requestedAt = now;
         claimRoom(step, planned, now);
       }
       return;
     }
-    List<WorkerView> unknown = unratedWorkersWithRoom(step, tasks.size(), workers);
-    if (!unknown.isEmpty() && cell.output.advise(step, unknown)) {
-      book.requestedAt = now;
+    List<WorkerView> unrated = unratedWorkersWithRoom(step, tasks.size(), workers);
+    if (!unrated.isEmpty() && cell.output.advise(step, unrated)) {
+      advice.requestedAt = now;
     }
   }
 
-  /** Workers of which the advisor was not asked yet, if they could take enough of the tasks. */
+  /**
+   * Returns the workers that the advisor has not rated yet, fastest or slowest kind first as the
+   * step prefers; none if they and the suitable workers have too little room for the step.
+   */
   private List<WorkerView> unratedWorkersWithRoom(
       StepRun step, int wanted, List<WorkerView> workers) {
-    List<WorkerView> unknown = new ArrayList<>();
+    List<WorkerView> unrated = new ArrayList<>();
     Map<WorkerView, Integer> slots = new HashMap<>();
     int room = 0;
     for (WorkerView worker : workers) {
@@ -206,7 +212,7 @@
         int free = Placer.freeSlots(step, worker);
         slots.put(worker, free);
         if (!step.advice.isRated(worker)) {
-          unknown.add(worker);
+          unrated.add(worker);
           room += free;
         } else if (step.advice.isSuitable(worker)) {
           room += free;
@@ -217,12 +223,12 @@
     if (room < needed) {
       return List.of();
     }
-    unknown.sort(
+    unrated.sort(
         Comparator.comparingDouble((WorkerView worker) -> Placer.speedPenalty(step, worker))
             .thenComparingInt(worker -> -slots.get(worker)));
-    return unknown.size() <= MAX_WORKERS_PER_REQUEST
-        ? unknown
-        : unknown.subList(0, MAX_WORKERS_PER_REQUEST);
+    return unrated.size() <= MAX_WORKERS_PER_REQUEST
+        ? unrated
+        : unrated.subList(0, MAX_WORKERS_PER_REQUEST);
   }
 
   private void claimRoom(StepRun step, Map<Task, WorkerView> planned, long now) {
--- a/core/src/main/java/org/hickorypier/core/cell/EndedSubmission.java
+++ b/core/src/main/java/org/hickorypier/core/cell/EndedSubmission.java
@@ -3,15 +3,15 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * What is kept of a submission that has ended, while callers may ask for it: a tenth of the memory
- * of one that is open, and nothing to decode at a takeover.
+ * The archived form of an ended submission, kept while callers may query it. It takes a tenth of
+ * the memory of an open submission, and a takeover decodes nothing of it.
  *
- * <p>Immutable by convention: nobody changes the bytes.
+ * <p>Immutable by convention: the bytes of the specification must not be changed.
  *
  * @param customer its customer, or empty on a public queue
  * @param state the end state
- * @param endedAtMillis time of day of its end, milliseconds since 1970
- * @param spec its specification, encoded; read only if a worker still runs some of it
+ * @param endedAtMillis wall-clock time of its end, milliseconds since 1970
+ * @param spec its encoded specification; decoded only if a worker still holds a run of it
  */
 public record EndedSubmission(
     String customer, SubmissionState state, long endedAtMillis, byte[] spec) {}
--- a/core/src/main/java/org/hickorypier/core/cell/EventLog.java
+++ b/core/src/main/java/org/hickorypier/core/cell/EventLog.java
@@ -1,10 +1,10 @@
 package org.hickorypier.core.cell;
 
 /**
- * Takes one structured event for each decision that touches a request or changes what the process
- * believes.
+ * Records a structured event for each decision that affects a request or changes the state of the
+ * process.
  *
- * <p>Implementations are thread safe, bounded, and never block.
+ * <p>Implementations are thread-safe and bounded, and never block.
  */
 @FunctionalInterface
 public interface EventLog {
@@ -12,9 +12,9 @@
   /**
    * Records an event.
    *
-   * @param part the part of the program that decided
-   * @param event what happened
-   * @param fields names and values by turns
+   * @param part the component that took the decision
+   * @param event the name of the event
+   * @param fields alternating names and values
    */
   void event(String part, String event, Object... fields);
 }
--- a/core/src/main/java/org/hickorypier/core/cell/Explanation.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Explanation.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Says where a submission stands and what its tasks wait for. Belongs to the control thread. */
+/**
+ * Describes the state of a submission and what its tasks wait for. Confined to the control thread.
+ */
 final class Explanation {
 
   private static final int MAX_LISTED_WORKERS = 3;
@@ -26,7 +28,7 @@
         id
             + ": "
             + submission.state
-            + ", shown as "
+            + ", visible as "
             + submission.visibleState
             + ", durable "
             + submission.durable
@@ -73,43 +75,43 @@
         .collect(Collectors.joining(", "));
   }
 
-  /** Returns what the waiting tasks of a step wait for. */
+  /** Returns why the waiting tasks of a step do not start, as text for operators. */
   String waitReason(StepRun step) {
     if (!submission.isLive()) {
       return "nothing: the submission has ended";
     }
     if (!cell.readySteps.contains(step)) {
-      return "its turn";
+      return "its turn: an unfinished dependency, a start time or a pending write";
     }
     if (cell.waitsForUnheardWorkers(submission, cell.lastUnresolvedNumber(now))) {
-      return "workers that may run it already: " + unresolvedWorkers();
+      return "workers that may already run it: " + unresolvedWorkers();
     }
     if (!cell.usage.isConfigured()) {
-      return "the configuration, which has the customers' limits";
+      return "the configuration with the customers' limits";
     }
     if (!cell.usage.allows(submission.spec().customer(), step.spec.each(), 1)) {
-      return "its customer's limit";
+      return "its customer's resource limit";
     }
-    List<WorkerView> taking = cell.acceptingWorkers(submission.spec().queue().service(), now);
-    int room = 0;
-    int suitable = 0;
-    for (WorkerView worker : taking) {
+    List<WorkerView> accepting = cell.acceptingWorkers(submission.spec().queue().service(), now);
+    int freeSlots = 0;
+    int suitableSlots = 0;
+    for (WorkerView worker : accepting) {
       int slots = Placer.matches(step.spec, worker) ? Placer.freeSlots(step, worker) : 0;
-      room += slots;
-      suitable += step.advice == null || step.advice.isSuitable(worker) ? slots : 0;
+      freeSlots += slots;
+      suitableSlots += step.advice == null || step.advice.isSuitable(worker) ? slots : 0;
     }
-    if (Dispatcher.isBlockedByReserve(cell, step, taking)) {
+    if (Dispatcher.isBlockedByReserve(cell, step, accepting)) {
       return "room beside the reserve for urgent work: "
           + cell.reserve.reservedMilliProcessors(submission.spec().queue().service())
-          + " thousandths of a core";
+          + " millicores";
     }
     return "room: "
-        + room
-        + " places on "
-        + taking.size()
+        + freeSlots
+        + " free slots on "
+        + accepting.size()
         + " workers, "
-        + suitable
-        + " on suitable ones, asked "
+        + suitableSlots
+        + " on suitable workers, advice requested "
         + (step.advice != null && step.advice.requestedAt > 0);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/LongWaitLogger.java
+++ b/core/src/main/java/org/hickorypier/core/cell/LongWaitLogger.java
@@ -5,21 +5,21 @@
 import java.util.Set;
 
 /**
- * Tells the log what steps wait for that have waited long.
+ * Logs what long-waiting steps wait for.
  *
- * <p>Invariant: a few lines a look at most, whatever the number of waiting steps. Belongs to the
- * control thread.
+ * <p>Invariant: the number of lines a check is bounded, whatever the number of waiting steps.
+ * Confined to the control thread.
  */
 final class LongWaitLogger {
 
-  /** Longer than any usual wait for advice and room. */
+  /** Exceeds the usual waits for advice and room. */
   private static final long FIRST_LINE_DELAY_MILLIS = 2_000;
 
   private static final long REPEAT_INTERVAL_MILLIS = 2_000;
 
   private static final long CHECK_INTERVAL_MILLIS = 1_000;
 
-  /** Working out a reason looks at every worker of the service. */
+  /** Bounds the cost of a check: each reason needs a scan of all workers of the service. */
   private static final int MAX_LINES_PER_CHECK = 4;
 
   private final CellState cell;
--- a/core/src/main/java/org/hickorypier/core/cell/Placer.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Placer.java
@@ -11,39 +11,39 @@
 import org.hickorypier.core.submission.StepSpec;
 
 /**
- * Chooses workers for the tasks of a step: by best fit, so that wide tasks still find whole gaps
- * when many small ones are about.
+ * Chooses workers for the tasks of a step by best fit, so that many small tasks leave large free
+ * blocks for wide tasks.
  *
- * <p>Belongs to the control thread; changes nothing itself.
+ * <p>Stateless; reads the state of workers and steps, and is confined to the control thread.
  */
 final class Placer {
 
   /**
-   * How long a gang that is slow over racks waits for one rack, as a part of its estimate: spread
-   * out it takes twice as long or more, so waiting half its length is still a gain.
+   * How long a gang with the same-rack flag waits for a single rack, as a fraction of its estimate.
+   * Across racks it takes at least twice as long, so a wait of half its estimate still pays off.
    */
   private static final double RACK_WAIT_FRACTION = 0.5;
 
-  /** More than any difference of fit: a worker that failed the task is the last choice. */
+  /** Exceeds any difference in fit, so a worker that failed the task is the last choice. */
   private static final double AVOIDED_PENALTY = 100;
 
-  /** A tenth of difference in speed counts as much as the whole range of a fit, 0 to 2. */
+  /** A speed difference of one tenth weighs as much as the whole range of the fit, 0 to 2. */
   private static final double SPEED_WEIGHT = 20;
 
-  /** A task far from its data takes twice as long or more: worth more than any tight fit. */
+  /** Exceeds any difference in fit: a task far from its data takes at least twice as long. */
   private static final double AFFINITY_MISS_PENALTY = 10;
 
   private Placer() {}
 
   /**
-   * Chooses a worker for each of some tasks.
+   * Chooses workers for tasks.
    *
    * @param step the step
-   * @param tasks the tasks that wait
-   * @param workers the workers of the service that take work
-   * @param suitable further conditions, such as a valid ticket
+   * @param tasks the waiting tasks
+   * @param workers the workers of the service that accept work
+   * @param suitable a further condition, such as a valid ticket
    * @param now the time
-   * @return a worker a task for as many tasks as find one; for a gang all or none
+   * @return the chosen worker of each task that can be placed; for a gang all tasks or none
    */
   static Map<Task, WorkerView> choose(
       StepRun step,
@@ -63,7 +63,7 @@
     return assignTasks(step, tasks, candidates);
   }
 
-  /** Tells how many more tasks of the step a worker has room for. */
+  /** Returns how many more tasks of the step a worker has room for. */
   static int freeSlots(StepRun step, WorkerView worker) {
     StepSpec spec = step.spec;
     Resources each = spec.each();
@@ -119,13 +119,13 @@
     if (total == 0 || step.isGang() && total < tasks.size()) {
       return Map.of();
     }
-    Map<WorkerView, Integer> taken = new HashMap<>();
+    Map<WorkerView, Integer> assignedTasks = new HashMap<>();
     Map<Task, WorkerView> chosen = new LinkedHashMap<>();
     for (Task task : tasks) {
-      WorkerView best = bestWorker(step, task, candidates, slots, taken);
+      WorkerView best = bestWorker(step, task, candidates, slots, assignedTasks);
       if (best != null) {
         chosen.put(task, best);
-        taken.merge(best, 1, Integer::sum);
+        assignedTasks.merge(best, 1, Integer::sum);
       } else if (step.isGang()) {
         return Map.of();
       }
@@ -138,16 +138,16 @@
       Task task,
       List<WorkerView> candidates,
       Map<WorkerView, Integer> slots,
-      Map<WorkerView, Integer> taken) {
+      Map<WorkerView, Integer> assignedTasks) {
     WorkerView best = null;
     double bestScore = Double.MAX_VALUE;
     boolean retried = !step.failureRecord(task).failedRunNumbers.isEmpty();
     for (WorkerView worker : candidates) {
-      int already = taken.getOrDefault(worker, 0);
-      if (slots.getOrDefault(worker, 0) <= already) {
+      int assigned = assignedTasks.getOrDefault(worker, 0);
+      if (slots.getOrDefault(worker, 0) <= assigned) {
         continue;
       }
-      double score = fitScore(step.spec, worker, already) + speedPenalty(step, worker);
+      double score = fitScore(step.spec, worker, assigned) + speedPenalty(step, worker);
       if (worker == step.failureRecord(task).avoidedWorker || worker == task.avoidedWorker) {
         score += AVOIDED_PENALTY;
       }
@@ -163,21 +163,21 @@
   }
 
   /**
-   * Ranks workers by their speed: what is urgent goes to quick ones, and what is not leaves them
-   * free.
+   * Returns a penalty by the speed of a worker: urgent work prefers fast workers, and other work
+   * leaves them free.
    *
-   * <p>Load: a third of the workers takes a third longer. Harm prevented: a check may take half as
-   * long again as its longest chain of work, and a slow kind of workers uses up most of that.
+   * <p>A third of the workers may take a third longer than the others. A check that may take 1.5
+   * times its longest chain of work would lose most of that margin on a slow kind of worker.
    */
   static double speedPenalty(StepRun step, WorkerView worker) {
     return (step.urgent ? 1 : -1) * SPEED_WEIGHT * worker.kindFactor;
   }
 
-  private static double fitScore(StepSpec spec, WorkerView worker, int already) {
+  private static double fitScore(StepSpec spec, WorkerView worker, int assigned) {
     Resources capacity = worker.entry().capacity();
     double leftProcessors =
-        worker.freeProcessors() - (already + 1.0) * spec.each().milliProcessors();
-    double leftMemory = worker.freeMemory() - (already + 1.0) * spec.each().memoryMebibytes();
+        worker.freeProcessors() - (assigned + 1.0) * spec.each().milliProcessors();
+    double leftMemory = worker.freeMemory() - (assigned + 1.0) * spec.each().memoryMebibytes();
     double score =
         leftProcessors / Math.max(1, capacity.milliProcessors())
             + leftMemory / Math.max(1, capacity.memoryMebibytes());
--- a/core/src/main/java/org/hickorypier/core/cell/ReadySteps.java
+++ b/core/src/main/java/org/hickorypier/core/cell/ReadySteps.java
@@ -2,7 +2,7 @@
 
 import org.hickorypier.core.submission.SubmissionSpec;
 
-/** Finds the steps whose turn has come. Belongs to the control thread. */
+/** Finds the steps that are ready to run. Confined to the control thread. */
 final class ReadySteps {
 
   private final CellState cell;
@@ -11,7 +11,7 @@
     this.cell = cell;
   }
 
-  /** Tells whether a turn may come by time alone. */
+  /** Tells whether a step may become ready by the passage of time alone. */
   boolean hasScheduledSubmissions() {
     for (Submission submission : cell.submissions.values()) {
       if (submission.isLive() && submission.spec().scheduled()) {
@@ -21,7 +21,10 @@
     return false;
   }
 
-  /** Opens the steps of durable submissions that are due and wait for no other step. */
+  /**
+   * Adds the steps of durable submissions that are due and have no unfinished dependencies to the
+   * ready steps of the cell.
+   */
   void addReadySteps(long wallMillis) {
     for (Submission submission : cell.submissions.values()) {
       if (submission.durable && submission.isLive()) {
@@ -51,8 +54,8 @@
   }
 
   private static boolean isReady(StepRun step, StepRun[] steps) {
-    for (int earlier : step.spec.dependsOn()) {
-      if (!steps[earlier].isDone()) {
+    for (int dependency : step.spec.dependsOn()) {
+      if (!steps[dependency].isDone()) {
         return false;
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/ShareTokenBucket.java
+++ b/core/src/main/java/org/hickorypier/core/cell/ShareTokenBucket.java
@@ -1,10 +1,10 @@
 package org.hickorypier.core.cell;
 
 /**
- * Tells whether a customer's submissions come within its share, by a token bucket that holds one
- * second's worth.
+ * A token bucket that tells whether a customer's submissions are within its share; it holds the
+ * tokens of one second, and at least one.
  *
- * <p>Belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 final class ShareTokenBucket {
 
--- a/core/src/main/java/org/hickorypier/core/cell/StepAdvice.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StepAdvice.java
@@ -8,24 +8,27 @@
 import org.hickorypier.core.submission.AdviceTerms;
 
 /**
- * What the advisor has said of one step: which workers may run it, which never changes, and the
+ * The advisor's answers for one step: which workers are suitable, which never changes, and their
  * tickets, which expire.
  *
- * <p>Belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 final class StepAdvice {
 
-  /** A ticket that ends on its way to the worker is refused there, and the start is lost. */
+  /**
+   * Safety margin for the time to the worker, which refuses an expired ticket, so that the start is
+   * lost.
+   */
   private static final long TICKET_MARGIN_MILLIS = 250;
 
   final AdviceTerms terms;
   private final Map<String, Ticket> suitableTickets = new HashMap<>();
   private final Set<String> unsuitableWorkers = new HashSet<>();
 
-  /** When the question that is open was asked; 0 if none is. */
+  /** When the pending request was sent; 0 if none is pending. */
   long requestedAt;
 
-  /** Not before this time is the advisor asked again. */
+  /** Earliest time of the next request. */
   long nextRequestAt;
 
   StepAdvice(AdviceTerms terms) {
@@ -44,7 +47,10 @@
     return !suitableTickets.isEmpty();
   }
 
-  /** Returns a ticket that is still valid when it arrives, or null. */
+  /**
+   * Returns a ticket that is still valid when it reaches the worker, or null if there is none or
+   * the worker has restarted since.
+   */
   String validTicket(WorkerView worker, long now) {
     Ticket ticket = suitableTickets.get(worker.id());
     if (ticket == null || ticket.validUntil < now || ticket.workerBornMillis != worker.bornMillis) {
@@ -64,12 +70,12 @@
       List<WorkerView> named, Map<String, String> tickets, long validMillis, long now) {
     requestedAt = 0;
     for (WorkerView worker : named) {
-      String text = tickets.get(worker.id());
-      if (text == null) {
+      String ticket = tickets.get(worker.id());
+      if (ticket == null) {
         unsuitableWorkers.add(worker.id());
       } else {
-        long until = now + validMillis - TICKET_MARGIN_MILLIS;
-        suitableTickets.put(worker.id(), new Ticket(text, until, worker.bornMillis));
+        long validUntil = now + validMillis - TICKET_MARGIN_MILLIS;
+        suitableTickets.put(worker.id(), new Ticket(ticket, validUntil, worker.bornMillis));
       }
     }
   }
--- a/core/src/main/java/org/hickorypier/core/cell/StepRun.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StepRun.java
@@ -2,7 +2,7 @@
 
 import org.hickorypier.core.submission.StepSpec;
 
-/** One occurrence of a step, with its tasks. Belongs to the control thread. */
+/** One occurrence of a step with its tasks. Confined to the control thread. */
 public final class StepRun {
 
   final Submission submission;
@@ -12,40 +12,41 @@
   final Task[] tasks;
   final StepAdvice advice;
 
-  /** Place of the step's first task among all tasks of the submission. */
+  /** Index of the step's first task among all tasks of the submission. */
   final int firstTaskOffset;
 
   int doneCount;
 
-  /** The longest that a run of a task that is done took, in milliseconds. */
+  /** Longest duration of a run that completed its task, in milliseconds. */
   long longestRunMillis;
 
-  /** What has the least time to spare of all that its service runs. */
+  /** True for the most urgent work of its service, which has the least time to spare. */
   boolean urgent;
 
-  /** Runs that are compared with each other, and their time on workers of the usual speed. */
+  /** Number of runs that are compared with each other. */
   int comparedRuns;
 
+  /** Total duration of the compared runs at the usual worker speed, in milliseconds. */
   double comparedMillis;
 
-  /** Room set aside while tickets are on their way, or null. */
+  /** Room that is claimed while an advice request is pending, or null. */
   Claim claim;
 
-  StepRun(Submission submission, int occurrence, int index, StepSpec spec, int firstPlace) {
+  StepRun(Submission submission, int occurrence, int index, StepSpec spec, int firstTaskOffset) {
     this.submission = submission;
     this.occurrence = occurrence;
     this.index = index;
     this.spec = spec;
-    this.firstTaskOffset = firstPlace;
+    this.firstTaskOffset = firstTaskOffset;
     this.advice = submission.spec().queue().advice().map(StepAdvice::new).orElse(null);
     this.tasks = new Task[spec.count()];
-    for (int place = 0; place < tasks.length; place++) {
-      tasks[place] = new Task(this, place);
+    for (int taskIndex = 0; taskIndex < tasks.length; taskIndex++) {
+      tasks[taskIndex] = new Task(this, taskIndex);
     }
   }
 
   /**
-   * Returns the submission that it belongs to.
+   * Returns its submission.
    *
    * @return the submission
    */
@@ -54,18 +55,18 @@
   }
 
   /**
-   * Returns the occurrence.
+   * Returns the index of the occurrence.
    *
-   * @return from 0
+   * @return the index, from 0
    */
   public int occurrence() {
     return occurrence;
   }
 
   /**
-   * Returns the place of the step.
+   * Returns the index of the step in its submission.
    *
-   * @return from 0
+   * @return the index, from 0
    */
   public int index() {
     return index;
@@ -79,7 +80,10 @@
     return doneCount == tasks.length;
   }
 
-  /** Counts failures of a gang at its first member: the gang fails as one. */
+  /**
+   * Returns the task that records the failures of a task. A gang fails as a unit, so its first
+   * member records its failures.
+   */
   Task failureRecord(Task task) {
     return isGang() ? tasks[0] : task;
   }
@@ -98,7 +102,8 @@
   }
 
   /**
-   * Returns since when the step waits for a start; the submission's arrival before its first run.
+   * Returns since when the step waits for a start, on the owner's monotonic clock; the acceptance
+   * of its submission before its first run.
    */
   long waitingSince() {
     long since = Long.MAX_VALUE;
@@ -118,7 +123,7 @@
     return waiting;
   }
 
-  /** A gang starts anew only when nothing of its last run is left anywhere. */
+  /** Tells whether all tasks wait. A gang restarts only when no worker holds its last run. */
   boolean allTasksWaiting() {
     for (Task task : tasks) {
       if (!task.isWaiting()) {
--- a/core/src/main/java/org/hickorypier/core/cell/Submission.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Submission.java
@@ -10,9 +10,9 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * A submission in the hands of its owner.
+ * A submission at the owner of its cell.
  *
- * <p>Invariant: callers are shown an end state only once it is durable. Belongs to the control
+ * <p>Invariant: an end state is visible to callers only once it is durable. Confined to the control
  * thread.
  */
 public final class Submission {
@@ -20,50 +20,50 @@
   private final SubmissionSpec spec;
   final StepRun[][] occurrences;
 
-  /** Rises from one submission to the next, over all owners; 0 if its owner gave it none. */
+  /** Increases from submission to submission over all owners; 0 if its owner assigned none. */
   private final long number;
 
-  /** When it came, on the owner's steady clock. */
+  /** Time of acceptance on the owner's monotonic clock, in milliseconds. */
   final long acceptedAt;
 
-  /** Numbers of runs begin here: a successor cannot know the numbers its predecessor used. */
+  /** Number of the first run; above the numbers of earlier owners, which are not known. */
   private final int firstRunNumber;
 
   SubmissionState state = SubmissionState.QUEUED;
   SubmissionState visibleState = SubmissionState.QUEUED;
   boolean durable;
 
-  /** Some run may be at work on a worker that this owner has not heard yet. */
+  /** True if a worker that has not answered this owner may hold a run of it. */
   boolean mayHaveUnknownRuns;
 
-  /** Beyond the customer's rate: it comes after what is within it. */
+  /** True if it exceeds its customer's rate; it is placed after submissions within the rate. */
   boolean exceedsShare;
 
   long endedAtMillis;
   int unfinishedSteps;
 
-  /** Counts changes; what was written last tells what may be shown. */
+  /** Counts changes; an end state becomes visible once its version is written. */
   long version;
 
-  Submission(SubmissionSpec spec, long number, long acceptedAt, int firstRun) {
+  Submission(SubmissionSpec spec, long number, long acceptedAt, int firstRunNumber) {
     this.spec = spec;
     this.number = number;
     this.acceptedAt = acceptedAt;
-    this.firstRunNumber = firstRun;
+    this.firstRunNumber = firstRunNumber;
     this.occurrences = new StepRun[spec.occurrences()][spec.steps().size()];
-    int place = 0;
+    int taskOffset = 0;
     for (int occurrence = 0; occurrence < occurrences.length; occurrence++) {
       for (int index = 0; index < spec.steps().size(); index++) {
-        StepRun step = new StepRun(this, occurrence, index, spec.steps().get(index), place);
+        StepRun step = new StepRun(this, occurrence, index, spec.steps().get(index), taskOffset);
         occurrences[occurrence][index] = step;
-        place += step.tasks.length;
+        taskOffset += step.tasks.length;
         unfinishedSteps++;
       }
     }
   }
 
   /**
-   * Returns what the caller handed in.
+   * Returns the specification from the caller.
    *
    * @return the specification
    */
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Returns the number under which its owner took it.
+   * Returns the sequence number that its owner assigned.
    *
    * @return the number, or 0 if there is none
    */
@@ -81,7 +81,7 @@
   }
 
   /**
-   * Returns what callers may be told.
+   * Returns the state that callers may see.
    *
    * @return the state
    */
@@ -90,33 +90,33 @@
   }
 
   /**
-   * Tells whether the submission itself is durable, so that it may be acknowledged.
+   * Tells whether the submission is durable, so that it may be acknowledged.
    *
-   * @return true once it was written
+   * @return true once it is written
    */
   public boolean durable() {
     return durable;
   }
 
   /**
-   * Returns the number of its latest change.
+   * Returns its version, which counts its changes.
    *
-   * @return the number
+   * @return the version
    */
   public long version() {
     return version;
   }
 
   /**
-   * Tells whether there is anything to write beside the specification.
+   * Tells whether there is progress to write in addition to the specification.
    *
-   * @return false before the first end of a task
+   * @return false before its first change after acceptance
    */
   public boolean needsSaving() {
     return version > 1 || state.terminal();
   }
 
-  /** Returns how long it may take to be in time, in milliseconds. */
+  /** Returns the time within which it meets its objective, in milliseconds. */
   long objectiveMillis(LearnedWork learned) {
     long chain = learned.atLeast(spec.queue().name(), spec.longestChainMillis());
     return Math.round(spec.queue().stretch() * chain) + spec.queue().objectiveMillis();
@@ -140,7 +140,7 @@
   }
 
   /**
-   * Returns what must last beside the specification.
+   * Returns the state to store in addition to the specification.
    *
    * @return a copy of the progress
    */
@@ -168,20 +168,20 @@
     endedAtMillis = progress.endedAtMillis();
     durable = true;
     mayHaveUnknownRuns = true;
-    // What was taken over has been written once; each change from here on is worth writing.
+    // Version 1 is already written; the next change must exceed it, or it would not be written.
     version = 1;
-    int place = 0;
+    int stepIndex = 0;
     for (StepRun[] steps : occurrences) {
       for (StepRun step : steps) {
-        restoreStep(step, progress, place < progress.done().size() ? place : -1);
-        place++;
+        restoreStep(step, progress, stepIndex < progress.done().size() ? stepIndex : -1);
+        stepIndex++;
       }
     }
   }
 
-  private void restoreStep(StepRun step, Progress progress, int place) {
+  private void restoreStep(StepRun step, Progress progress, int stepIndex) {
     for (Task task : step.tasks) {
-      if (place >= 0 && progress.done().get(place).get(task.index)) {
+      if (stepIndex >= 0 && progress.done().get(stepIndex).get(task.index)) {
         task.done = true;
         step.doneCount++;
       }
--- a/core/src/main/java/org/hickorypier/core/cell/SubmissionStatus.java
+++ b/core/src/main/java/org/hickorypier/core/cell/SubmissionStatus.java
@@ -3,12 +3,12 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * What callers may be told of a submission.
+ * The status of a submission that callers may see.
  *
  * <p>Immutable.
  *
  * @param customer its customer, or empty on a public queue
- * @param state the state
- * @param durable whether the submission is written, so that it may be acknowledged
+ * @param state the visible state
+ * @param durable whether the submission is durable, so that it may be acknowledged
  */
 public record SubmissionStatus(String customer, SubmissionState state, boolean durable) {}
--- a/core/src/main/java/org/hickorypier/core/cell/Task.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Task.java
@@ -3,37 +3,39 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One task of a step. Belongs to the control thread. */
+/** One task of a step. Confined to the control thread. */
 final class Task {
 
   final StepRun step;
   final int index;
 
-  /** The run that counts for the task, or null while it waits. */
+  /** The run whose end decides the task, or null while it waits. */
   Run currentRun;
 
   /**
-   * How many runs of it keep their room on workers: the current one, and those that are being
-   * stopped. A successor may find two, where its predecessor went on beside it for a moment.
+   * Number of its runs that hold room on workers: the current one and those that are being stopped.
+   * A new owner may find two if the previous owner was briefly active at the same time.
    */
   int runsOnWorkers;
 
-  /** When its last run was lost or ended; 0 before its first run. */
+  /**
+   * When its last run was lost or ended, on the owner's monotonic clock; 0 before its first run.
+   */
   long waitingSince;
 
   boolean done;
   String checkpoint = "";
 
-  /** The highest number used for a run so far. */
+  /** The highest run number used so far. */
   int lastRunNumber;
 
-  /** Numbers of the failed runs: a set, since a successor hears of the same end again. */
+  /** Numbers of the failed runs, without duplicates: a new owner receives the same end again. */
   final List<Integer> failedRunNumbers = new ArrayList<>(0);
 
-  /** Where it failed or stood still last, so that the next run goes elsewhere; or null. */
+  /** Worker where it last failed or made no progress, which the next run avoids; or null. */
   WorkerView avoidedWorker;
 
-  /** How often it was taken away from a slow worker. */
+  /** Number of times it was moved away from a slow worker. */
   int migrations;
 
   Task(StepRun step, int index) {
@@ -45,7 +47,7 @@
     return new TaskName(step.submission.spec().id(), step.occurrence, step.index, index);
   }
 
-  /** Keeps the newest checkpoint; all members of a gang must resume from the same one. */
+  /** Records the newest checkpoint; all members of a gang must resume from the same one. */
   void recordCheckpoint(String value) {
     if (!step.spec.flags().checkpoints()) {
       return;
--- a/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
@@ -6,17 +6,20 @@
 import java.util.Set;
 
 /**
- * Knows which steps are about to have their turn, so that the advisor is asked for them in advance.
+ * Tracks the steps that are about to become ready, so that their advice is requested in advance.
  *
- * <p>Load: short checks of one to four steps, each of which asks the advisor before it starts. Harm
- * prevented: each question takes 70 ms from a step's turn to its first start, a seventh of what a
- * check has to spare for each step. Tickets last 2.5 s, longer than a check's step, so the question
- * can be asked while the submission is being written or the step before is at work. Belongs to the
- * control thread.
+ * <p>Short checks have one to four steps, each of which needs advice before it starts. A request
+ * after a step is ready delays its first start by 70 ms, a seventh of the time that a check has to
+ * spare for each step. Tickets are valid for 2.5 s, longer than a step of a check runs, so the
+ * request can be sent while the submission is being written or the previous step is running.
+ * Confined to the control thread.
  */
 final class UpcomingSteps {
 
-  /** Within this time the step before must be done; with the call it is less than tickets last. */
+  /**
+   * Time within which the previous step must be expected to end. Together with the duration of the
+   * request it is shorter than the validity of a ticket.
+   */
   private static final long LOOKAHEAD_MILLIS = 1_200;
 
   private final CellState cell;
@@ -26,7 +29,7 @@
     this.cell = cell;
   }
 
-  /** Returns the steps that are about to have their turn, without those that have had it. */
+  /** Returns the steps that are about to become ready, without those that are ready or ended. */
   List<StepRun> upcoming() {
     upcoming.removeIf(
         step -> !step.submission.isLive() || cell.readySteps.contains(step) || !isUpcoming(step));
@@ -37,7 +40,7 @@
     return step.allTasksWaiting() || mayLoseRun(step);
   }
 
-  /** Tells whether a task that lasts has its run on a worker that may be lost. */
+  /** Tells whether a persistent task runs on a worker that may be lost. */
   private static boolean mayLoseRun(StepRun step) {
     if (!step.isPersistent()) {
       return false;
@@ -50,7 +53,7 @@
     return false;
   }
 
-  /** Notes the first steps of a submission that is being written. */
+  /** Adds the first steps of a submission that is being written. */
   void addFirstSteps(Submission submission) {
     if (submission.spec().scheduled()) {
       return;
@@ -62,7 +65,7 @@
     }
   }
 
-  /** Notes the steps of which all that comes before is nearly done, or that lose a run. */
+  /** Adds the steps whose dependencies are nearly done, and those that may lose a run. */
   void addUpcomingSteps(long now) {
     for (Submission submission : cell.submissions.values()) {
       if (submission.durable && submission.isLive()) {
@@ -75,8 +78,9 @@
 
   private void addUpcomingSteps(StepRun[] steps, long now) {
     for (StepRun step : steps) {
-      boolean later = !step.spec.dependsOn().isEmpty() && !cell.readySteps.contains(step);
-      if (later
+      boolean awaitsDependencies =
+          !step.spec.dependsOn().isEmpty() && !cell.readySteps.contains(step);
+      if (awaitsDependencies
           && !step.isDone()
           && step.allTasksWaiting()
           && needsAdviceAhead(step)
@@ -89,16 +93,19 @@
     }
   }
 
-  /** What is not urgent has time to spare, and its questions take the advisor half a second. */
+  /**
+   * Tells whether a step needs its advice in advance. Work that is not urgent has time to spare,
+   * and its requests take the advisor half a second.
+   */
   private boolean needsAdviceAhead(StepRun step) {
     return step.advice != null && !step.submission.exceedsShare && cell.isUrgent(step);
   }
 
   private boolean isNearlyReady(StepRun step, StepRun[] steps, long now) {
     boolean running = false;
-    for (int earlier : step.spec.dependsOn()) {
-      running |= !steps[earlier].isDone();
-      if (!steps[earlier].isDone() && !isNearlyDone(steps[earlier], now)) {
+    for (int dependency : step.spec.dependsOn()) {
+      running |= !steps[dependency].isDone();
+      if (!steps[dependency].isDone() && !isNearlyDone(steps[dependency], now)) {
         return false;
       }
     }
@@ -107,9 +114,9 @@
 
   private boolean isNearlyDone(StepRun step, long now) {
     String queue = step.submission.spec().queue().name();
-    long usual = cell.learnedWork.atLeast(queue, step.spec.estimateMillis());
+    long usualMillis = cell.learnedWork.atLeast(queue, step.spec.estimateMillis());
     for (Task task : step.tasks) {
-      if (!task.done && !endsBy(now + LOOKAHEAD_MILLIS, task.currentRun, usual)) {
+      if (!task.done && !endsBy(now + LOOKAHEAD_MILLIS, task.currentRun, usualMillis)) {
         return false;
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
@@ -7,15 +7,15 @@
 import org.hickorypier.core.submission.QueueTerms;
 
 /**
- * The order in which steps that wait are placed.
+ * Defines the order in which waiting steps are placed.
  *
- * <p>Made for a cell that is full: a burst of wide gangs beside a steady stream of short checks.
- * What can no longer be useful must not take room from what still can, and one customer's flood
- * must not make the others late. Stateless.
+ * <p>The order matters in a full cell, such as one with a burst of wide gangs beside a steady
+ * stream of short checks. Work that is too late to be of use must not take room from work that
+ * still is, and excess submissions of one customer must not delay the others. Stateless.
  */
 final class UrgencyOrder {
 
-  /** After three times its objective a submission is of no more use to its caller. */
+  /** Multiple of its objective after which a submission is of no use to its caller. */
   private static final int USEFUL_OBJECTIVE_FACTOR = 3;
 
   private UrgencyOrder() {}
@@ -41,16 +41,17 @@
     Submission submission = step.submission;
     QueueTerms queue = submission.spec().queue();
     long objective = submission.objectiveMillis(learned);
-    long end = now + learned.atLeast(queue.name(), step.spec.estimateMillis());
-    // What lasts is of use whenever it runs, and is wanted again from the moment when it was lost.
+    long expectedEnd = now + learned.atLeast(queue.name(), step.spec.estimateMillis());
+    // A persistent task is useful at any time, and its objective counts from the loss of its run.
     long from = step.isPersistent() ? step.waitingSince() : submission.acceptedAt;
-    boolean hopeless = !step.isPersistent() && end > from + USEFUL_OBJECTIVE_FACTOR * objective;
-    int band = (submission.exceedsShare ? 1 : 0) + (hopeless ? 2 : 0);
+    boolean useless =
+        !step.isPersistent() && expectedEnd > from + USEFUL_OBJECTIVE_FACTOR * objective;
+    int band = (submission.exceedsShare ? 1 : 0) + (useless ? 2 : 0);
     long deadline = from + objective;
-    boolean late = !step.isPersistent() && end > deadline;
+    boolean late = !step.isPersistent() && expectedEnd > deadline;
     return new Ranked(step, band, queue.priority(), late, deadline);
   }
 
-  /** A step with what decides its place: what is late comes after what may still be in time. */
+  /** A step with its sort keys: late work comes after work that may still meet its objective. */
   private record Ranked(StepRun step, int band, int priority, boolean late, long deadline) {}
 }
--- a/core/src/main/java/org/hickorypier/core/cell/UrgentReserve.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UrgentReserve.java
@@ -4,65 +4,67 @@
 import java.util.Map;
 
 /**
- * Keeps room for urgent work when the cell is full of other work.
+ * Reserves processor capacity for urgent work in a cell that is full of other work.
  *
- * <p>Load: long gangs and batches fill every gap between two short checks, and the next check then
- * waits for seconds, several times its own length. Harm prevented: short checks, worth three times
- * as much for the room they take, come too late. The reserve follows what urgent work has used of
- * late, so that without urgent work there is none. Belongs to the control thread.
+ * <p>Without a reserve, long gangs and batches use all capacity that is free between two short
+ * checks. The next check then waits for seconds, several times its own length, and misses its
+ * objective, although it is worth three times as much for the room it takes. The reserve follows
+ * the recent usage of urgent work, so it is empty without urgent work. Confined to the control
+ * thread.
  */
 final class UrgentReserve {
 
-  /** Urgent work doubles within a burst; half above the mean covers its usual waves. */
+  /** Ratio to the mean: urgent work doubles in a burst; 1.5 covers its usual variation. */
   private static final double RESERVE_FACTOR = 1.5;
 
-  /** Weight of one sample; with ten a second the mean follows within some 5 s. */
+  /** Weight of one sample; at ten samples a second the mean adapts within about 5 s. */
   private static final double SAMPLE_WEIGHT = 0.02;
 
   private final Map<String, UrgentUsage> usageByService = new HashMap<>();
 
-  /** The urgent work of one service. */
+  /** Usage by the work of the most urgent priority of one service. */
   private static final class UrgentUsage {
     private int priority = Integer.MAX_VALUE;
     private long runningMilliProcessors;
     private double meanMilliProcessors;
   }
 
-  /** Learns that work of some priority was handed in. */
+  /** Records that work of a priority was submitted; a more urgent one restarts the mean. */
   void recordPriority(String service, int priority) {
-    UrgentUsage use = usageByService.computeIfAbsent(service, name -> new UrgentUsage());
-    if (priority < use.priority) {
-      use.priority = priority;
-      use.runningMilliProcessors = 0;
-      use.meanMilliProcessors = 0;
+    UrgentUsage usage = usageByService.computeIfAbsent(service, name -> new UrgentUsage());
+    if (priority < usage.priority) {
+      usage.priority = priority;
+      usage.runningMilliProcessors = 0;
+      usage.meanMilliProcessors = 0;
     }
   }
 
   boolean isUrgent(String service, int priority) {
-    UrgentUsage use = usageByService.get(service);
-    return use != null && priority <= use.priority;
+    UrgentUsage usage = usageByService.get(service);
+    return usage != null && priority <= usage.priority;
   }
 
   void addRunning(String service, int priority, long processors) {
-    UrgentUsage use = usageByService.get(service);
-    if (use != null && priority <= use.priority) {
-      use.runningMilliProcessors += processors;
+    UrgentUsage usage = usageByService.get(service);
+    if (usage != null && priority <= usage.priority) {
+      usage.runningMilliProcessors += processors;
     }
   }
 
   void sample() {
-    for (UrgentUsage use : usageByService.values()) {
-      use.meanMilliProcessors +=
-          SAMPLE_WEIGHT * (use.runningMilliProcessors - use.meanMilliProcessors);
+    for (UrgentUsage usage : usageByService.values()) {
+      usage.meanMilliProcessors +=
+          SAMPLE_WEIGHT * (usage.runningMilliProcessors - usage.meanMilliProcessors);
     }
   }
 
-  /** Returns how many thousandths of a core other work must leave free. */
+  /** Returns the capacity that other work must leave free, in thousandths of a core. */
   long reservedMilliProcessors(String service) {
-    UrgentUsage use = usageByService.get(service);
-    return use == null
+    UrgentUsage usage = usageByService.get(service);
+    return usage == null
         ? 0
         : Math.max(
-            0, Math.round(RESERVE_FACTOR * use.meanMilliProcessors) - use.runningMilliProcessors);
+            0,
+            Math.round(RESERVE_FACTOR * usage.meanMilliProcessors) - usage.runningMilliProcessors);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/package-info.java
+++ b/core/src/main/java/org/hickorypier/core/cell/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The owner's part of scheduling: what it believes of submissions, workers and customers, and what
- * it orders. It has no sockets and no clocks; times are passed in, orders go out through {@link
- * org.hickorypier.core.cell.CellOutput}.
+ * The scheduling logic of a cell's owner: its view of submissions, workers and customers, and the
+ * orders that follow from it. It uses no sockets and no clocks: callers pass the times, and orders
+ * go to {@link org.hickorypier.core.cell.CellOutput}.
  *
- * <p>All classes with state belong to the control thread.
+ * <p>All classes with state are confined to the control thread.
  */
 package org.hickorypier.core.cell;
