--- a/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
@@ -12,7 +12,7 @@
 import org.hickorypier.core.submission.StepSpec;
 import org.hickorypier.core.submission.SubmissionSpec;
 
-/** A cell whose orders are collected, with a journal that the test lets through by hand. */
+/** A cell whose orders are recorded, and whose writes become durable when the test says so. */
 final class CellFixture implements CellOutput {
 
   static final CellTimings TERMS = CellTimings.of(10_000, 3_000, 60_000);
@@ -23,10 +23,10 @@
       new QueueTerms(
           "advised", "service", 0, 2, 2, 1_000, Optional.of(new AdviceTerms(100, 1, 2_500)));
 
-  /** An order to start. */
+  /** A recorded start order. */
   record StartedRun(Run run, long deadline, String ticket) {}
 
-  /** A question to the advisor. */
+  /** A recorded request to the advisor. */
   record AdviceRequest(StepRun step, List<WorkerView> workers) {}
 
   final List<StartedRun> starts = new ArrayList<>();
@@ -47,23 +47,23 @@
     cell.configure(List.of());
   }
 
-  /** Takes the cell over at this moment with what is written, as a successor. */
+  /** Creates the cell of the next owner, restored from the current state and written roster. */
   CellFixture successor(int epoch, String... submissions) {
     CellFixture successor = new CellFixture(epoch);
     for (String id : submissions) {
-      Submission taken = cell.find(id);
+      Submission restored = cell.find(id);
       successor.cell.restore(
-          taken.spec(), taken.number(), taken.progress(), successor.now, successor.now);
+          restored.spec(), restored.number(), restored.progress(), successor.now, successor.now);
     }
     successor.cell.restoreRoster(roster);
     return successor;
   }
 
-  static StepSpec step(int count, long processors, long estimate, boolean gang) {
+  static StepSpec step(int count, long milliProcessors, long estimateMillis, boolean gang) {
     return new StepSpec(
         count,
-        new Resources(processors, 1_000, 0),
-        estimate,
+        new Resources(milliProcessors, 1_000, 0),
+        estimateMillis,
         List.of(),
         new StepFlags(gang, false, true, false, false, false),
         "",
@@ -74,7 +74,7 @@
         0);
   }
 
-  /** A step of tasks that last. */
+  /** Returns a step of persistent tasks. */
   static StepSpec persistentStep(int count) {
     return new StepSpec(
         count,
@@ -90,12 +90,12 @@
         0);
   }
 
-  static StepSpec stepAfter(int earlier, int count, long processors, long estimate) {
+  static StepSpec stepAfter(int dependency, int count, long milliProcessors, long estimateMillis) {
     return new StepSpec(
         count,
-        new Resources(processors, 1_000, 0),
-        estimate,
-        List.of(earlier),
+        new Resources(milliProcessors, 1_000, 0),
+        estimateMillis,
+        List.of(dependency),
         StepFlags.PLAIN,
         "",
         "",
@@ -116,7 +116,7 @@
     return submission;
   }
 
-  /** Lists a worker, hears it, and writes the roster. */
+  /** Lists a worker, lets it report, and writes the roster. */
   WorkerView addWorker(String id) {
     listWorker(id, 1);
     WorkerView worker = findWorker(id);
@@ -126,15 +126,15 @@
     return worker;
   }
 
-  void listWorker(String id, long born) {
-    listWorker(id, born, false);
+  void listWorker(String id, long bornMillis) {
+    listWorker(id, bornMillis, false);
   }
 
-  void listWorker(String id, long born, boolean draining) {
+  void listWorker(String id, long bornMillis, boolean draining) {
     entries.put(
         id,
         new WorkerEntry(
-            id, "service", "10.0.0.1:1", draining, 0, CAPACITY, List.of("a", "r1"), born));
+            id, "service", "10.0.0.1:1", draining, 0, CAPACITY, List.of("a", "r1"), bornMillis));
     cell.workersListed(entries, now);
   }
 
@@ -151,16 +151,16 @@
     reportFrom(worker, worker.bornMillis, List.of(), ends);
   }
 
-  void reportFrom(WorkerView worker, long born, List<RunKey> running, EndedRun... ends) {
+  void reportFrom(WorkerView worker, long bornMillis, List<RunKey> running, EndedRun... ends) {
     List<RunningTask> tasks =
         running.stream().map(run -> new RunningTask(run, "checkpoint", 10)).toList();
     long sentAt = now;
     advance(5);
     cell.renewalAnswered(
-        worker, new HoldReport(born, workerClock, tasks, List.of(ends)), sentAt, now);
+        worker, new HoldReport(bornMillis, workerClock, tasks, List.of(ends)), sentAt, now);
   }
 
-  /** Lets a worker tell how far a run is. */
+  /** Lets a worker report the progress of a run. */
   void reportProgress(WorkerView worker, RunningTask running) {
     long sentAt = now;
     advance(5);
@@ -180,7 +180,7 @@
     cell.pass(now, now);
   }
 
-  /** Lets the journal write what is saved so far. */
+  /** Makes everything that was saved so far durable. */
   void writePending() {
     final List<Submission> written = new ArrayList<>(saved);
     final List<Runnable> actions = new ArrayList<>(afterSave);
@@ -222,7 +222,7 @@
 
   @Override
   public void drop(String id) {
-    // Tests of the journal look at this; those of the cell do not.
+    // The tests of the journal check deletions; the tests of the cell do not.
   }
 
   @Override
--- a/core/src/test/java/org/hickorypier/core/cell/CellLoadTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellLoadTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Eight workers of 16 cores under 1.2 times what they can do: short checks of two tasks, gangs of
- * five wide tasks, batches. The estimates of the checks are off by up to nine tenths. Looked at is
- * what callers get: how long checks take, and how many gangs come to an end.
+ * Runs eight workers of 16 cores at 1.2 times their capacity, with short checks of two tasks, gangs
+ * of five wide tasks, and batches. The estimates of the checks are wrong by up to nine tenths. The
+ * test bounds the duration of the checks and the number of gangs that complete.
  */
 class CellLoadTest {
 
@@ -43,7 +43,7 @@
   private int gangCount;
   private int completedGangs;
 
-  /** A run that will end. */
+  /** A run and the time at which it ends. */
   private record ScheduledEnd(long at, Run run) {}
 
   private static QueueTerms queue(String name, int priority, double stretch, long objective) {
--- a/core/src/test/java/org/hickorypier/core/cell/CellTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellTest.java
@@ -26,8 +26,8 @@
   private final CellFixture fixture = new CellFixture(1);
   private final Cell cell = fixture.cell;
 
-  private static EndedRun endedRun(long number, Run run, RunEnd how) {
-    return new EndedRun(number, run.key(), how, "");
+  private static EndedRun endedRun(long number, Run run, RunEnd kind) {
+    return new EndedRun(number, run.key(), kind, "");
   }
 
   @Test
@@ -57,10 +57,9 @@
   }
 
   /**
-   * The caller's task ran twice. A successor took the submission over, heard that a task was done,
-   * and told the worker to forget that end. But the change was not written, since the version of
-   * what was taken over began at the number of an unchanged submission. The next owner knew of no
-   * end and started the task again.
+   * Guards against a task that runs twice after two takeovers. A restored submission started at the
+   * version of an unchanged one, so its first change was not written. The owner still acknowledged
+   * the end of a task to the worker, and the next owner knew of no end and started the task again.
    */
   @Test
   void firstChangeAfterTakeoverIsWrittenSoTheTaskDoesNotRunTwice() {
@@ -78,9 +77,9 @@
   }
 
   /**
-   * The caller's task ran twice at once. A worker died and came back while the store was away; an
-   * order reached the new life before the list told of its birth. The owner then took all runs
-   * there for gone and started them elsewhere.
+   * Guards against a task that runs twice at once. A worker restarts during a store outage and
+   * receives an order before the worker list shows its new start time. The owner must not conclude
+   * from the list that the runs there are gone and start them elsewhere.
    */
   @Test
   void newStartTimeInWorkerListDoesNotEndRunsOfTheRestartedWorker() {
@@ -89,13 +88,13 @@
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     Run run = fixture.starts.get(0).run();
-    WorkerView reborn = run.worker();
+    WorkerView restarted = run.worker();
 
-    fixture.listWorker(reborn.id(), 2);
+    fixture.listWorker(restarted.id(), 2);
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
 
-    fixture.reportFrom(reborn, 2, List.of(run.key()));
+    fixture.reportFrom(restarted, 2, List.of(run.key()));
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
     assertThat(worker.id()).isNotNull();
@@ -115,9 +114,9 @@
   }
 
   /**
-   * The caller's task ran twice. A worker came back under its id and counted its ends anew. The
-   * owner, which had not heard it for a while, told it the number of the earlier life, and the
-   * worker forgot ends that nobody had seen.
+   * Guards against a task that runs twice. A restarted worker keeps its id and numbers its ends
+   * from the start again. An owner that had not heard from it for a while acknowledged a number
+   * from before the restart, and the worker dropped ends that no owner had received.
    */
   @Test
   void noEndIsAcknowledgedWhileTheWorkerMayHaveRestarted() {
@@ -137,9 +136,9 @@
   }
 
   /**
-   * The caller waited for ever. An order had no answer and was stopped; the worker answered the
-   * stop, but the owner repeated it and took the time of the last answer, which each report then
-   * preceded. The first answer counts.
+   * Guards against a submission that never ends. A start order without an answer is stopped, and
+   * the worker answers the stop. The owner repeats the stop; if it used the time of the latest
+   * answer, every report would precede that time. The first answer counts.
    */
   @Test
   void repeatedStopAnswerDoesNotDelayTheRestart() {
@@ -164,8 +163,8 @@
   }
 
   /**
-   * A worker falls silent with the caller's task. The task must not start elsewhere while a lease
-   * that was ever sent may keep it running there, and must start soon after.
+   * A worker that runs a task becomes silent. The task must not start elsewhere while any lease
+   * that was sent may keep it running there, and must start soon after that.
    */
   @Test
   void taskOfSilentWorkerStartsElsewhereAfterItsLeaseExpires() {
@@ -174,26 +173,29 @@
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     fixture.addWorker("other");
-    WorkerView holder = fixture.starts.get(0).run().worker();
-    holder.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
-    cell.renewalUnanswered(holder, fixture.now);
+    WorkerView runningWorker = fixture.starts.get(0).run().worker();
+    runningWorker.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
+    cell.renewalUnanswered(runningWorker, fixture.now);
     final long silentAt = fixture.now;
 
     fixture.advance(CellFixture.TERMS.leaseMillis());
-    reportFromAllExcept(holder);
+    reportFromAllExcept(runningWorker);
     cell.tick(fixture.now, fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
 
     fixture.advance(600);
-    reportFromAllExcept(holder);
+    reportFromAllExcept(runningWorker);
     cell.tick(fixture.now, fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
     assertThat(fixture.now - silentAt).isLessThan(7_000);
   }
 
-  /** A lasting task waited for the lease of a worker that had announced that it leaves. */
+  /**
+   * Guards against a needless delay: a persistent task waited for the lease of a worker that had
+   * announced its departure.
+   */
   @Test
   void taskOfDepartedWorkerRestartsWithoutWaitingForItsLease() {
     final WorkerView leaving = fixture.addWorker("leaving");
@@ -236,7 +238,8 @@
   }
 
   /**
-   * A worker that came back under its id ran the repeated order by its new clock, past any lease.
+   * Guards against a run that outlives all leases: a worker that restarted under its id applied the
+   * repeated order to its new clock.
    */
   @Test
   void unansweredStartIsNotRepeatedToWorkerThatMayHaveRestarted() {
@@ -249,7 +252,10 @@
     assertThat(fixture.stops).containsExactly(run.key());
   }
 
-  /** A report that was on its way when its worker left would bring the runs back for good. */
+  /**
+   * Guards against runs that stay for ever: a report that is in transit when its worker leaves must
+   * not restore the runs of the removed worker.
+   */
   @Test
   void lateReportOfRemovedWorkerIsIgnored() {
     final WorkerView leaving = fixture.addWorker("leaving");
@@ -275,9 +281,9 @@
   }
 
   /**
-   * After a takeover a submission's task may run on a worker that has not answered yet. It waits
-   * for that worker, or for the last lease that the predecessor may have given; what came later
-   * does not.
+   * After a takeover a task may still run on a worker that has not answered yet. The task waits for
+   * that worker, or for the end of the last lease that the previous owner may have granted; a
+   * submission accepted after the takeover does not wait.
    */
   @Test
   void takenOverTaskWaitsForWorkersThatHaveNotReported() {
@@ -309,9 +315,10 @@
   }
 
   /**
-   * A worker drained and left, and the owner was lost soon after. The successor waited for that
-   * worker for 9.9 s with all that it took over, since it might have run any of it. A worker at
-   * rest is off the roster, so nobody waits for it; it gets nothing before it is on it again.
+   * Guards against a delay after a takeover. A worker drained and left shortly before its owner was
+   * lost, and the new owner held all restored submissions back for 9.9 s, since the worker might
+   * have run any of them. An idle draining worker is off the roster, so no owner waits for it; it
+   * gets no work before it is on the roster again.
    */
   @Test
   void idleDrainingWorkerLeavesTheRosterUntilItIsReadyAgain() {
@@ -338,9 +345,8 @@
   }
 
   /**
-   * A worker drains with a caller's task on it and is gone when the owner is lost. What was
-   * accepted before it drained may run there and waits; a check that came later cannot, and starts
-   * at once.
+   * A draining worker holds a task and is gone when the owner is lost. A submission accepted before
+   * the worker drained may run there and waits; a check accepted later cannot, and starts at once.
    */
   @Test
   void takenOverTaskDoesNotWaitForWorkerThatDrainedBeforeItWasAccepted() {
@@ -362,10 +368,10 @@
   }
 
   /**
-   * A caller's task ran twice at once. The predecessor went on for a moment beside its successor:
-   * its first run failed and it ordered a second one. The successor heard of the first run, then of
-   * the second, which it stopped, and then of the failure; it ordered a third run while the second
-   * was still being stopped.
+   * Guards against a task that runs twice at once. The previous owner is briefly active beside the
+   * new one: a first run fails there and it orders a second one. The new owner learns of the first
+   * run, then of the second, which it stops, and then of the failure. It must not order a third run
+   * while the second is still being stopped.
    */
   @Test
   void taskDoesNotStartWhileAnyOfItsRunsIsBeingStopped() {
@@ -378,26 +384,26 @@
         new Progress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
         successor.now,
         successor.now);
-    RunKey one = new RunKey(new TaskName("s", 0, 0, 0), 1);
-    RunKey two = new RunKey(new TaskName("s", 0, 0, 0), 2);
-    successor.reportFrom(first, 1, List.of(one));
-    successor.reportFrom(second, 1, List.of(two));
-    assertThat(successor.stops).containsExactly(two);
-    successor.reportFrom(first, 1, List.of(), new EndedRun(1, one, RunEnd.FAILED, ""));
+    RunKey firstRun = new RunKey(new TaskName("s", 0, 0, 0), 1);
+    RunKey secondRun = new RunKey(new TaskName("s", 0, 0, 0), 2);
+    successor.reportFrom(first, 1, List.of(firstRun));
+    successor.reportFrom(second, 1, List.of(secondRun));
+    assertThat(successor.stops).containsExactly(secondRun);
+    successor.reportFrom(first, 1, List.of(), new EndedRun(1, firstRun, RunEnd.FAILED, ""));
     successor.writePending();
     successor.pass();
     assertThat(successor.starts).isEmpty();
 
-    successor.reportFrom(second, 1, List.of(), new EndedRun(1, two, RunEnd.STOPPED, ""));
+    successor.reportFrom(second, 1, List.of(), new EndedRun(1, secondRun, RunEnd.STOPPED, ""));
     successor.writePending();
     successor.pass();
     assertThat(successor.starts).hasSize(1);
   }
 
   /**
-   * A worker drains, and is ready again before the roster that says so is written. It must get
-   * nothing until the roster that says that it is open is written: a successor that reads the other
-   * would not wait for what it runs.
+   * A worker drains, and accepts work again before the roster without it is written. It must get no
+   * work until a roster with it is written: a new owner that reads the other roster would not wait
+   * for its runs.
    */
   @Test
   void reopenedWorkerTakesNoWorkBeforeItsRosterEntryIsWritten() {
@@ -415,7 +421,7 @@
     assertThat(worker.takesWork(fixture.now)).isTrue();
   }
 
-  /** A worker that no earlier owner had on its roster got nothing from it. */
+  /** A worker that is not on an earlier owner's roster holds no runs of that owner. */
   @Test
   void takenOverTaskDoesNotWaitForWorkersOutsideTheRoster() {
     CellFixture successor = new CellFixture(2);
@@ -488,8 +494,8 @@
   }
 
   /**
-   * A retry arrives seconds after the acknowledgement, when the submission has ended already and is
-   * kept in short form. It remains one submission: nothing runs again.
+   * A retry arrives seconds after the acknowledgement, when the submission has ended and is
+   * archived. It remains one submission, and no task runs again.
    */
   @Test
   void retryOfEndedSubmissionStartsNoRun() {
@@ -509,15 +515,16 @@
 
   @Test
   void persistentTaskRestartsAfterSuccessAndFailure() {
-    StepFlags lasting = new StepFlags(false, false, false, false, true, false);
+    StepFlags persistent = new StepFlags(false, false, false, false, true, false);
     final WorkerView worker = fixture.addWorker("w");
     StepSpec step =
-        new StepSpec(1, new Resources(1_000, 1, 0), 100, List.of(), lasting, "", "", 0, "", 0, 0);
+        new StepSpec(
+            1, new Resources(1_000, 1, 0), 100, List.of(), persistent, "", "", 0, "", 0, 0);
     final Submission submission = fixture.submit(spec("s", QUEUE, step));
     for (int run = 0; run < 4; run++) {
       fixture.confirmAll();
-      RunEnd how = run % 2 == 0 ? RunEnd.DONE : RunEnd.FAILED;
-      fixture.reportFrom(worker, endedRun(run + 1, fixture.starts.get(run).run(), how));
+      RunEnd kind = run % 2 == 0 ? RunEnd.DONE : RunEnd.FAILED;
+      fixture.reportFrom(worker, endedRun(run + 1, fixture.starts.get(run).run(), kind));
       fixture.advance(50);
       fixture.reportFrom(worker);
       fixture.pass();
--- a/core/src/test/java/org/hickorypier/core/cell/RetryAfterTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/RetryAfterTest.java
@@ -15,18 +15,24 @@
 
   private static final int MAX_ATTEMPTS = 5;
 
-  private static SubmissionSpec submission(long estimate, double stretch, long objective) {
+  private static SubmissionSpec submission(
+      long estimateMillis, double stretch, long objectiveMillis) {
     StepSpec step =
-        new StepSpec(1, Resources.NONE, estimate, List.of(), StepFlags.PLAIN, "", "", 0, "", 0, 0);
-    QueueTerms queue = new QueueTerms("q", "service", 0, 3, stretch, objective, Optional.empty());
+        new StepSpec(
+            1, Resources.NONE, estimateMillis, List.of(), StepFlags.PLAIN, "", "", 0, "", 0, 0);
+    QueueTerms queue =
+        new QueueTerms("q", "service", 0, 3, stretch, objectiveMillis, Optional.empty());
     return new SubmissionSpec("id", "customer", queue, "", List.of(step), 0, 0, 0, 0);
   }
 
-  /** Returns when a caller that is refused until the store is back gets in, or -1. */
-  private static long acceptedAtMillis(SubmissionSpec spec, long outage) {
+  /**
+   * Returns when a caller is accepted that is refused until the end of an outage, in milliseconds
+   * from its start; -1 if its attempts do not suffice.
+   */
+  private static long acceptedAtMillis(SubmissionSpec spec, long outageMillis) {
     long at = 0;
-    for (int tried = 0; tried < MAX_ATTEMPTS; tried++) {
-      if (at >= outage) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      if (at >= outageMillis) {
         return at;
       }
       at += RetryAfter.delayMillis(spec);
@@ -35,9 +41,9 @@
   }
 
   /**
-   * The store is away for 2.3 s, and callers are refused at once. A check of 0.64 s is of some use
-   * to its caller within 3.6 s: it is accepted before 3 s, where two seconds between tries would
-   * make it 4 s.
+   * The store is unavailable for 2.3 s, and callers are refused immediately. A check of 0.64 s is
+   * of some use to its caller within 3.6 s. It is accepted by 3 s; a delay of two seconds between
+   * attempts would make it 4 s.
    */
   @Test
   void shortCheckIsAcceptedSoonAfterStoreOutage() {
@@ -45,7 +51,10 @@
     assertThat(RetryAfter.delayMillis(submission(10, 1.5, 0))).isEqualTo(1_000);
   }
 
-  /** The store is away for 9 s. A batch of 6 s keeps a try for its return, and is still in time. */
+  /**
+   * The store is unavailable for 9 s. A batch of 6 s still has an attempt left when it is available
+   * again, and is still in time.
+   */
   @Test
   void longBatchKeepsAttemptsForLongStoreOutage() {
     SubmissionSpec batch = submission(6_200, 2.2, 1_000);
--- a/core/src/test/java/org/hickorypier/core/cell/StepAdviceTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/StepAdviceTest.java
@@ -29,8 +29,8 @@
   }
 
   /**
-   * A gang's tickets expire before there is room. When there is, new tickets take half a second;
-   * meanwhile smaller work must not take the room, or the gang would never start.
+   * Guards against a gang that never starts. Its tickets expire before there is room, and new ones
+   * take half a second; meanwhile smaller work must not take the room.
    */
   @Test
   void roomIsClaimedWhileTicketsAreRenewed() {
@@ -68,8 +68,8 @@
   }
 
   /**
-   * A check of two steps comes. The advisor is asked for the first while the check is written, and
-   * for the second while the first is at work, so that each starts as soon as it may.
+   * A check has two steps. Advice is requested for the first step while the check is being written,
+   * and for the second while the first is running, so that each step starts as soon as it is ready.
    */
   @Test
   void adviceIsRequestedBeforeEachStepIsReady() {
@@ -96,7 +96,9 @@
     assertThat(fixture.starts.get(2).ticket()).isEqualTo("second");
   }
 
-  /** Tickets would expire before a long step is done, and the question would be asked twice. */
+  /**
+   * If it were, tickets would expire before a long step ends, and a second request would follow.
+   */
   @Test
   void adviceIsNotRequestedSoEarlyThatTicketsExpire() {
     fixture.addWorker("w");
@@ -125,9 +127,9 @@
     assertThat(fixture.adviceRequests).hasSize(1);
   }
 
-  private void answer(int question, Map<String, String> tickets) {
-    CellFixture.AdviceRequest asked = fixture.adviceRequests.get(question);
-    fixture.cell.adviceAnswered(asked.step(), asked.workers(), tickets, 2_500, fixture.now);
+  private void answer(int request, Map<String, String> tickets) {
+    CellFixture.AdviceRequest pending = fixture.adviceRequests.get(request);
+    fixture.cell.adviceAnswered(pending.step(), pending.workers(), tickets, 2_500, fixture.now);
     fixture.pass();
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
@@ -9,7 +9,10 @@
 import org.hickorypier.core.submission.QueueTerms;
 import org.junit.jupiter.api.Test;
 
-/** A full cell: a backlog that is beyond hope, a customer's flood, urgent checks, wide gangs. */
+/**
+ * Checks the order in a full cell with a backlog that is too late to be of use, excess submissions
+ * of one customer, urgent checks and wide gangs.
+ */
 class UrgencyOrderTest {
 
   private static StepRun waitingStep(String id, int priority, long acceptedAt, boolean beyond) {
@@ -21,8 +24,8 @@
   }
 
   /**
-   * A check of 0.6 s is estimated at 0.07 s. By the estimate it is beyond hope before it is due; by
-   * what such checks have taken it is in time, and comes before the batches.
+   * A check of 0.6 s is estimated at 0.07 s. By the estimate it is too late to be of use before it
+   * is due; by the learned duration of such checks it is in time, and precedes the batches.
    */
   @Test
   void learnedDurationOverridesTooLowEstimate() {
@@ -49,7 +52,7 @@
     StepRun late = waitingStep("late", 1, now - 2_000, false);
     assertThat(UrgencyOrder.sorted(List.of(late, lost), new LearnedWork(), now))
         .containsExactly(lost, late);
-    // A successor does not know when it was lost.
+    // A new owner does not know when the run was lost.
     lost.tasks[0].waitingSince = 0;
     StepRun inTime = waitingStep("in time", 1, now - 100, false);
     assertThat(UrgencyOrder.sorted(List.of(inTime, lost), new LearnedWork(), now))
@@ -59,15 +62,15 @@
   @Test
   void urgentWorkIsPlacedFirstAndUselessWorkLast() {
     long now = 100_000;
-    StepRun hopeless = waitingStep("hopeless", 0, now - 20_000, false);
+    StepRun useless = waitingStep("hopeless", 0, now - 20_000, false);
     StepRun late = waitingStep("late", 0, now - 2_000, false);
     StepRun urgent = waitingStep("urgent", 0, now - 100, false);
     StepRun usual = waitingStep("usual", 1, now - 500, false);
-    StepRun flood = waitingStep("flood", 0, now - 50, true);
+    StepRun excess = waitingStep("flood", 0, now - 50, true);
 
     assertThat(
             UrgencyOrder.sorted(
-                List.of(hopeless, late, flood, usual, urgent), new LearnedWork(), now))
-        .containsExactly(urgent, late, usual, flood, hopeless);
+                List.of(useless, late, excess, usual, urgent), new LearnedWork(), now))
+        .containsExactly(urgent, late, usual, excess, useless);
   }
 }
