--- a/core/src/main/java/org/hickorypier/core/cell/Archive.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Archive.java
@@ -7,9 +7,10 @@
 import org.hickorypier.core.submission.SubmissionCodec;
 
 /**
- * Moves submissions that have ended to their short form, and forgets them after their time.
+ * Converts ended submissions to their archived form, and deletes that after the retention time.
  *
- * <p>Invariant: what leaves is durable and shown. Belongs to the control thread.
+ * <p>Invariant: a submission is archived only once its end state is durable and visible. Confined
+ * to the control thread.
  */
 final class Archive {
 
@@ -20,23 +21,23 @@
   }
 
   void tick(long wallMillis) {
-    List<Submission> settled = new ArrayList<>();
+    List<Submission> archivable = new ArrayList<>();
     for (Submission submission : cell.submissions.values()) {
       if (submission.state.isTerminal() && submission.endedAtMillis == 0) {
         submission.endedAtMillis = wallMillis;
-        cell.changed(submission);
-      } else if (submission.state.isTerminal() && submission.shown == submission.state) {
-        settled.add(submission);
+        cell.recordChange(submission);
+      } else if (submission.state.isTerminal() && submission.visibleState == submission.state) {
+        archivable.add(submission);
       }
     }
-    settled.forEach(this::shorten);
-    forgetOld(wallMillis);
+    archivable.forEach(this::archive);
+    removeExpired(wallMillis);
   }
 
-  private void shorten(Submission submission) {
+  private void archive(Submission submission) {
     String id = submission.spec().id();
     cell.submissions.remove(id);
-    cell.ended.put(
+    cell.endedSubmissions.put(
         id,
         new EndedSubmission(
             submission.spec().customer(),
@@ -45,11 +46,12 @@
             SubmissionCodec.encode(submission.spec())));
   }
 
-  private void forgetOld(long wallMillis) {
-    Iterator<Map.Entry<String, EndedSubmission>> ended = cell.ended.entrySet().iterator();
+  private void removeExpired(long wallMillis) {
+    Iterator<Map.Entry<String, EndedSubmission>> ended =
+        cell.endedSubmissions.entrySet().iterator();
     while (ended.hasNext()) {
       Map.Entry<String, EndedSubmission> next = ended.next();
-      if (wallMillis - next.getValue().endedAtMillis() > cell.terms.stateKeptMillis()) {
+      if (wallMillis - next.getValue().endedAtMillis() > cell.timings.endStateRetentionMillis()) {
         ended.remove();
         cell.output.drop(next.getKey());
       }
--- a/core/src/main/java/org/hickorypier/core/cell/Cell.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Cell.java
@@ -10,43 +10,47 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * All that one owner decides: it takes submissions, places their tasks, follows their runs and
- * answers for their state.
+ * The scheduling state of a cell at its owner: accepts submissions, places their tasks, tracks
+ * their runs and reports their state.
  *
- * <p>Invariants: no start before the submission is durable; no start on a worker before it has
- * answered under this owner's token; an end is acknowledged to a worker only once its effect is
- * durable; an end state is shown only once it is durable. Belongs to the control thread.
+ * <p>Invariants: no run starts before its submission is durable; no run starts on a worker that has
+ * not answered under this owner's fencing token; the end of a run is acknowledged to its worker
+ * only once its effect is durable; an end state is visible only once it is durable. Confined to the
+ * control thread.
  */
 public final class Cell {
 
   private static final String PART = "cell";
 
-  /** More runs of one task than any owner orders: each is seconds long, an epoch some minutes. */
-  private static final int RUNS_PER_EPOCH = 1_000;
+  /**
+   * Exceeds the number of runs of one task that an owner orders: a run takes seconds, an epoch some
+   * minutes.
+   */
+  private static final int MAX_RUNS_PER_EPOCH = 1_000;
 
   private final CellState state;
   private final RunController runs;
   private final WorkerReportHandler reports;
   private final WorkerRegistry workers;
-  private final Turns turns;
+  private final ReadySteps readySteps;
   private final Archive archive;
-  private final Dispatch dispatch;
-  private final UpcomingSteps upcoming;
-  private final WaitLog waits;
+  private final Dispatcher dispatcher;
+  private final UpcomingSteps upcomingSteps;
+  private final LongWaitLogger longWaitLogger;
   private boolean rosterRestored;
-  private final Map<String, ShareMeter> shares = new HashMap<>();
+  private final Map<String, ShareTokenBucket> shareBuckets = new HashMap<>();
 
   /**
    * Creates an empty cell.
    *
-   * @param terms the figures to work with
-   * @param output takes the orders
-   * @param log takes the events
+   * @param timings the time limits of the cell
+   * @param output receives the orders
+   * @param log receives the events
    * @param epoch the owner's epoch, from 1
-   * @param now the owner's steady clock, in milliseconds
+   * @param now the owner's monotonic clock, in milliseconds
    */
-  public Cell(CellTerms terms, CellOutput output, EventLog log, int epoch, long now) {
-    this.state = new CellState(terms, output, log, epoch, now);
+  public Cell(CellTimings timings, CellOutput output, EventLog log, int epoch, long now) {
+    this.state = new CellState(timings, output, log, epoch, now);
     this.runs = new RunController(state);
     RunAdoption adoption = new RunAdoption(state, runs);
     this.reports =
@@ -57,97 +61,98 @@
             new StragglerDetector(state, runs),
             adoption);
     this.workers = new WorkerRegistry(state, runs, adoption);
-    this.turns = new Turns(state);
+    this.readySteps = new ReadySteps(state);
     this.archive = new Archive(state);
-    this.upcoming = new UpcomingSteps(state);
-    this.dispatch = new Dispatch(state, runs, upcoming);
-    this.waits = new WaitLog(state);
+    this.upcomingSteps = new UpcomingSteps(state);
+    this.dispatcher = new Dispatcher(state, runs, upcomingSteps);
+    this.longWaitLogger = new LongWaitLogger(state);
   }
 
   /**
-   * Takes the customers of a configuration.
+   * Replaces the customers by those of a configuration.
    *
    * @param customers all customers
    */
-  public void configure(Collection<CustomerTerms> customers) {
+  public void configure(Collection<CustomerLimits> customers) {
     state.usage.configure(customers);
     state.dirty = true;
   }
 
   /**
-   * Takes a submission, or finds the one that is there.
+   * Accepts a submission, or returns the existing one with its id.
    *
-   * @param spec what the caller handed in
+   * @param spec the specification from the caller
    * @param now the time
    * @return the submission, which may be acknowledged once it is durable; null if it has ended
    */
   public Submission accept(SubmissionSpec spec, long now) {
     Submission known = state.submissions.get(spec.id());
-    if (known != null || state.ended.containsKey(spec.id())) {
+    if (known != null || state.endedSubmissions.containsKey(spec.id())) {
       return known;
     }
-    Submission submission = new Submission(spec, state.nextNumber(), now, 1);
-    CustomerTerms customer = state.usage.terms(spec.customer());
-    submission.beyondShare =
+    Submission submission = new Submission(spec, state.nextSubmissionNumber(), now, 1);
+    CustomerLimits customer = state.usage.limits(spec.customer());
+    submission.exceedsShare =
         customer != null
-            && !shares
-                .computeIfAbsent(spec.customer(), name -> new ShareMeter(now))
-                .within(customer.weight(), now);
+            && !shareBuckets
+                .computeIfAbsent(spec.customer(), name -> new ShareTokenBucket(now))
+                .tryTake(customer.weight(), now);
     state.submissions.put(spec.id(), submission);
-    state.reserve.seen(spec.queue().service(), spec.queue().priority());
-    state.changed(submission);
-    upcoming.accepted(submission);
+    state.reserve.recordPriority(spec.queue().service(), spec.queue().priority());
+    state.recordChange(submission);
+    upcomingSteps.addFirstSteps(submission);
     state.dirty = true;
     return submission;
   }
 
   /**
-   * Takes a submission of an earlier owner.
+   * Restores a submission of an earlier owner.
    *
-   * @param spec what the caller handed in
-   * @param number the number under which that owner took it, or 0
-   * @param progress what was written of it last
+   * @param spec the specification from the caller
+   * @param number the sequence number that its owner assigned, or 0
+   * @param progress the progress that was stored last
    * @param now the time
-   * @param wallMillis the time of day, milliseconds since 1970
+   * @param wallMillis the wall-clock time, milliseconds since 1970
+   * @throws IllegalStateException if the roster was restored before
    */
   public void restore(
       SubmissionSpec spec, long number, SubmissionProgress progress, long now, long wallMillis) {
     if (rosterRestored) {
-      throw new IllegalStateException("the roster names runs of submissions restored before it");
+      throw new IllegalStateException("submissions must be restored before the roster");
     }
-    // Numbers below the range of this epoch may have been used by a run that nobody knows of.
-    int firstRun = RUNS_PER_EPOCH * (state.epoch - 1) + 1;
+    // An unknown run of an earlier epoch may have used any number below the range of this epoch.
+    int firstRunNumber = MAX_RUNS_PER_EPOCH * (state.epoch - 1) + 1;
     long age = Math.max(0, wallMillis - spec.acceptedAtMillis());
-    Submission submission = new Submission(spec, number, now - age, firstRun);
+    Submission submission = new Submission(spec, number, now - age, firstRunNumber);
     submission.restore(progress);
     state.submissions.put(spec.id(), submission);
-    state.reserve.seen(spec.queue().service(), spec.queue().priority());
-    state.newlyDone = true;
+    state.reserve.recordPriority(spec.queue().service(), spec.queue().priority());
+    state.stepsMayBeReady = true;
   }
 
   /**
-   * Takes a submission of an earlier owner that has ended.
+   * Restores an ended submission of an earlier owner.
    *
    * @param id its id
-   * @param past what is kept of it
+   * @param past its archived form
    */
   public void restoreEnded(String id, EndedSubmission past) {
-    state.ended.put(id, past);
+    state.endedSubmissions.put(id, past);
   }
 
   /**
-   * Notes that a submission was written as it was at some version.
+   * Records that a version of a submission is durable.
    *
    * @param submission the submission
    * @param version the version that was written
    */
-  public void durable(Submission submission, long version) {
+  public void markDurable(Submission submission, long version) {
     if (!submission.durable) {
       submission.durable = true;
-      state.newlyDone = true;
+      state.stepsMayBeReady = true;
     }
     if (version == submission.version() && submission.state.isTerminal()) {
-      submission.shown = submission.state;
+      submission.visibleState = submission.state;
     }
   }
 
@@ -162,23 +167,24 @@
   }
 
   /**
-   * Explains where a submission stands, for operators.
+   * Explains the state of a submission for operators.
    *
    * @param id its id
    * @param now the time
-   * @return one line a step, or one that says that it is not known
+   * @return a line for the submission and one for each step; a single line if it is unknown or has
+   *     ended
    */
   public List<String> explain(String id, long now) {
     Submission submission = state.submissions.get(id);
     if (submission != null) {
       return new Explanation(state, submission, now).lines();
     }
-    EndedSubmission past = state.ended.get(id);
+    EndedSubmission past = state.endedSubmissions.get(id);
     return List.of(id + (past == null ? " is not known" : " has ended: " + past.state()));
   }
 
   /**
-   * Returns how many submissions have not ended yet.
+   * Returns the number of submissions that are not archived.
    *
    * @return the number
    */
@@ -187,7 +193,7 @@
   }
 
   /**
-   * Tells what callers may know of a submission.
+   * Returns what callers may be told about a submission.
    *
    * @param id its id
    * @return the status, or null if there is none
@@ -196,20 +202,20 @@
     Submission submission = state.submissions.get(id);
     if (submission != null) {
       return new SubmissionStatus(
-          submission.spec().customer(), submission.shown, submission.durable);
+          submission.spec().customer(), submission.visibleState, submission.durable);
     }
-    EndedSubmission past = state.ended.get(id);
+    EndedSubmission past = state.endedSubmissions.get(id);
     return past == null ? null : new SubmissionStatus(past.customer(), past.state(), true);
   }
 
   /**
-   * Cancels a submission, unless it has ended; to be acknowledged once it is durable.
+   * Cancels a submission unless it has ended. The caller acknowledges it once it is durable.
    *
    * @param submission the submission
    * @param now the time
    */
   public void cancel(Submission submission, long now) {
-    if (submission.live()) {
+    if (submission.isLive()) {
       submission.state = SubmissionState.CANCELLED;
       state.log.event(
           PART,
@@ -219,17 +225,17 @@
           "customer",
           submission.spec().customer());
       runs.stopSubmission(submission, now);
-      state.changed(submission);
+      state.recordChange(submission);
     }
   }
 
   /**
-   * Counts a queue's accepted submissions of which no task has started.
+   * Counts the durable submissions of a queue of which no task has started.
    *
    * @param queue the queue's name
    * @return their number
    */
-  public int waiting(String queue) {
+  public int countWaiting(String queue) {
     int waiting = 0;
     for (Submission submission : state.submissions.values()) {
       if (submission.durable
@@ -242,9 +248,9 @@
   }
 
   /**
-   * Takes the roster that an earlier owner wrote, after all its submissions.
+   * Restores an earlier owner's roster, after all its submissions.
    *
-   * @param entries the workers that may hold runs
+   * @param entries the workers that may hold runs of that owner
    */
   public void restoreRoster(Collection<RosterEntry> entries) {
     rosterRestored = true;
@@ -252,20 +258,20 @@
   }
 
   /**
-   * Returns what may still run on the workers; for an owner that orders and renews nothing any
-   * more.
+   * Returns what may still run on the workers, for an owner that no longer orders starts or renews
+   * leases.
    *
    * @param now the time
-   * @return the workers on which something may run, with the time left of their leases
+   * @return the workers that may hold runs, with the remaining time of their leases
    */
   public List<RosterEntry> finalRoster(long now) {
     return workers.finalRoster(now);
   }
 
   /**
-   * Takes the final roster of the owner before this one.
+   * Applies the final roster of the previous owner.
    *
-   * @param entries the workers on which something of that owner may run; on no other does it
+   * @param entries the only workers that may hold runs of that owner
    * @param now the time
    */
   public void formerOwnerEnded(Collection<RosterEntry> entries, long now) {
@@ -273,22 +279,22 @@
   }
 
   /**
-   * Takes the list of workers as the platform tells it.
+   * Applies the worker list of the platform.
    *
    * @param entries all listed workers, by id
    * @param now the time
    */
-  public void listed(Map<String, WorkerEntry> entries, long now) {
+  public void workersListed(Map<String, WorkerEntry> entries, long now) {
     workers.handleListed(entries, now);
   }
 
   /**
-   * Takes notice of workers that have left, so that nothing runs there any more.
+   * Records that workers have left the cell, so that none of their runs is active any more.
    *
    * @param ids the workers
    * @param now the time
    */
-  public void departed(Collection<String> ids, long now) {
+  public void workersDeparted(Collection<String> ids, long now) {
     workers.handleDepartures(ids, now);
   }
 
@@ -296,9 +302,9 @@
    * Tells whether a worker is listed or may still hold runs.
    *
    * @param worker the worker
-   * @return false once it is forgotten
+   * @return false once it is removed
    */
-  public boolean knows(WorkerView worker) {
+  public boolean isKnown(WorkerView worker) {
     return state.workers.get(worker.id()) == worker;
   }
 
@@ -312,34 +318,34 @@
   }
 
   /**
-   * Takes a worker's answer to a renewal.
+   * Applies a worker's answer to a lease renewal.
    *
    * @param worker the worker
    * @param report the answer
    * @param sentAt when the renewal was sent
    * @param now the time
    */
-  public void held(WorkerView worker, RenewalReport report, long sentAt, long now) {
-    if (knows(worker)) {
+  public void renewalAnswered(WorkerView worker, RenewalReport report, long sentAt, long now) {
+    if (isKnown(worker)) {
       reports.handleReport(worker, report, sentAt, now);
     }
   }
 
   /**
-   * Notes that a renewal had no answer in time.
+   * Records that a lease renewal was not answered in time.
    *
    * @param worker the worker
    * @param now the time
    */
-  public void holdUnanswered(WorkerView worker, long now) {
+  public void renewalUnanswered(WorkerView worker, long now) {
     workers.handleMissingAnswer(worker, now);
   }
 
   /**
-   * Takes the outcome of an order to start.
+   * Applies the outcome of a start order.
    *
    * @param run the run
-   * @param outcome what became of the order
+   * @param outcome the outcome of the order
    * @param now the time
    */
   public void startAnswered(Run run, StartOutcome outcome, long now) {
@@ -347,7 +353,7 @@
   }
 
   /**
-   * Notes that a worker has taken an order to stop.
+   * Records that a worker has confirmed a stop order.
    *
    * @param worker the worker
    * @param run the run
@@ -358,12 +364,12 @@
   }
 
   /**
-   * Takes the advisor's answer.
+   * Applies an answer of the advisor.
    *
    * @param step the step
-   * @param named the workers that were named
-   * @param tickets the tickets of the suitable ones, by worker
-   * @param validMillis how long the tickets are valid, in milliseconds
+   * @param named the workers named in the request
+   * @param tickets the tickets of the suitable workers, by worker id
+   * @param validMillis validity of the tickets, in milliseconds
    * @param now the time
    */
   public void adviceAnswered(
@@ -372,48 +378,48 @@
       Map<String, String> tickets,
       long validMillis,
       long now) {
-    dispatch.adviceAnswered(step, named, tickets, validMillis, now);
+    dispatcher.adviceAnswered(step, named, tickets, validMillis, now);
   }
 
   /**
-   * Notes that the advisor gave no answer.
+   * Records that the advisor did not answer.
    *
    * @param step the step
    * @param now the time
    */
   public void adviceFailed(StepRun step, long now) {
-    dispatch.adviceFailed(step, now);
+    dispatcher.adviceFailed(step, now);
   }
 
   /**
-   * Tells whether a pass over the waiting steps may start something.
+   * Tells whether a scheduling pass may start a task.
    *
-   * @return true after a change
+   * @return true after a change of state that may let a task start
    */
-  public boolean wantsPass() {
-    return state.dirty || state.newlyDone;
+  public boolean needsPass() {
+    return state.dirty || state.stepsMayBeReady;
   }
 
   /**
-   * Places what can be placed.
+   * Runs a scheduling pass: places the waiting tasks that can start.
    *
    * @param now the time
-   * @param wallMillis the time of day, milliseconds since 1970
+   * @param wallMillis the wall-clock time, milliseconds since 1970
    */
   public void pass(long now, long wallMillis) {
-    if (state.newlyDone) {
-      state.newlyDone = false;
-      turns.open(wallMillis);
+    if (state.stepsMayBeReady) {
+      state.stepsMayBeReady = false;
+      readySteps.addReadySteps(wallMillis);
     }
     state.dirty = false;
-    dispatch.pass(now);
+    dispatcher.pass(now);
   }
 
   /**
-   * Does what is due by time alone.
+   * Performs the periodic work.
    *
    * @param now the time
-   * @param wallMillis the time of day, milliseconds since 1970
+   * @param wallMillis the wall-clock time, milliseconds since 1970
    */
   public void tick(long now, long wallMillis) {
     workers.tick(now);
@@ -421,9 +427,9 @@
     runs.resendStops(now);
     runs.stopUnconfirmedGangs(now);
     archive.tick(wallMillis);
-    state.newlyDone |= turns.anyScheduled();
-    upcoming.look(now);
-    waits.look(now);
-    state.dirty |= !state.open.isEmpty() || !upcoming.soon().isEmpty();
+    state.stepsMayBeReady |= readySteps.hasScheduledSubmissions();
+    upcomingSteps.addUpcomingSteps(now);
+    longWaitLogger.logLongWaits(now);
+    state.dirty |= !state.readySteps.isEmpty() || !upcomingSteps.upcoming().isEmpty();
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/CellState.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellState.java
@@ -16,108 +16,111 @@
 import org.hickorypier.core.submission.SubmissionSpec;
 import org.hickorypier.wire.UndecodableException;
 
-/** What the parts of a cell share. Belongs to the control thread. */
+/** State that the components of a cell share. Confined to the control thread. */
 final class CellState {
 
   private static final String RUN_PART = "run";
 
-  /** More submissions than any owner takes; so numbers rise from one owner to the next. */
-  private static final long NUMBERS_PER_EPOCH = 1L << 32;
+  /** Exceeds the submissions that an owner accepts, so numbers increase from owner to owner. */
+  private static final long MAX_SUBMISSIONS_PER_EPOCH = 1L << 32;
 
-  final CellTerms terms;
+  final CellTimings timings;
   final CellOutput output;
   final EventLog log;
   final int epoch;
-  private long lastNumber;
+  private long lastSubmissionNumber;
   final long takenOverAt;
   final CustomerUsage usage = new CustomerUsage();
-  final RunDurationEstimator learned = new RunDurationEstimator();
-  final WorkerKindSpeedEstimator speeds = new WorkerKindSpeedEstimator();
+  final RunDurationEstimator learnedWork = new RunDurationEstimator();
+  final WorkerKindSpeedEstimator learnedSpeed = new WorkerKindSpeedEstimator();
   final UrgentReserve reserve = new UrgentReserve();
   final Map<String, Submission> submissions = new HashMap<>();
 
-  /** Submissions that have ended, while callers may ask for them. */
-  final Map<String, EndedSubmission> ended = new HashMap<>();
+  /** Ended submissions in their archived form, by id, until their retention time is over. */
+  final Map<String, EndedSubmission> endedSubmissions = new HashMap<>();
 
   final Map<String, WorkerView> workers = new LinkedHashMap<>();
 
-  /** Steps whose turn has come and that have tasks that wait. */
-  final Set<StepRun> open = new LinkedHashSet<>();
+  /** Steps that are due, have no unfinished dependencies, and have waiting tasks. */
+  final Set<StepRun> readySteps = new LinkedHashSet<>();
 
-  /** Something changed that may let a task start. */
+  /** True after a change that may let a task start. */
   boolean dirty = true;
 
-  /** A step has ended, so that others may begin. */
-  boolean newlyDone = true;
+  /** True after a change, such as the end of a step, that may make other steps ready. */
+  boolean stepsMayBeReady = true;
 
-  CellState(CellTerms terms, CellOutput output, EventLog log, int epoch, long now) {
-    this.terms = terms;
+  CellState(CellTimings timings, CellOutput output, EventLog log, int epoch, long now) {
+    this.timings = timings;
     this.output = output;
     this.log = log;
     this.epoch = epoch;
-    this.lastNumber = epoch * NUMBERS_PER_EPOCH;
+    this.lastSubmissionNumber = epoch * MAX_SUBMISSIONS_PER_EPOCH;
     this.takenOverAt = now;
   }
 
-  void changed(Submission submission) {
+  void recordChange(Submission submission) {
     submission.version++;
     output.save(submission);
   }
 
-  /** Tells whether a worker may run what nobody has named. */
-  boolean unresolved(WorkerView worker, long now) {
+  /**
+   * Tells whether a worker may hold runs that this owner does not know: it has not answered under
+   * this owner's token, and the leases of earlier owners may still be valid.
+   */
+  boolean mayHoldUnknownRuns(WorkerView worker, long now) {
     return worker.runsUnknown && !worker.hasAnswered && now < worker.earlierLeasesEnd;
   }
 
-  /** Returns for how long a worker that stays silent may go on running something. */
-  long mayRunMillis(WorkerView worker, long now) {
+  /** Returns how long a worker that stays silent may keep its runs, in milliseconds. */
+  long remainingLeaseMillis(WorkerView worker, long now) {
     return Math.max(0, worker.leaseEnd() - now);
   }
 
-  /** Tells whether a step is of the most urgent work of its service. */
-  boolean urgent(StepRun step) {
+  /** Tells whether a step belongs to the most urgent priority of its service. */
+  boolean isUrgent(StepRun step) {
     QueueTerms queue = step.submission.spec().queue();
-    return reserve.urgent(queue.service(), queue.priority());
+    return reserve.isUrgent(queue.service(), queue.priority());
   }
 
-  long nextNumber() {
-    return ++lastNumber;
+  long nextSubmissionNumber() {
+    return ++lastSubmissionNumber;
   }
 
-  long lastNumber() {
-    return lastNumber;
+  long lastSubmissionNumber() {
+    return lastSubmissionNumber;
   }
 
   /**
-   * Returns the number of the last submission of which a run may be at work that nobody knows of,
-   * or less than any number if there is none.
+   * Returns the number of the last submission that may have an unknown run on some worker, or -1,
+   * which is below all numbers, if there is none.
    */
-  long unresolvedUpTo(long now) {
+  long lastUnresolvedNumber(long now) {
     long last = -1;
     for (WorkerView worker : workers.values()) {
-      if (unresolved(worker, now)) {
+      if (mayHoldUnknownRuns(worker, now)) {
         last = Math.max(last, worker.isOpen() ? Long.MAX_VALUE : worker.closedAfter);
       }
     }
     return last;
   }
 
-  /** Tells whether a submission has to wait, since a run of it may be at work unknown. */
-  boolean waitsForWorkers(Submission submission, long unresolvedUpTo) {
-    return submission.uncertain && submission.number() <= unresolvedUpTo;
+  /** Tells whether a submission must wait, since a worker may hold an unknown run of it. */
+  boolean waitsForUnheardWorkers(Submission submission, long unresolvedUpTo) {
+    return submission.mayHaveUnknownRuns && submission.number() <= unresolvedUpTo;
   }
 
-  Resources unresolvedRoom(long now) {
+  Resources unresolvedCapacity(long now) {
     Resources room = Resources.NONE;
     for (WorkerView worker : workers.values()) {
-      if (unresolved(worker, now)) {
+      if (mayHoldUnknownRuns(worker, now)) {
         room = room.plus(worker.entry().capacity());
       }
     }
     return room;
   }
 
-  List<WorkerView> taking(String service, long now) {
+  List<WorkerView> acceptingWorkers(String service, long now) {
     List<WorkerView> taking = new ArrayList<>();
     for (WorkerView worker : workers.values()) {
       if (worker.entry().service().equals(service) && worker.acceptsOrders(now)) {
@@ -128,16 +131,16 @@
   }
 
   /**
-   * Returns what a task needs, also if its submission has ended: a run of it that is still on a
-   * worker takes room there until it is stopped.
+   * Returns the resources of a task, also if its submission has ended: a run that is still on a
+   * worker uses them until it is stopped.
    */
-  Resources sizeOf(TaskName task) {
+  Resources resourcesOf(TaskName task) {
     Submission submission = submissions.get(task.submission());
     if (submission != null) {
       Task known = submission.task(task);
       return known == null ? Resources.NONE : known.step.spec.reservedResources();
     }
-    EndedSubmission past = ended.get(task.submission());
+    EndedSubmission past = endedSubmissions.get(task.submission());
     if (past == null) {
       return Resources.NONE;
     }
@@ -157,44 +160,44 @@
     if (submission != null) {
       return submission.spec().customer();
     }
-    EndedSubmission past = ended.get(id);
+    EndedSubmission past = endedSubmissions.get(id);
     return past == null ? "" : past.customer();
   }
 
-  /** Tells of one run. */
+  /** Logs an event of a run. */
   void runEvent(String event, RunKey run, WorkerView worker, Object... more) {
     Object[] named = {
       "id",
       run.task().submission(),
       "task",
-      text(run.task()),
+      taskPath(run.task()),
       "run",
       run.number(),
       "worker",
       worker.id()
     };
-    log.event(RUN_PART, event, joined(named, more));
+    log.event(RUN_PART, event, concat(named, more));
   }
 
-  /** Tells of a submission. */
+  /** Logs an event of a submission. */
   void submissionEvent(String event, Submission submission, Object... more) {
     SubmissionSpec spec = submission.spec();
     Object[] named = {"id", spec.id(), "customer", spec.customer(), "queue", spec.queue().name()};
-    log.event(RUN_PART, event, joined(named, more));
+    log.event(RUN_PART, event, concat(named, more));
   }
 
-  /** Tells of a worker. */
+  /** Logs an event of a worker. */
   void workerEvent(String event, WorkerView worker, Object... more) {
-    log.event(RUN_PART, event, joined(new Object[] {"worker", worker.id()}, more));
+    log.event(RUN_PART, event, concat(new Object[] {"worker", worker.id()}, more));
   }
 
-  private static Object[] joined(Object[] first, Object[] second) {
+  private static Object[] concat(Object[] first, Object[] second) {
     Object[] all = Arrays.copyOf(first, first.length + second.length);
     System.arraycopy(second, 0, all, first.length, second.length);
     return all;
   }
 
-  static String text(TaskName task) {
+  static String taskPath(TaskName task) {
     return task.occurrence() + "." + task.step() + "." + task.index();
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/CustomerUsage.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CustomerUsage.java
@@ -5,37 +5,38 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * What each customer has running, against its limit.
+ * Tracks the resources that each customer uses, and checks them against its limit.
  *
- * <p>What is being stopped, and orders of unknown fate, count. Belongs to the control thread.
+ * <p>Runs that are being stopped and start orders with an unknown outcome count as used. Confined
+ * to the control thread.
  */
 final class CustomerUsage {
 
   private final Map<String, long[]> used = new HashMap<>();
-  private final Map<String, CustomerTerms> terms = new HashMap<>();
-  private Resources unheard = Resources.NONE;
+  private final Map<String, CustomerLimits> limits = new HashMap<>();
+  private Resources unresolvedCapacity = Resources.NONE;
 
-  /** Before the first configuration nobody's limit is known. */
+  /** False before the first configuration, while no customer's limit is known. */
   private boolean configured;
 
-  void configure(Iterable<CustomerTerms> customers) {
+  void configure(Iterable<CustomerLimits> customers) {
     configured = true;
-    terms.clear();
-    for (CustomerTerms customer : customers) {
-      terms.put(customer.name(), customer);
+    limits.clear();
+    for (CustomerLimits customer : customers) {
+      limits.put(customer.name(), customer);
     }
   }
 
-  CustomerTerms terms(String customer) {
-    return terms.get(customer);
+  CustomerLimits limits(String customer) {
+    return limits.get(customer);
   }
 
   /**
-   * Sets the room of workers that may run what nobody knows of. Any of it may belong to any
-   * customer, so all of it counts against each.
+   * Sets the capacity of workers that may hold unknown runs. Any customer may own these runs, so
+   * the whole capacity counts against each customer's limit.
    */
-  void unheard(Resources room) {
-    unheard = room;
+  void setUnresolvedCapacity(Resources capacity) {
+    unresolvedCapacity = capacity;
   }
 
   void add(String customer, Resources size, int sign) {
@@ -45,33 +46,39 @@
     sums[2] += (long) sign * size.accelerators();
   }
 
-  boolean configured() {
+  boolean isConfigured() {
     return configured;
   }
 
-  /** Tells whether so many more tasks of a size stay within the customer's limit. */
+  /**
+   * Tells whether so many more tasks of a size stay within the customer's limit; false before the
+   * first configuration.
+   */
   boolean allows(String customer, Resources size, int count) {
     if (!configured) {
       return false;
     }
-    CustomerTerms customerTerms = terms.get(customer);
+    CustomerLimits customerTerms = limits.get(customer);
     if (customerTerms == null) {
       return true;
     }
     long[] sums = used.computeIfAbsent(customer, name -> new long[3]);
     Resources limit = customerTerms.limit();
     return within(
-            sums[0] + unheard.milliProcessors(),
+            sums[0] + unresolvedCapacity.milliProcessors(),
             size.milliProcessors(),
             count,
             limit.milliProcessors())
         && within(
-            sums[1] + unheard.memoryMebibytes(),
+            sums[1] + unresolvedCapacity.memoryMebibytes(),
             size.memoryMebibytes(),
             count,
             limit.memoryMebibytes())
         && within(
-            sums[2] + unheard.accelerators(), size.accelerators(), count, limit.accelerators());
+            sums[2] + unresolvedCapacity.accelerators(),
+            size.accelerators(),
+            count,
+            limit.accelerators());
   }
 
   private static boolean within(long sum, long each, int count, long limit) {
--- /dev/null
+++ b/core/src/main/java/org/hickorypier/core/cell/Dispatcher.java
@@ -0,0 +1,273 @@
+package org.hickorypier.core.cell;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.hickorypier.core.model.Resources;
+import org.hickorypier.core.submission.QueueTerms;
+
+/**
+ * Places waiting tasks on workers and requests the advice that their placement needs.
+ *
+ * <p>Confined to the control thread.
+ */
+final class Dispatcher {
+
+  /**
+   * Bounds the time of a request, which grows with each worker named; so many workers are enough to
+   * find a good set for a wide gang.
+   */
+  private static final int MAX_WORKERS_PER_REQUEST = 40;
+
+  /** Timeout of an advice request. */
+  private static final long ADVICE_TIMEOUT_MILLIS = 4_000;
+
+  /** Delay before the next request after one that failed or yielded no ticket. */
+  private static final long ADVICE_RETRY_MILLIS = 500;
+
+  private final CellState cell;
+  private final RunController runs;
+  private final UpcomingSteps upcomingSteps;
+
+  Dispatcher(CellState cell, RunController runs, UpcomingSteps upcoming) {
+    this.cell = cell;
+    this.runs = runs;
+    this.upcomingSteps = upcoming;
+  }
+
+  void pass(long now) {
+    for (WorkerView worker : cell.workers.values()) {
+      worker.kindFactor = cell.learnedSpeed.factor(worker.entry().kind());
+    }
+    long unresolvedUpTo = cell.lastUnresolvedNumber(now);
+    cell.usage.setUnresolvedCapacity(cell.unresolvedCapacity(now));
+    Map<String, List<WorkerView>> workersByService = new HashMap<>();
+    for (StepRun step : UrgencyOrder.sorted(cell.readySteps, cell.learnedWork, now)) {
+      if (!step.submission.isLive() || !step.hasWaitingTasks()) {
+        releaseClaim(step);
+        cell.readySteps.remove(step);
+      } else if (!cell.waitsForUnheardWorkers(step.submission, unresolvedUpTo)) {
+        String service = step.submission.spec().queue().service();
+        placeStep(
+            step,
+            workersByService.computeIfAbsent(service, name -> cell.acceptingWorkers(name, now)),
+            now);
+      }
+    }
+    for (StepRun step : upcomingSteps.upcoming()) {
+      String service = step.submission.spec().queue().service();
+      requestAdviceAhead(
+          step,
+          workersByService.computeIfAbsent(service, name -> cell.acceptingWorkers(name, now)),
+          now);
+    }
+  }
+
+  private static boolean isRequestPending(StepAdvice advice, long now) {
+    return advice.requestedAt > 0 && now < advice.requestedAt + ADVICE_TIMEOUT_MILLIS;
+  }
+
+  private static boolean hasValidTicket(StepAdvice advice, List<WorkerView> workers, long now) {
+    return workers.stream().anyMatch(worker -> advice.validTicket(worker, now) != null);
+  }
+
+  /** Requests advice for a step that is about to become ready, without claiming room for it. */
+  private void requestAdviceAhead(StepRun step, List<WorkerView> workers, long now) {
+    StepAdvice advice = step.advice;
+    if (isRequestPending(advice, now)
+        || now < advice.nextRequestAt
+        || hasValidTicket(advice, workers, now)) {
+      return;
+    }
+    step.urgent = true;
+    List<WorkerView> named = unratedWorkersWithRoom(step, step.tasks.length, workers);
+    if (!named.isEmpty() && cell.output.advise(step, named)) {
+      advice.requestedAt = now;
+    }
+  }
+
+  private void placeStep(StepRun step, List<WorkerView> workers, long now) {
+    step.urgent = cell.isUrgent(step);
+    List<Task> tasks = startableTasks(step, workers);
+    if (tasks.isEmpty()) {
+      return;
+    }
+    final StepReservation claim = step.claim;
+    releaseClaim(step);
+    StepAdvice advice = step.advice;
+    Map<Task, WorkerView> chosen =
+        Placer.choose(
+            step,
+            tasks,
+            workers,
+            worker -> advice == null || advice.validTicket(worker, now) != null,
+            now);
+    startTasks(step, chosen, now);
+    if (advice == null || chosen.size() == tasks.size()) {
+      return;
+    }
+    if (isRequestPending(advice, now)) {
+      if (claim != null && now < claim.until()) {
+        claim(step, claim);
+      }
+      return;
+    }
+    if (now >= advice.nextRequestAt) {
+      requestAdvice(step, startableTasks(step, workers), workers, now);
+    }
+  }
+
+  /** Returns the waiting tasks that fit the customer's limit and leave the urgent reserve free. */
+  private List<Task> startableTasks(StepRun step, List<WorkerView> workers) {
+    List<Task> waiting = new ArrayList<>();
+    if (step.isGang() && !step.allTasksWaiting()) {
+      return waiting;
+    }
+    String customer = step.submission.spec().customer();
+    Resources each = step.spec.taskResources();
+    long free = unreservedMilliProcessors(cell, step, workers);
+    for (Task task : step.tasks) {
+      int count = waiting.size() + 1;
+      if (task.isWaiting()
+          && count * each.milliProcessors() <= free
+          && cell.usage.allows(customer, each, count)) {
+        waiting.add(task);
+      }
+    }
+    if (step.isGang() && waiting.size() < step.tasks.length) {
+      return new ArrayList<>();
+    }
+    return waiting;
+  }
+
+  /** Tells whether the reserve for urgent work leaves no room for even one task of a step. */
+  static boolean isBlockedByReserve(CellState cell, StepRun step, List<WorkerView> workers) {
+    return step.spec.taskResources().milliProcessors()
+        > unreservedMilliProcessors(cell, step, workers);
+  }
+
+  private static long unreservedMilliProcessors(
+      CellState cell, StepRun step, List<WorkerView> workers) {
+    QueueTerms queue = step.submission.spec().queue();
+    if (cell.isUrgent(step) || step.spec.flags().opportunistic() || step.isPersistent()) {
+      return Long.MAX_VALUE;
+    }
+    long free = -cell.reserve.reservedMilliProcessors(queue.service());
+    for (WorkerView worker : workers) {
+      free += Math.max(0, worker.freeProcessors());
+    }
+    return free;
+  }
+
+  private void startTasks(StepRun step, Map<Task, WorkerView> chosen, long now) {
+    int gangRun = step.isGang() ? step.nextGangRunNumber() : 0;
+    for (Map.Entry<Task, WorkerView> entry : chosen.entrySet()) {
+      Task task = entry.getKey();
+      int number =
+          step.isGang()
+              ? gangRun
+              : Math.max(step.submission.firstRunNumber(), task.lastRunNumber + 1);
+      String ticket = step.advice == null ? null : step.advice.validTicket(entry.getValue(), now);
+      runs.orderStart(task, entry.getValue(), number, ticket, now);
+    }
+  }
+
+  private void requestAdvice(StepRun step, List<Task> tasks, List<WorkerView> workers, long now) {
+    StepAdvice advice = step.advice;
+    if (tasks.isEmpty()) {
+      return;
+    }
+    Map<Task, WorkerView> planned =
+        advice.hasSuitableWorkers()
+            ? Placer.choose(step, tasks, workers, advice::isSuitable, now)
+            : Map.of();
+    if (!planned.isEmpty()) {
+      Set<WorkerView> named = new LinkedHashSet<>(planned.values());
+      if (cell.output.advise(step, List.copyOf(named))) {
+        advice.requestedAt = now;
+        claimRoom(step, planned, now);
+      }
+      return;
+    }
+    List<WorkerView> unrated = unratedWorkersWithRoom(step, tasks.size(), workers);
+    if (!unrated.isEmpty() && cell.output.advise(step, unrated)) {
+      advice.requestedAt = now;
+    }
+  }
+
+  /**
+   * Returns the workers that the advisor has not rated yet, fastest or slowest kind first as the
+   * step prefers; none if they and the suitable workers have too little room for the step.
+   */
+  private List<WorkerView> unratedWorkersWithRoom(
+      StepRun step, int wanted, List<WorkerView> workers) {
+    List<WorkerView> unrated = new ArrayList<>();
+    Map<WorkerView, Integer> slots = new HashMap<>();
+    int room = 0;
+    for (WorkerView worker : workers) {
+      if (Placer.matches(step.spec, worker)) {
+        int free = Placer.freeSlots(step, worker);
+        slots.put(worker, free);
+        if (!step.advice.isRated(worker)) {
+          unrated.add(worker);
+          room += free;
+        } else if (step.advice.isSuitable(worker)) {
+          room += free;
+        }
+      }
+    }
+    int needed = step.isGang() ? wanted : 1;
+    if (room < needed) {
+      return List.of();
+    }
+    unrated.sort(
+        Comparator.comparingDouble((WorkerView worker) -> Placer.speedPenalty(step, worker))
+            .thenComparingInt(worker -> -slots.get(worker)));
+    return unrated.size() <= MAX_WORKERS_PER_REQUEST
+        ? unrated
+        : unrated.subList(0, MAX_WORKERS_PER_REQUEST);
+  }
+
+  private void claimRoom(StepRun step, Map<Task, WorkerView> planned, long now) {
+    Map<WorkerView, Resources> rooms = new HashMap<>();
+    for (WorkerView worker : planned.values()) {
+      rooms.merge(worker, step.spec.taskResources(), Resources::plus);
+    }
+    long call = Math.round(step.advice.terms.callMillis(rooms.size()));
+    claim(step, new StepReservation(rooms, now + 2 * call + ADVICE_RETRY_MILLIS));
+  }
+
+  private void claim(StepRun step, StepReservation claim) {
+    step.claim = claim;
+    claim.rooms().forEach((worker, size) -> worker.reserve(size, 1));
+  }
+
+  private void releaseClaim(StepRun step) {
+    if (step.claim != null) {
+      step.claim.rooms().forEach((worker, size) -> worker.reserve(size, -1));
+      step.claim = null;
+    }
+  }
+
+  void adviceAnswered(
+      StepRun step,
+      List<WorkerView> named,
+      Map<String, String> tickets,
+      long validMillis,
+      long now) {
+    step.advice.recordAnswer(named, tickets, validMillis, now);
+    step.advice.nextRequestAt = tickets.isEmpty() ? now + ADVICE_RETRY_MILLIS : now;
+    cell.dirty = true;
+  }
+
+  void adviceFailed(StepRun step, long now) {
+    step.advice.requestedAt = 0;
+    step.advice.nextRequestAt = now + ADVICE_RETRY_MILLIS;
+    releaseClaim(step);
+    cell.dirty = true;
+  }
+}
--- a/core/src/main/java/org/hickorypier/core/cell/Explanation.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Explanation.java
@@ -4,10 +4,12 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Says where a submission stands and what its tasks wait for. Belongs to the control thread. */
+/**
+ * Describes the state of a submission and what its tasks wait for. Confined to the control thread.
+ */
 final class Explanation {
 
-  private static final int MOST_NAMED_WORKERS = 3;
+  private static final int MAX_LISTED_WORKERS = 3;
 
   private final CellState cell;
   private final Submission submission;
@@ -26,8 +28,8 @@
         id
             + ": "
             + submission.state
-            + ", shown as "
-            + submission.shown
+            + ", visible as "
+            + submission.visibleState
             + ", durable "
             + submission.durable
             + ", customer "
@@ -50,7 +52,7 @@
     line.append(step.occurrence).append('.').append(step.index).append(": ");
     line.append(step.doneCount).append(" of ").append(step.tasks.length).append(" done");
     for (Task task : step.tasks) {
-      Run run = task.current;
+      Run run = task.currentRun;
       if (run != null) {
         line.append("; ").append(task.index).append(" run ").append(run.key.number());
         line.append(" on ").append(run.worker.id());
@@ -59,57 +61,57 @@
         line.append(" ms, ").append(run.percent).append('%');
       }
     }
-    if (!step.done() && step.anyWaiting()) {
-      line.append("; waits for ").append(reason(step));
+    if (!step.isDone() && step.hasWaitingTasks()) {
+      line.append("; waits for ").append(waitReason(step));
     }
     return line.toString();
   }
 
   private String unresolvedWorkers() {
     return cell.workers.values().stream()
-        .filter(worker -> cell.unresolved(worker, now))
-        .limit(MOST_NAMED_WORKERS)
-        .map(worker -> worker.id() + " for " + cell.mayRunMillis(worker, now) + " ms")
+        .filter(worker -> cell.mayHoldUnknownRuns(worker, now))
+        .limit(MAX_LISTED_WORKERS)
+        .map(worker -> worker.id() + " for " + cell.remainingLeaseMillis(worker, now) + " ms")
         .collect(Collectors.joining(", "));
   }
 
-  /** Returns what the waiting tasks of a step wait for. */
-  String reason(StepRun step) {
-    if (!submission.live()) {
+  /** Returns why the waiting tasks of a step do not start, as text for operators. */
+  String waitReason(StepRun step) {
+    if (!submission.isLive()) {
       return "nothing: the submission has ended";
     }
-    if (!cell.open.contains(step)) {
-      return "its turn";
+    if (!cell.readySteps.contains(step)) {
+      return "its turn: an unfinished dependency, a start time or a pending write";
     }
-    if (cell.waitsForWorkers(submission, cell.unresolvedUpTo(now))) {
-      return "workers that may run it already: " + unresolvedWorkers();
+    if (cell.waitsForUnheardWorkers(submission, cell.lastUnresolvedNumber(now))) {
+      return "workers that may already run it: " + unresolvedWorkers();
     }
-    if (!cell.usage.configured()) {
-      return "the configuration, which has the customers' limits";
+    if (!cell.usage.isConfigured()) {
+      return "the configuration with the customers' limits";
     }
     if (!cell.usage.allows(submission.spec().customer(), step.spec.taskResources(), 1)) {
-      return "its customer's limit";
+      return "its customer's resource limit";
     }
-    List<WorkerView> taking = cell.taking(submission.spec().queue().service(), now);
-    int room = 0;
-    int suitable = 0;
-    for (WorkerView worker : taking) {
-      int slots = Placer.matches(step.spec, worker) ? Placer.slots(step, worker) : 0;
-      room += slots;
-      suitable += step.advice == null || step.advice.suitable(worker) ? slots : 0;
+    List<WorkerView> accepting = cell.acceptingWorkers(submission.spec().queue().service(), now);
+    int freeSlots = 0;
+    int suitableSlots = 0;
+    for (WorkerView worker : accepting) {
+      int slots = Placer.matches(step.spec, worker) ? Placer.freeSlots(step, worker) : 0;
+      freeSlots += slots;
+      suitableSlots += step.advice == null || step.advice.isSuitable(worker) ? slots : 0;
     }
-    if (Dispatch.beyondReserve(cell, step, taking)) {
+    if (Dispatcher.isBlockedByReserve(cell, step, accepting)) {
       return "room beside the reserve for urgent work: "
-          + cell.reserve.processors(submission.spec().queue().service())
-          + " thousandths of a core";
+          + cell.reserve.reservedMilliProcessors(submission.spec().queue().service())
+          + " millicores";
     }
     return "room: "
-        + room
-        + " places on "
-        + taking.size()
+        + freeSlots
+        + " free slots on "
+        + accepting.size()
         + " workers, "
-        + suitable
-        + " on suitable ones, asked "
-        + (step.advice != null && step.advice.askedAt > 0);
+        + suitableSlots
+        + " on suitable workers, advice requested "
+        + (step.advice != null && step.advice.requestedAt > 0);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/RosterWriter.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RosterWriter.java
@@ -89,12 +89,14 @@
   List<RosterEntry> finalRoster(long now) {
     List<RosterEntry> entries = new ArrayList<>();
     for (WorkerView worker : cell.workers.values()) {
-      if (!worker.runs.isEmpty() || !worker.unsavedEnds.isEmpty() || cell.unresolved(worker, now)) {
+      if (!worker.runs.isEmpty()
+          || !worker.unsavedEnds.isEmpty()
+          || cell.mayHoldUnknownRuns(worker, now)) {
         entries.add(
             new RosterEntry(
                 worker.entry(),
-                worker.isOpen() ? cell.lastNumber() : worker.closedAfter,
-                cell.mayRunMillis(worker, now),
+                worker.isOpen() ? cell.lastSubmissionNumber() : worker.closedAfter,
+                cell.remainingLeaseMillis(worker, now),
                 possibleRuns(worker, now)));
       }
     }
@@ -115,14 +117,14 @@
       return new RosterEntry(worker.entry(), RosterEntry.OPEN);
     }
     long leaseMillis =
-        worker.isLeaseExpiring(now) ? cell.mayRunMillis(worker, now) : RosterEntry.RENEWED;
+        worker.isLeaseExpiring(now) ? cell.remainingLeaseMillis(worker, now) : RosterEntry.RENEWED;
     Optional<List<RunKey>> listed =
         possibleRuns(worker, now).filter(each -> listedBefore + each.size() <= MAX_LISTED_RUNS);
     return new RosterEntry(worker.entry(), worker.closedAfter, leaseMillis, listed);
   }
 
   private Optional<List<RunKey>> possibleRuns(WorkerView worker, long now) {
-    if (cell.unresolved(worker, now)) {
+    if (cell.mayHoldUnknownRuns(worker, now)) {
       return Optional.empty();
     }
     Set<RunKey> possible = new LinkedHashSet<>(worker.runs.keySet());
--- a/core/src/main/java/org/hickorypier/core/cell/RunController.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunController.java
@@ -57,8 +57,8 @@
     Run run = new Run(new RunKey(task.name(), number), task, worker, size, customer);
     run.orderedAt = now;
     run.resumed = !task.checkpoint.isEmpty();
-    task.current = run;
-    task.lastRun = number;
+    task.currentRun = run;
+    task.lastRunNumber = number;
     occupy(run);
     cell.runEvent(
         "ordered",
@@ -106,7 +106,7 @@
     Submission submission = run.submission();
     if (submission != null && submission.state == SubmissionState.QUEUED) {
       submission.state = SubmissionState.RUNNING;
-      submission.shown = SubmissionState.RUNNING;
+      submission.visibleState = SubmissionState.RUNNING;
       cell.submissionEvent(
           "first-start",
           submission,
@@ -135,7 +135,7 @@
   private void handleRefusal(Run run, StartOutcome outcome, long now) {
     WorkerView worker = run.worker;
     switch (outcome) {
-      case NO_TICKET -> run.task.step.advice.forget(worker);
+      case NO_TICKET -> run.task.step.advice.invalidateTicket(worker);
       case UNHEALTHY, REJECTED -> worker.quarantinedUntil = now + UNHEALTHY_BACKOFF_MILLIS;
       default -> worker.fullUntil = now + NO_ROOM_BACKOFF_MILLIS;
     }
@@ -153,7 +153,7 @@
    */
   void abandon(Run run, long now) {
     stop(run, now);
-    if (run.task != null && run.task.step.gang() && run.task.current == run) {
+    if (run.task != null && run.task.step.isGang() && run.task.currentRun == run) {
       stopStep(run.task.step, now);
     }
   }
@@ -199,7 +199,7 @@
   void stopSubmission(Submission submission, long now) {
     for (StepRun[] steps : submission.occurrences) {
       for (StepRun step : steps) {
-        cell.open.remove(step);
+        cell.readySteps.remove(step);
         stopStep(step, now);
       }
     }
@@ -208,19 +208,19 @@
   /** Stops all runs of a step; a gang with a missing member cannot make progress. */
   private void stopStep(StepRun step, long now) {
     for (Task task : step.tasks) {
-      if (task.current != null) {
-        stop(task.current, now);
+      if (task.currentRun != null) {
+        stop(task.currentRun, now);
       }
     }
   }
 
   void stopUnconfirmedGangs(long now) {
-    long timeoutMillis = cell.terms.gangMillis() / 2;
+    long timeoutMillis = cell.timings.gangMillis() / 2;
     for (WorkerView worker : cell.workers.values()) {
       for (Run run : worker.runs.values()) {
         boolean overdue =
             !run.isConfirmed() && !run.stopping && now - run.orderedAt > timeoutMillis;
-        if (overdue && run.task != null && run.task.step.gang()) {
+        if (overdue && run.task != null && run.task.step.isGang()) {
           stopStep(run.task.step, now);
         }
       }
@@ -244,7 +244,7 @@
     if (run.task != null) {
       run.task.runsOnWorkers += sign;
       QueueTerms queue = run.task.step.submission.spec().queue();
-      cell.reserve.running(queue.service(), queue.priority(), sign * run.size.milliProcessors());
+      cell.reserve.addRunning(queue.service(), queue.priority(), sign * run.size.milliProcessors());
     }
   }
 
@@ -261,14 +261,14 @@
     if (task == null) {
       return;
     }
-    boolean wasCurrent = task.current == run;
+    boolean wasCurrent = task.currentRun == run;
     if (wasCurrent) {
-      task.current = null;
-      task.waitsSince = now;
+      task.currentRun = null;
+      task.waitingSince = now;
     }
-    if (task.current == null && task.step.submission.live() && !task.done) {
-      cell.open.add(task.step);
-      if (wasCurrent && task.step.gang()) {
+    if (task.currentRun == null && task.step.submission.isLive() && !task.done) {
+      cell.readySteps.add(task.step);
+      if (wasCurrent && task.step.isGang()) {
         stopStep(task.step, now);
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
@@ -54,9 +54,9 @@
     if (task == null) {
       return;
     }
-    task.lastRun = Math.max(task.lastRun, ended.run().number());
-    if (!ended.checkpoint().isEmpty() && (run == null || task.current == run)) {
-      task.keepCheckpoint(ended.checkpoint());
+    task.lastRunNumber = Math.max(task.lastRunNumber, ended.run().number());
+    if (!ended.checkpoint().isEmpty() && (run == null || task.currentRun == run)) {
+      task.recordCheckpoint(ended.checkpoint());
     }
     if (ended.how() == RunEnd.DONE) {
       handleSuccess(worker, run, task, now);
@@ -73,15 +73,15 @@
     Submission submission = task.step.submission;
     if (run != null && run.isConfirmed() && run.orderCopies > 0) {
       long tookMillis = now - run.confirmedAt;
-      cell.learned.recordRun(submission.spec().queue().name(), tookMillis);
+      cell.learnedWork.recordRun(submission.spec().queue().name(), tookMillis);
       task.step.longestRunMillis = Math.max(task.step.longestRunMillis, tookMillis);
       worker.slowStreak = 0;
       if (isComparable(run)) {
-        cell.speeds.recordRun(worker.entry().kind(), task.step, tookMillis);
+        cell.learnedSpeed.recordRun(worker.entry().kind(), task.step, tookMillis);
       }
     }
     // A persistent task is never done: it starts again however it ends.
-    if (submission.live() && !task.step.spec.flags().persistent()) {
+    if (submission.isLive() && !task.step.spec.flags().persistent()) {
       completeTask(task, now);
     }
   }
@@ -97,10 +97,10 @@
 
   private void completeTask(Task task, long now) {
     StepRun step = task.step;
-    if (step.done() || task.done) {
+    if (step.isDone() || task.done) {
       return;
     }
-    if (!step.gang()) {
+    if (!step.isGang()) {
       markDone(task, now);
     } else {
       // The members of a gang end together, so one end completes all of them.
@@ -108,8 +108,8 @@
         markDone(member, now);
       }
     }
-    cell.changed(step.submission);
-    if (step.done()) {
+    cell.recordChange(step.submission);
+    if (step.isDone()) {
       completeStep(step, now);
     }
   }
@@ -120,19 +120,19 @@
     }
     task.done = true;
     task.step.doneCount++;
-    Run other = task.current;
-    task.current = null;
-    if (other != null && !task.step.gang() && other.worker.runs.containsKey(other.key)) {
+    Run other = task.currentRun;
+    task.currentRun = null;
+    if (other != null && !task.step.isGang() && other.worker.runs.containsKey(other.key)) {
       runs.abandon(other, now);
     }
   }
 
   private void completeStep(StepRun step, long now) {
     Submission submission = step.submission;
-    submission.openSteps--;
-    cell.open.remove(step);
-    if (submission.openSteps > 0) {
-      cell.newlyDone = true;
+    submission.unfinishedSteps--;
+    cell.readySteps.remove(step);
+    if (submission.unfinishedSteps > 0) {
+      cell.stepsMayBeReady = true;
       return;
     }
     submission.state = SubmissionState.COMPLETED;
@@ -142,32 +142,34 @@
         "took_ms",
         now - submission.acceptedAt,
         "objective_ms",
-        submission.objectiveMillis(cell.learned));
+        submission.objectiveMillis(cell.learnedWork));
   }
 
   private void handleFailure(Task task, EndedRun ended, WorkerView worker, long now) {
     Task record = task.step.failureRecord(task);
     // A task that has failed elsewhere is more likely to be the cause than this worker.
-    if (record.failedRuns.isEmpty()) {
+    if (record.failedRunNumbers.isEmpty()) {
       recordWorkerFailure(worker, now);
     }
     Submission submission = task.step.submission;
-    if (!submission.live() || task.done || record.failedRuns.contains(ended.run().number())) {
+    if (!submission.isLive()
+        || task.done
+        || record.failedRunNumbers.contains(ended.run().number())) {
       return;
     }
-    record.failedRuns.add(ended.run().number());
-    record.avoided = worker;
-    cell.changed(submission);
-    boolean exhausted = record.failedRuns.size() >= submission.spec().queue().maxAttempts();
+    record.failedRunNumbers.add(ended.run().number());
+    record.avoidedWorker = worker;
+    cell.recordChange(submission);
+    boolean exhausted = record.failedRunNumbers.size() >= submission.spec().queue().maxAttempts();
     if (exhausted && !task.step.spec.flags().persistent()) {
       submission.state = SubmissionState.FAILED;
       cell.submissionEvent(
           "failed",
           submission,
           "task",
-          CellState.text(ended.run().task()),
+          CellState.taskPath(ended.run().task()),
           "attempts",
-          record.failedRuns.size());
+          record.failedRunNumbers.size());
       runs.stopSubmission(submission, now);
     }
   }
--- /dev/null
+++ b/core/src/main/java/org/hickorypier/core/cell/StepAdvice.java
@@ -0,0 +1,84 @@
+package org.hickorypier.core.cell;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.hickorypier.core.submission.AdviceTerms;
+
+/**
+ * The advisor's answers for one step: which workers are suitable, which never changes, and their
+ * tickets, which expire.
+ *
+ * <p>Confined to the control thread.
+ */
+final class StepAdvice {
+
+  /**
+   * Safety margin for the time to the worker, which refuses an expired ticket, so that the start is
+   * lost.
+   */
+  private static final long TICKET_MARGIN_MILLIS = 250;
+
+  final AdviceTerms terms;
+  private final Map<String, Ticket> suitableTickets = new HashMap<>();
+  private final Set<String> unsuitableWorkers = new HashSet<>();
+
+  /** When the pending request was sent; 0 if none is pending. */
+  long requestedAt;
+
+  /** Earliest time of the next request. */
+  long nextRequestAt;
+
+  StepAdvice(AdviceTerms terms) {
+    this.terms = terms;
+  }
+
+  boolean isRated(WorkerView worker) {
+    return suitableTickets.containsKey(worker.id()) || unsuitableWorkers.contains(worker.id());
+  }
+
+  boolean isSuitable(WorkerView worker) {
+    return suitableTickets.containsKey(worker.id());
+  }
+
+  boolean hasSuitableWorkers() {
+    return !suitableTickets.isEmpty();
+  }
+
+  /**
+   * Returns a ticket that is still valid when it reaches the worker, or null if there is none or
+   * the worker has restarted since.
+   */
+  String validTicket(WorkerView worker, long now) {
+    Ticket ticket = suitableTickets.get(worker.id());
+    if (ticket == null || ticket.validUntil < now || ticket.workerBornMillis != worker.bornMillis) {
+      return null;
+    }
+    return ticket.text;
+  }
+
+  void invalidateTicket(WorkerView worker) {
+    Ticket ticket = suitableTickets.get(worker.id());
+    if (ticket != null) {
+      suitableTickets.put(worker.id(), new Ticket(ticket.text, 0, ticket.workerBornMillis));
+    }
+  }
+
+  void recordAnswer(
+      List<WorkerView> named, Map<String, String> tickets, long validMillis, long now) {
+    requestedAt = 0;
+    for (WorkerView worker : named) {
+      String ticket = tickets.get(worker.id());
+      if (ticket == null) {
+        unsuitableWorkers.add(worker.id());
+      } else {
+        long validUntil = now + validMillis - TICKET_MARGIN_MILLIS;
+        suitableTickets.put(worker.id(), new Ticket(ticket, validUntil, worker.bornMillis));
+      }
+    }
+  }
+
+  private record Ticket(String text, long validUntil, long workerBornMillis) {}
+}
--- a/core/src/main/java/org/hickorypier/core/cell/StepRun.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StepRun.java
@@ -2,7 +2,7 @@
 
 import org.hickorypier.core.submission.StepSpec;
 
-/** One occurrence of a step, with its tasks. Belongs to the control thread. */
+/** One occurrence of a step with its tasks. Confined to the control thread. */
 public final class StepRun {
 
   final Submission submission;
@@ -10,42 +10,43 @@
   final int index;
   final StepSpec spec;
   final Task[] tasks;
-  final AdviceBook advice;
+  final StepAdvice advice;
 
-  /** Place of the step's first task among all tasks of the submission. */
-  final int firstPlace;
+  /** Index of the step's first task among all tasks of the submission. */
+  final int firstTaskOffset;
 
   int doneCount;
 
-  /** The longest that a run of a task that is done took, in milliseconds. */
+  /** Longest duration of a run that completed its task, in milliseconds. */
   long longestRunMillis;
 
-  /** What has the least time to spare of all that its service runs. */
+  /** True for the most urgent work of its service, which has the least time to spare. */
   boolean urgent;
 
-  /** Runs that are compared with each other, and their time on workers of the usual speed. */
+  /** Number of runs that are compared with each other. */
   int comparedRuns;
 
+  /** Total duration of the compared runs at the usual worker speed, in milliseconds. */
   double comparedMillis;
 
-  /** Room set aside while tickets are on their way, or null. */
+  /** Room that is claimed while an advice request is pending, or null. */
   StepReservation claim;
 
-  StepRun(Submission submission, int occurrence, int index, StepSpec spec, int firstPlace) {
+  StepRun(Submission submission, int occurrence, int index, StepSpec spec, int firstTaskOffset) {
     this.submission = submission;
     this.occurrence = occurrence;
     this.index = index;
     this.spec = spec;
-    this.firstPlace = firstPlace;
-    this.advice = submission.spec().queue().advice().map(AdviceBook::new).orElse(null);
+    this.firstTaskOffset = firstTaskOffset;
+    this.advice = submission.spec().queue().advice().map(StepAdvice::new).orElse(null);
     this.tasks = new Task[spec.count()];
-    for (int place = 0; place < tasks.length; place++) {
-      tasks[place] = new Task(this, place);
+    for (int taskIndex = 0; taskIndex < tasks.length; taskIndex++) {
+      tasks[taskIndex] = new Task(this, taskIndex);
     }
   }
 
   /**
-   * Returns the submission that it belongs to.
+   * Returns its submission.
    *
    * @return the submission
    */
@@ -54,57 +55,61 @@
   }
 
   /**
-   * Returns the occurrence.
+   * Returns the index of the occurrence.
    *
-   * @return from 0
+   * @return the index, from 0
    */
   public int occurrence() {
     return occurrence;
   }
 
   /**
-   * Returns the place of the step.
+   * Returns the index of the step in its submission.
    *
-   * @return from 0
+   * @return the index, from 0
    */
   public int index() {
     return index;
   }
 
-  boolean gang() {
+  boolean isGang() {
     return spec.flags().gang();
   }
 
-  boolean done() {
+  boolean isDone() {
     return doneCount == tasks.length;
   }
 
-  /** Counts failures of a gang at its first member: the gang fails as one. */
+  /**
+   * Returns the task that records the failures of a task. A gang fails as a unit, so its first
+   * member records its failures.
+   */
   Task failureRecord(Task task) {
-    return gang() ? tasks[0] : task;
+    return isGang() ? tasks[0] : task;
   }
 
-  boolean anyWaiting() {
+  boolean hasWaitingTasks() {
     for (Task task : tasks) {
-      if (task.waiting()) {
+      if (task.isWaiting()) {
         return true;
       }
     }
     return false;
   }
 
-  boolean lasting() {
+  boolean isPersistent() {
     return spec.flags().persistent();
   }
 
   /**
-   * Returns since when the step waits for a start; the submission's arrival before its first run.
+   * Returns since when the step waits for a start, on the owner's monotonic clock; the acceptance
+   * of its submission before its first run.
    */
-  long waitsSince() {
+  long waitingSince() {
     long since = Long.MAX_VALUE;
     for (Task task : tasks) {
-      if (task.waiting() && task.waitsSince > 0) {
-        since = Math.min(since, task.waitsSince);
+      if (task.isWaiting() && task.waitingSince > 0) {
+        since = Math.min(since, task.waitingSince);
       }
     }
     return since == Long.MAX_VALUE ? submission.acceptedAt : since;
@@ -113,33 +118,33 @@
   int waitingCount() {
     int waiting = 0;
     for (Task task : tasks) {
-      waiting += task.waiting() ? 1 : 0;
+      waiting += task.isWaiting() ? 1 : 0;
     }
     return waiting;
   }
 
-  /** A gang starts anew only when nothing of its last run is left anywhere. */
-  boolean allIdle() {
+  /** Tells whether all tasks wait. A gang restarts only when no worker holds its last run. */
+  boolean allTasksWaiting() {
     for (Task task : tasks) {
-      if (!task.waiting()) {
+      if (!task.isWaiting()) {
         return false;
       }
     }
     return true;
   }
 
-  int nextGangRun() {
-    int highest = submission.firstRun() - 1;
+  int nextGangRunNumber() {
+    int highest = submission.firstRunNumber() - 1;
     for (Task task : tasks) {
-      highest = Math.max(highest, task.lastRun);
+      highest = Math.max(highest, task.lastRunNumber);
     }
     return highest + 1;
   }
 
-  int countOn(WorkerView worker) {
+  int countRunsOn(WorkerView worker) {
     int count = 0;
     for (Task task : tasks) {
-      if (task.current != null && task.current.worker == worker) {
+      if (task.currentRun != null && task.currentRun.worker == worker) {
         count++;
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/StragglerDetector.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StragglerDetector.java
@@ -94,8 +94,8 @@
     return run.task != null
         && run.isConfirmed()
         && !run.stopping
-        && run.task.current == run
-        && !run.task.step.gang()
+        && run.task.currentRun == run
+        && !run.task.step.isGang()
         && !run.task.step.spec.flags().persistent()
         && !run.task.step.spec.flags().opportunistic();
   }
@@ -104,7 +104,7 @@
     StepRun step = run.task.step;
     String queue = step.submission.spec().queue().name();
     return Math.max(
-        step.longestRunMillis, cell.learned.expectedMillis(queue, step.spec.estimateMillis()));
+        step.longestRunMillis, cell.learnedWork.expectedMillis(queue, step.spec.estimateMillis()));
   }
 
   private long windowMillis(Run run) {
@@ -118,7 +118,9 @@
    */
   private boolean isStraggling(Run run) {
     String queue = run.task.step.submission.spec().queue().name();
-    if (run.pace == null || !cell.learned.isKnown(queue) || !run.pace.isKnown(windowMillis(run))) {
+    if (run.pace == null
+        || !cell.learnedWork.isKnown(queue)
+        || !run.pace.isKnown(windowMillis(run))) {
       return false;
     }
     double remainingShare =
@@ -132,13 +134,13 @@
    * another worker has room for it: running slowly is better than not running.
    */
   private boolean mayMove(Run run, long now) {
-    if (run.task.moves >= MAX_MOVES) {
+    if (run.task.migrations >= MAX_MOVES) {
       return false;
     }
     StepRun step = run.task.step;
     String service = step.submission.spec().queue().service();
-    Collection<WorkerView> candidates = cell.taking(service, now);
-    if (cell.urgent(step)) {
+    Collection<WorkerView> candidates = cell.acceptingWorkers(service, now);
+    if (cell.isUrgent(step)) {
       return !candidates.isEmpty();
     }
     return candidates.stream()
@@ -146,14 +148,14 @@
             worker ->
                 worker != run.worker
                     && Placer.matches(step.spec, worker)
-                    && (step.advice == null || step.advice.suitable(worker))
-                    && Placer.slots(step, worker) > 0);
+                    && (step.advice == null || step.advice.isSuitable(worker))
+                    && Placer.freeSlots(step, worker) > 0);
   }
 
   private void move(Run run, long now) {
     Task task = run.task;
-    task.moves++;
-    task.avoided = run.worker;
+    task.migrations++;
+    task.avoidedWorker = run.worker;
     cell.runEvent(
         "run-too-slow",
         run.key,
--- a/core/src/main/java/org/hickorypier/core/cell/Submission.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Submission.java
@@ -10,9 +10,9 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * A submission in the hands of its owner.
+ * A submission at the owner of its cell.
  *
- * <p>Invariant: callers are shown an end state only once it is durable. Belongs to the control
+ * <p>Invariant: an end state is visible to callers only once it is durable. Confined to the control
  * thread.
  */
 public final class Submission {
@@ -20,50 +20,50 @@
   private final SubmissionSpec spec;
   final StepRun[][] occurrences;
 
-  /** Rises from one submission to the next, over all owners; 0 if its owner gave it none. */
+  /** Increases from submission to submission over all owners; 0 if its owner assigned none. */
   private final long number;
 
-  /** When it came, on the owner's steady clock. */
+  /** Time of acceptance on the owner's monotonic clock, in milliseconds. */
   final long acceptedAt;
 
-  /** Numbers of runs begin here: a successor cannot know the numbers its predecessor used. */
-  private final int firstRun;
+  /** Number of the first run; above the numbers of earlier owners, which are not known. */
+  private final int firstRunNumber;
 
   SubmissionState state = SubmissionState.QUEUED;
-  SubmissionState shown = SubmissionState.QUEUED;
+  SubmissionState visibleState = SubmissionState.QUEUED;
   boolean durable;
 
-  /** Some run may be at work on a worker that this owner has not heard yet. */
-  boolean uncertain;
+  /** True if a worker that has not answered this owner may hold a run of it. */
+  boolean mayHaveUnknownRuns;
 
-  /** Beyond the customer's rate: it comes after what is within it. */
-  boolean beyondShare;
+  /** True if it exceeds its customer's rate; it is placed after submissions within the rate. */
+  boolean exceedsShare;
 
   long endedAtMillis;
-  int openSteps;
+  int unfinishedSteps;
 
-  /** Counts changes; what was written last tells what may be shown. */
+  /** Counts changes; an end state becomes visible once its version is written. */
   long version;
 
-  Submission(SubmissionSpec spec, long number, long acceptedAt, int firstRun) {
+  Submission(SubmissionSpec spec, long number, long acceptedAt, int firstRunNumber) {
     this.spec = spec;
     this.number = number;
     this.acceptedAt = acceptedAt;
-    this.firstRun = firstRun;
+    this.firstRunNumber = firstRunNumber;
     this.occurrences = new StepRun[spec.occurrenceCount()][spec.steps().size()];
-    int place = 0;
+    int taskOffset = 0;
     for (int occurrence = 0; occurrence < occurrences.length; occurrence++) {
       for (int index = 0; index < spec.steps().size(); index++) {
-        StepRun step = new StepRun(this, occurrence, index, spec.steps().get(index), place);
+        StepRun step = new StepRun(this, occurrence, index, spec.steps().get(index), taskOffset);
         occurrences[occurrence][index] = step;
-        place += step.tasks.length;
-        openSteps++;
+        taskOffset += step.tasks.length;
+        unfinishedSteps++;
       }
     }
   }
 
   /**
-   * Returns what the caller handed in.
+   * Returns the specification from the caller.
    *
    * @return the specification
    */
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Returns the number under which its owner took it.
+   * Returns the sequence number that its owner assigned.
    *
    * @return the number, or 0 if there is none
    */
@@ -81,52 +81,52 @@
   }
 
   /**
-   * Returns what callers may be told.
+   * Returns the state that callers may see.
    *
    * @return the state
    */
-  public SubmissionState shown() {
-    return shown;
+  public SubmissionState visibleState() {
+    return visibleState;
   }
 
   /**
-   * Tells whether the submission itself is durable, so that it may be acknowledged.
+   * Tells whether the submission is durable, so that it may be acknowledged.
    *
-   * @return true once it was written
+   * @return true once it is written
    */
   public boolean durable() {
     return durable;
   }
 
   /**
-   * Returns the number of its latest change.
+   * Returns its version, which counts its changes.
    *
-   * @return the number
+   * @return the version
    */
   public long version() {
     return version;
   }
 
   /**
-   * Tells whether there is anything to write beside the specification.
+   * Tells whether there is progress to write in addition to the specification.
    *
-   * @return false before the first end of a task
+   * @return false before its first change after acceptance
    */
-  public boolean worthSaving() {
+  public boolean needsSaving() {
     return version > 1 || state.isTerminal();
   }
 
-  /** Returns how long it may take to be in time, in milliseconds. */
+  /** Returns the time within which it meets its objective, in milliseconds. */
   long objectiveMillis(RunDurationEstimator learned) {
     long chain = learned.expectedMillis(spec.queue().name(), spec.criticalPathMillis());
     return Math.round(spec.queue().stretch() * chain) + spec.queue().objectiveMillis();
   }
 
-  int firstRun() {
-    return firstRun;
+  int firstRunNumber() {
+    return firstRunNumber;
   }
 
-  boolean live() {
+  boolean isLive() {
     return !state.isTerminal();
   }
 
@@ -140,7 +140,7 @@
   }
 
   /**
-   * Returns what must last beside the specification.
+   * Returns the state to store in addition to the specification.
    *
    * @return a copy of the progress
    */
@@ -152,8 +152,8 @@
         BitSet bits = new BitSet(step.tasks.length);
         for (Task task : step.tasks) {
           bits.set(task.index, task.done);
-          if (!task.failedRuns.isEmpty()) {
-            failed.put(step.firstPlace + task.index, List.copyOf(task.failedRuns));
+          if (!task.failedRunNumbers.isEmpty()) {
+            failed.put(step.firstTaskOffset + task.index, List.copyOf(task.failedRunNumbers));
           }
         }
         done.add(bits);
@@ -164,32 +164,32 @@
 
   void restore(SubmissionProgress progress) {
     state = progress.state();
-    shown = state;
+    visibleState = state;
     endedAtMillis = progress.endedAtMillis();
     durable = true;
-    uncertain = true;
-    // What was taken over has been written once; each change from here on is worth writing.
+    mayHaveUnknownRuns = true;
+    // Version 1 is already written; the next change must exceed it, or it would not be written.
     version = 1;
-    int place = 0;
+    int stepIndex = 0;
     for (StepRun[] steps : occurrences) {
       for (StepRun step : steps) {
-        restoreStep(step, progress, place < progress.completedTasks().size() ? place : -1);
-        place++;
+        restoreStep(step, progress, stepIndex < progress.completedTasks().size() ? stepIndex : -1);
+        stepIndex++;
       }
     }
   }
 
-  private void restoreStep(StepRun step, SubmissionProgress progress, int place) {
+  private void restoreStep(StepRun step, SubmissionProgress progress, int stepIndex) {
     for (Task task : step.tasks) {
-      if (place >= 0 && progress.completedTasks().get(place).get(task.index)) {
+      if (stepIndex >= 0 && progress.completedTasks().get(stepIndex).get(task.index)) {
         task.done = true;
         step.doneCount++;
       }
-      task.failedRuns.addAll(
-          progress.failedRuns().getOrDefault(step.firstPlace + task.index, List.of()));
+      task.failedRunNumbers.addAll(
+          progress.failedRuns().getOrDefault(step.firstTaskOffset + task.index, List.of()));
     }
-    if (step.done()) {
-      openSteps--;
+    if (step.isDone()) {
+      unfinishedSteps--;
     }
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
@@ -6,105 +6,117 @@
 import java.util.Set;
 
 /**
- * Knows which steps are about to have their turn, so that the advisor is asked for them in advance.
+ * Tracks the steps that are about to become ready, so that their advice is requested in advance.
  *
- * <p>Load: short checks of one to four steps, each of which asks the advisor before it starts. Harm
- * prevented: each question takes 70 ms from a step's turn to its first start, a seventh of what a
- * check has to spare for each step. Tickets last 2.5 s, longer than a check's step, so the question
- * can be asked while the submission is being written or the step before is at work. Belongs to the
- * control thread.
+ * <p>Short checks have one to four steps, each of which needs advice before it starts. A request
+ * after a step is ready delays its first start by 70 ms, a seventh of the time that a check has to
+ * spare for each step. Tickets are valid for 2.5 s, longer than a step of a check runs, so the
+ * request can be sent while the submission is being written or the previous step is running.
+ * Confined to the control thread.
  */
 final class UpcomingSteps {
 
-  /** Within this time the step before must be done; with the call it is less than tickets last. */
-  private static final long AHEAD_MILLIS = 1_200;
+  /**
+   * Time within which the previous step must be expected to end. Together with the duration of the
+   * request it is shorter than the validity of a ticket.
+   */
+  private static final long LOOKAHEAD_MILLIS = 1_200;
 
   private final CellState cell;
-  private final Set<StepRun> soon = new LinkedHashSet<>();
+  private final Set<StepRun> upcoming = new LinkedHashSet<>();
 
   UpcomingSteps(CellState cell) {
     this.cell = cell;
   }
 
-  /** Returns the steps that are about to have their turn, without those that have had it. */
-  List<StepRun> soon() {
-    soon.removeIf(step -> !step.submission.live() || cell.open.contains(step) || !due(step));
-    return new ArrayList<>(soon);
+  /** Returns the steps that are about to become ready, without those that are ready or ended. */
+  List<StepRun> upcoming() {
+    upcoming.removeIf(
+        step -> !step.submission.isLive() || cell.readySteps.contains(step) || !isUpcoming(step));
+    return new ArrayList<>(upcoming);
   }
 
-  private static boolean due(StepRun step) {
-    return step.allIdle() || losesRun(step);
+  private static boolean isUpcoming(StepRun step) {
+    return step.allTasksWaiting() || mayLoseRun(step);
   }
 
-  /** Tells whether a task that lasts has its run on a worker that may be lost. */
-  private static boolean losesRun(StepRun step) {
-    if (!step.lasting()) {
+  /** Tells whether a persistent task runs on a worker that may be lost. */
+  private static boolean mayLoseRun(StepRun step) {
+    if (!step.isPersistent()) {
       return false;
     }
     for (Task task : step.tasks) {
-      if (task.current != null && task.current.worker.silent) {
+      if (task.currentRun != null && task.currentRun.worker.silent) {
         return true;
       }
     }
     return false;
   }
 
-  /** Notes the first steps of a submission that is being written. */
-  void accepted(Submission submission) {
+  /** Adds the first steps of a submission that is being written. */
+  void addFirstSteps(Submission submission) {
     if (submission.spec().isScheduled()) {
       return;
     }
     for (StepRun step : submission.occurrences[0]) {
-      if (step.spec.dependsOn().isEmpty() && wanted(step)) {
-        soon.add(step);
+      if (step.spec.dependsOn().isEmpty() && needsAdviceAhead(step)) {
+        upcoming.add(step);
       }
     }
   }
 
-  /** Notes the steps of which all that comes before is nearly done, or that lose a run. */
-  void look(long now) {
+  /** Adds the steps whose dependencies are nearly done, and those that may lose a run. */
+  void addUpcomingSteps(long now) {
     for (Submission submission : cell.submissions.values()) {
-      if (submission.durable && submission.live()) {
+      if (submission.durable && submission.isLive()) {
         for (StepRun[] steps : submission.occurrences) {
-          look(steps, now);
+          addUpcomingSteps(steps, now);
         }
       }
     }
   }
 
-  private void look(StepRun[] steps, long now) {
+  private void addUpcomingSteps(StepRun[] steps, long now) {
     for (StepRun step : steps) {
-      boolean later = !step.spec.dependsOn().isEmpty() && !cell.open.contains(step);
-      if (later && !step.done() && step.allIdle() && wanted(step) && nearlyDue(step, steps, now)) {
-        soon.add(step);
+      boolean awaitsDependencies =
+          !step.spec.dependsOn().isEmpty() && !cell.readySteps.contains(step);
+      if (awaitsDependencies
+          && !step.isDone()
+          && step.allTasksWaiting()
+          && needsAdviceAhead(step)
+          && isNearlyReady(step, steps, now)) {
+        upcoming.add(step);
       }
-      if (step.advice != null && losesRun(step)) {
-        soon.add(step);
+      if (step.advice != null && mayLoseRun(step)) {
+        upcoming.add(step);
       }
     }
   }
 
-  /** What is not urgent has time to spare, and its questions take the advisor half a second. */
-  private boolean wanted(StepRun step) {
-    return step.advice != null && !step.submission.beyondShare && cell.urgent(step);
+  /**
+   * Tells whether a step needs its advice in advance. Work that is not urgent has time to spare,
+   * and its requests take the advisor half a second.
+   */
+  private boolean needsAdviceAhead(StepRun step) {
+    return step.advice != null && !step.submission.exceedsShare && cell.isUrgent(step);
   }
 
-  private boolean nearlyDue(StepRun step, StepRun[] steps, long now) {
+  private boolean isNearlyReady(StepRun step, StepRun[] steps, long now) {
     boolean running = false;
-    for (int earlier : step.spec.dependsOn()) {
-      running |= !steps[earlier].done();
-      if (!steps[earlier].done() && !nearlyDone(steps[earlier], now)) {
+    for (int dependency : step.spec.dependsOn()) {
+      running |= !steps[dependency].isDone();
+      if (!steps[dependency].isDone() && !isNearlyDone(steps[dependency], now)) {
         return false;
       }
     }
     return running;
   }
 
-  private boolean nearlyDone(StepRun step, long now) {
+  private boolean isNearlyDone(StepRun step, long now) {
     String queue = step.submission.spec().queue().name();
-    long usual = cell.learned.expectedMillis(queue, step.spec.estimateMillis());
+    long usualMillis = cell.learnedWork.expectedMillis(queue, step.spec.estimateMillis());
     for (Task task : step.tasks) {
-      if (!task.done && !endsBy(now + AHEAD_MILLIS, task.current, usual)) {
+      if (!task.done && !endsBy(now + LOOKAHEAD_MILLIS, task.currentRun, usualMillis)) {
         return false;
       }
     }
--- a/core/src/main/java/org/hickorypier/core/cell/UrgentReserve.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UrgentReserve.java
@@ -4,61 +4,67 @@
 import java.util.Map;
 
 /**
- * Keeps room for urgent work when the cell is full of other work.
+ * Reserves processor capacity for urgent work in a cell that is full of other work.
  *
- * <p>Load: long gangs and batches fill every gap between two short checks, and the next check then
- * waits for seconds, several times its own length. Harm prevented: short checks, worth three times
- * as much for the room they take, come too late. The reserve follows what urgent work has used of
- * late, so that without urgent work there is none. Belongs to the control thread.
+ * <p>Without a reserve, long gangs and batches use all capacity that is free between two short
+ * checks. The next check then waits for seconds, several times its own length, and misses its
+ * objective, although it is worth three times as much for the room it takes. The reserve follows
+ * the recent usage of urgent work, so it is empty without urgent work. Confined to the control
+ * thread.
  */
 final class UrgentReserve {
 
-  /** Urgent work doubles within a burst; half above the mean covers its usual waves. */
-  private static final double ABOVE_MEAN = 1.5;
+  /** Ratio to the mean: urgent work doubles in a burst; 1.5 covers its usual variation. */
+  private static final double RESERVE_FACTOR = 1.5;
 
-  /** Weight of one sample; with ten a second the mean follows within some 5 s. */
-  private static final double WEIGHT = 0.02;
+  /** Weight of one sample; at ten samples a second the mean adapts within about 5 s. */
+  private static final double SAMPLE_WEIGHT = 0.02;
 
-  private final Map<String, Use> uses = new HashMap<>();
+  private final Map<String, UrgentUsage> usageByService = new HashMap<>();
 
-  /** The urgent work of one service. */
-  private static final class Use {
+  /** Usage by the work of the most urgent priority of one service. */
+  private static final class UrgentUsage {
     private int priority = Integer.MAX_VALUE;
-    private long running;
-    private double mean;
+    private long runningMilliProcessors;
+    private double meanMilliProcessors;
   }
 
-  /** Learns that work of some priority was handed in. */
-  void seen(String service, int priority) {
-    Use use = uses.computeIfAbsent(service, name -> new Use());
-    if (priority < use.priority) {
-      use.priority = priority;
-      use.running = 0;
-      use.mean = 0;
+  /** Records that work of a priority was submitted; a more urgent one restarts the mean. */
+  void recordPriority(String service, int priority) {
+    UrgentUsage usage = usageByService.computeIfAbsent(service, name -> new UrgentUsage());
+    if (priority < usage.priority) {
+      usage.priority = priority;
+      usage.runningMilliProcessors = 0;
+      usage.meanMilliProcessors = 0;
     }
   }
 
-  boolean urgent(String service, int priority) {
-    Use use = uses.get(service);
-    return use != null && priority <= use.priority;
+  boolean isUrgent(String service, int priority) {
+    UrgentUsage usage = usageByService.get(service);
+    return usage != null && priority <= usage.priority;
   }
 
-  void running(String service, int priority, long processors) {
-    Use use = uses.get(service);
-    if (use != null && priority <= use.priority) {
-      use.running += processors;
+  void addRunning(String service, int priority, long processors) {
+    UrgentUsage usage = usageByService.get(service);
+    if (usage != null && priority <= usage.priority) {
+      usage.runningMilliProcessors += processors;
     }
   }
 
   void sample() {
-    for (Use use : uses.values()) {
-      use.mean += WEIGHT * (use.running - use.mean);
+    for (UrgentUsage usage : usageByService.values()) {
+      usage.meanMilliProcessors +=
+          SAMPLE_WEIGHT * (usage.runningMilliProcessors - usage.meanMilliProcessors);
     }
   }
 
-  /** Returns how many thousandths of a core other work must leave free. */
-  long processors(String service) {
-    Use use = uses.get(service);
-    return use == null ? 0 : Math.max(0, Math.round(ABOVE_MEAN * use.mean) - use.running);
+  /** Returns the capacity that other work must leave free, in thousandths of a core. */
+  long reservedMilliProcessors(String service) {
+    UrgentUsage usage = usageByService.get(service);
+    return usage == null
+        ? 0
+        : Math.max(
+            0,
+            Math.round(RESERVE_FACTOR * usage.meanMilliProcessors) - usage.runningMilliProcessors);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerRegistry.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerRegistry.java
@@ -31,7 +31,7 @@
     this.cell = cell;
     this.runs = runs;
     this.adoption = adoption;
-    this.lastSubmissionOfEarlierOwners = cell.lastNumber();
+    this.lastSubmissionOfEarlierOwners = cell.lastSubmissionNumber();
     this.roster = new RosterWriter(cell);
   }
 
@@ -53,7 +53,7 @@
   }
 
   private long longestLeaseMillis(RosterEntry restored) {
-    return restored.renewed() ? cell.terms.silentWorkerMillis() : restored.leaseMillis();
+    return restored.renewed() ? cell.timings.silentWorkerTimeoutMillis() : restored.leaseMillis();
   }
 
   void handleListed(Map<String, WorkerEntry> entries, long now) {
@@ -112,7 +112,7 @@
           "heard_ms_ago",
           answerAgeMillis,
           "may_run_ms",
-          cell.mayRunMillis(worker, now));
+          cell.remainingLeaseMillis(worker, now));
     }
     worker.recordMissingAnswer(now);
   }
@@ -132,7 +132,9 @@
         runs.handleLeaseExpiry(worker, now);
       }
       boolean empty =
-          worker.runs.isEmpty() && worker.unsavedEnds.isEmpty() && !cell.unresolved(worker, now);
+          worker.runs.isEmpty()
+              && worker.unsavedEnds.isEmpty()
+              && !cell.mayHoldUnknownRuns(worker, now);
       if (worker.silent && empty && !worker.listed) {
         goneIds.add(worker.id());
       }
@@ -155,7 +157,8 @@
   private void closeAndOpen(long now) {
     for (WorkerView worker : cell.workers.values()) {
       if (worker.isOpen() && worker.shouldClose(now)) {
-        worker.closedAfter = worker.hasAnswered ? cell.lastNumber() : lastSubmissionOfEarlierOwners;
+        worker.closedAfter =
+            worker.hasAnswered ? cell.lastSubmissionNumber() : lastSubmissionOfEarlierOwners;
         worker.onRoster = false;
         roster.markStale();
       } else if (!worker.isOpen() && worker.hasAnswered && !worker.shouldClose(now)) {
@@ -163,7 +166,8 @@
         worker.onRoster = false;
         roster.markStale();
       }
-      boolean retired = !worker.isOpen() && worker.isEmpty() && !cell.unresolved(worker, now);
+      boolean retired =
+          !worker.isOpen() && worker.isEmpty() && !cell.mayHoldUnknownRuns(worker, now);
       if (retired != worker.retired) {
         worker.retired = retired;
         roster.markStale();
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerReportHandler.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerReportHandler.java
@@ -52,7 +52,7 @@
           "ended",
           report.ended().size());
     }
-    worker.recordAnswer(report.clockMillis(), cell.terms.longestLeaseMillis(), now);
+    worker.recordAnswer(report.clockMillis(), cell.timings.longestLeaseMillis(), now);
     handleEnds(worker, report, now);
     Set<RunKey> listed = new HashSet<>();
     for (RunningTask running : report.running()) {
@@ -106,7 +106,7 @@
     run.percent = running.percent();
     stragglers.recordProgress(run, running.percent(), clock, now);
     if (run.task != null && !running.checkpoint().isEmpty()) {
-      run.task.keepCheckpoint(running.checkpoint());
+      run.task.recordCheckpoint(running.checkpoint());
     }
   }
 
--- a/core/src/test/java/org/hickorypier/core/cell/CellTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellTest.java
@@ -26,89 +26,88 @@
   private final CellFixture fixture = new CellFixture(1);
   private final Cell cell = fixture.cell;
 
-  private static EndedRun end(long number, Run run, RunEnd how) {
-    return new EndedRun(number, run.key(), how, "");
+  private static EndedRun endedRun(long number, Run run, RunEnd kind) {
+    return new EndedRun(number, run.key(), kind, "");
   }
 
   @Test
   void nothingStartsBeforeTheSubmissionIsDurable() {
-    fixture.worker("w");
+    fixture.addWorker("w");
     cell.accept(spec("s", QUEUE, step(1, 1_000, 500, false)), fixture.now);
     fixture.pass();
     assertThat(fixture.starts).isEmpty();
 
-    fixture.write();
+    fixture.writePending();
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
   }
 
   @Test
   void completionIsShownOnlyOnceItIsDurable() {
-    final WorkerView worker = fixture.worker("w");
+    final WorkerView worker = fixture.addWorker("w");
     final Submission submission = fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.hear(worker, end(1, fixture.starts.get(0).run(), RunEnd.DONE));
-    assertThat(submission.shown()).isEqualTo(SubmissionState.RUNNING);
+    fixture.reportFrom(worker, endedRun(1, fixture.starts.get(0).run(), RunEnd.DONE));
+    assertThat(submission.visibleState()).isEqualTo(SubmissionState.RUNNING);
     assertThat(worker.acknowledgedEnd(fixture.now)).isZero();
 
-    fixture.write();
-    assertThat(submission.shown()).isEqualTo(SubmissionState.COMPLETED);
+    fixture.writePending();
+    assertThat(submission.visibleState()).isEqualTo(SubmissionState.COMPLETED);
     assertThat(worker.acknowledgedEnd(fixture.now)).isEqualTo(1);
   }
 
   /**
-   * The caller's task ran twice. A successor took the submission over, heard that a task was done,
-   * and told the worker to forget that end. But the change was not written, since the version of
-   * what was taken over began at the number of an unchanged submission. The next owner knew of no
-   * end and started the task again.
+   * Guards against a task that runs twice after two takeovers. A restored submission started at the
+   * version of an unchanged one, so its first change was not written. The owner still acknowledged
+   * the end of a task to the worker, and the next owner knew of no end and started the task again.
    */
   @Test
-  void firstChangeOfWhatWasTakenOverIsWritten() {
+  void firstChangeAfterTakeoverIsWrittenSoTheTaskDoesNotRunTwice() {
     SubmissionSpec spec = spec("s", QUEUE, step(2, 1_000, 500, false));
     SubmissionProgress nothing =
         new SubmissionProgress(SubmissionState.QUEUED, 0, List.of(new BitSet()), Map.of());
     cell.restore(spec, 7, nothing, fixture.now, fixture.now);
-    final WorkerView worker = fixture.worker("w");
+    final WorkerView worker = fixture.addWorker("w");
     RunKey first = new RunKey(new TaskName("s", 0, 0, 0), 1);
-    fixture.hear(worker, new EndedRun(1, first, RunEnd.DONE, ""));
+    fixture.reportFrom(worker, new EndedRun(1, first, RunEnd.DONE, ""));
 
     Submission submission = cell.find("s");
     assertThat(fixture.saved).contains(submission);
-    assertThat(submission.worthSaving()).isTrue();
+    assertThat(submission.needsSaving()).isTrue();
     assertThat(submission.progress().completedTasks().get(0).get(0)).isTrue();
   }
 
   /**
-   * The caller's task ran twice at once. A worker died and came back while the store was away; an
-   * order reached the new life before the list told of its birth. The owner then took all runs
-   * there for gone and started them elsewhere.
+   * Guards against a task that runs twice at once. A worker restarts during a store outage and
+   * receives an order before the worker list shows its new start time. The owner must not conclude
+   * from the list that the runs there are gone and start them elsewhere.
    */
   @Test
-  void birthInTheListTakesNoRunForGone() {
-    final WorkerView worker = fixture.worker("w");
-    fixture.worker("other");
+  void newStartTimeInWorkerListDoesNotEndRunsOfTheRestartedWorker() {
+    final WorkerView worker = fixture.addWorker("w");
+    fixture.addWorker("other");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     Run run = fixture.starts.get(0).run();
-    WorkerView reborn = run.worker();
+    WorkerView restarted = run.worker();
 
-    fixture.list(reborn.id(), 2);
+    fixture.listWorker(restarted.id(), 2);
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
 
-    fixture.hear(reborn, 2, List.of(run.key()));
+    fixture.reportFrom(restarted, 2, List.of(run.key()));
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
     assertThat(worker.id()).isNotNull();
   }
 
   @Test
-  void runsOfAnEarlierLifeStartElsewhereOnceTheNewLifeHasSpoken() {
-    fixture.worker("w");
+  void runsRestartOnceTheRestartedWorkerReportsWithoutThem() {
+    fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     fixture.advance(10);
-    fixture.hear(fixture.view("w"), 2, List.of());
+    fixture.reportFrom(fixture.findWorker("w"), 2, List.of());
     fixture.pass();
 
     assertThat(fixture.starts).hasSize(2);
@@ -116,35 +115,35 @@
   }
 
   /**
-   * The caller's task ran twice. A worker came back under its id and counted its ends anew. The
-   * owner, which had not heard it for a while, told it the number of the earlier life, and the
-   * worker forgot ends that nobody had seen.
+   * Guards against a task that runs twice. A restarted worker keeps its id and numbers its ends
+   * from the start again. An owner that had not heard from it for a while acknowledged a number
+   * from before the restart, and the worker dropped ends that no owner had received.
    */
   @Test
-  void doubtfulLifeIsToldNoNumber() {
-    final WorkerView worker = fixture.worker("w");
+  void noEndIsAcknowledgedWhileTheWorkerMayHaveRestarted() {
+    final WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.hear(worker, end(1, fixture.starts.get(0).run(), RunEnd.DONE));
-    fixture.write();
+    fixture.reportFrom(worker, endedRun(1, fixture.starts.get(0).run(), RunEnd.DONE));
+    fixture.writePending();
     assertThat(worker.acknowledgedEnd(fixture.now)).isEqualTo(1);
 
-    cell.holdUnanswered(worker, fixture.now);
+    cell.renewalUnanswered(worker, fixture.now);
     assertThat(worker.acknowledgedEnd(fixture.now)).isZero();
-    fixture.hear(worker);
+    fixture.reportFrom(worker);
     assertThat(worker.acknowledgedEnd(fixture.now)).isEqualTo(1);
     fixture.advance(3_500);
     assertThat(worker.acknowledgedEnd(fixture.now)).isZero();
   }
 
   /**
-   * The caller waited for ever. An order had no answer and was stopped; the worker answered the
-   * stop, but the owner repeated it and took the time of the last answer, which each report then
-   * preceded. The first answer counts.
+   * Guards against a submission that never ends. A start order without an answer is stopped, and
+   * the worker answers the stop. The owner repeats the stop; if it used the time of the latest
+   * answer, every report would precede that time. The first answer counts.
    */
   @Test
-  void firstAnswerToStopCounts() {
-    final WorkerView worker = fixture.worker("w");
+  void repeatedStopAnswerDoesNotDelayTheRestart() {
+    final WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     Run run = fixture.starts.get(0).run();
     for (int copy = 0; copy < 3; copy++) {
@@ -157,7 +156,8 @@
     long sentAt = fixture.now;
     fixture.advance(500);
     cell.stopAnswered(worker, run.key(), fixture.now);
-    cell.held(worker, new RenewalReport(1, 900, List.of(), List.of()), sentAt, fixture.now);
+    cell.renewalAnswered(
+        worker, new RenewalReport(1, 900, List.of(), List.of()), sentAt, fixture.now);
     fixture.pass();
 
     assertThat(fixture.starts).hasSize(4);
@@ -165,50 +165,53 @@
   }
 
   /**
-   * A worker falls silent with the caller's task. The task must not start elsewhere while a lease
-   * that was ever sent may keep it running there, and must start soon after.
+   * A worker that runs a task becomes silent. The task must not start elsewhere while any lease
+   * that was sent may keep it running there, and must start soon after that.
    */
   @Test
-  void taskOfSilentWorkerWaitsForItsLease() {
-    final WorkerView worker = fixture.worker("w");
+  void taskOfSilentWorkerStartsElsewhereAfterItsLeaseExpires() {
+    final WorkerView worker = fixture.addWorker("w");
     worker.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.worker("other");
-    WorkerView holder = fixture.starts.get(0).run().worker();
-    holder.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
-    cell.holdUnanswered(holder, fixture.now);
+    fixture.addWorker("other");
+    WorkerView runningWorker = fixture.starts.get(0).run().worker();
+    runningWorker.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
+    cell.renewalUnanswered(runningWorker, fixture.now);
     final long silentAt = fixture.now;
 
     fixture.advance(CellFixture.TERMS.leaseMillis());
-    keepOthersFresh(holder);
+    reportFromAllExcept(runningWorker);
     cell.tick(fixture.now, fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
 
     fixture.advance(600);
-    keepOthersFresh(holder);
+    reportFromAllExcept(runningWorker);
     cell.tick(fixture.now, fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
     assertThat(fixture.now - silentAt).isLessThan(7_000);
   }
 
-  /** A lasting task waited for the lease of a worker that had announced that it leaves. */
+  /**
+   * Guards against a needless delay: a persistent task waited for the lease of a worker that had
+   * announced its departure.
+   */
   @Test
-  void taskOfDepartedWorkerStartsAtOnce() {
-    final WorkerView leaving = fixture.worker("leaving");
+  void taskOfDepartedWorkerRestartsWithoutWaitingForItsLease() {
+    final WorkerView leaving = fixture.addWorker("leaving");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     leaving.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
-    fixture.worker("staying");
-    fixture.list("leaving", 1, true);
-    fixture.unlist("leaving");
-    cell.departed(List.of("leaving"), fixture.now);
+    fixture.addWorker("staying");
+    fixture.listWorker("leaving", 1, true);
+    fixture.unlistWorker("leaving");
+    cell.workersDeparted(List.of("leaving"), fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(1);
 
-    cell.holdUnanswered(leaving, fixture.now);
+    cell.renewalUnanswered(leaving, fixture.now);
     cell.tick(fixture.now, fixture.now);
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
@@ -216,9 +219,9 @@
   }
 
   @Test
-  void reserveForUrgentWorkDoesNotKeepLastingTaskFromItsRestart() {
-    final WorkerView worker = fixture.worker("w");
-    fixture.submit(spec("service", LESS_URGENT, CellFixture.lasting(1)));
+  void urgentReserveDoesNotBlockRestartOfPersistentTask() {
+    final WorkerView worker = fixture.addWorker("w");
+    fixture.submit(spec("service", LESS_URGENT, CellFixture.persistentStep(1)));
     fixture.submit(spec("checks", QUEUE, step(15, 1_000, 500, false)));
     fixture.confirmAll();
     for (int tick = 0; tick < 200; tick++) {
@@ -226,10 +229,10 @@
     }
     EndedRun[] ends = new EndedRun[fixture.starts.size()];
     for (int index = 0; index < ends.length; index++) {
-      ends[index] = end(index + 1, fixture.starts.get(index).run(), RunEnd.DONE);
+      ends[index] = endedRun(index + 1, fixture.starts.get(index).run(), RunEnd.DONE);
     }
-    fixture.hear(worker, ends);
-    fixture.write();
+    fixture.reportFrom(worker, ends);
+    fixture.writePending();
     fixture.pass();
     assertThat(fixture.starts.get(fixture.starts.size() - 1).run().key().task().submission())
         .isEqualTo("service");
@@ -237,11 +240,12 @@
   }
 
   /**
-   * A worker that came back under its id ran the repeated order by its new clock, past any lease.
+   * Guards against a run that outlives all leases: a worker that restarted under its id applied the
+   * repeated order to its new clock.
    */
   @Test
-  void orderIsNotRepeatedToWorkerThatMayHaveNewLife() {
-    fixture.worker("w");
+  void unansweredStartIsNotRepeatedToWorkerThatMayHaveRestarted() {
+    fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     Run run = fixture.starts.get(0).run();
     fixture.advance(1_200);
@@ -250,38 +254,41 @@
     assertThat(fixture.stops).containsExactly(run.key());
   }
 
-  /** A report that was on its way when its worker left would bring the runs back for good. */
+  /**
+   * Guards against runs that stay for ever: a report that is in transit when its worker leaves must
+   * not restore the runs of the removed worker.
+   */
   @Test
-  void reportOfForgottenWorkerIsIgnored() {
-    final WorkerView leaving = fixture.worker("leaving");
+  void lateReportOfRemovedWorkerIsIgnored() {
+    final WorkerView leaving = fixture.addWorker("leaving");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     final RunKey run = fixture.starts.get(0).run().key();
-    fixture.worker("staying");
-    fixture.unlist("leaving");
-    cell.holdUnanswered(leaving, fixture.now);
-    cell.departed(List.of("leaving"), fixture.now);
-    fixture.hear(leaving, 1, List.of(run));
+    fixture.addWorker("staying");
+    fixture.unlistWorker("leaving");
+    cell.renewalUnanswered(leaving, fixture.now);
+    cell.workersDeparted(List.of("leaving"), fixture.now);
+    fixture.reportFrom(leaving, 1, List.of(run));
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
     assertThat(fixture.stops).isEmpty();
   }
 
-  private void keepOthersFresh(WorkerView silent) {
+  private void reportFromAllExcept(WorkerView silent) {
     for (WorkerView worker : cell.workers()) {
       if (worker != silent) {
-        fixture.hear(worker);
+        fixture.reportFrom(worker);
       }
     }
   }
 
   /**
-   * After a takeover a submission's task may run on a worker that has not answered yet. It waits
-   * for that worker, or for the last lease that the predecessor may have given; what came later
-   * does not.
+   * After a takeover a task may still run on a worker that has not answered yet. The task waits for
+   * that worker, or for the end of the last lease that the previous owner may have granted; a
+   * submission accepted after the takeover does not wait.
    */
   @Test
-  void takenOverTaskWaitsForUnheardWorkers() {
+  void takenOverTaskWaitsForWorkersThatHaveNotReported() {
     CellFixture successor = new CellFixture(2);
     successor.cell.restore(
         spec("old", QUEUE, step(1, 1_000, 500, false)),
@@ -295,42 +302,44 @@
                 new WorkerEntry(
                     "dark", "service", "10.0.0.2:1", false, 0, CellFixture.CAPACITY, List.of(), 1),
                 RosterEntry.OPEN)));
-    successor.worker("w");
+    successor.addWorker("w");
     successor.submit(spec("new", QUEUE, step(1, 1_000, 500, false)));
     assertThat(successor.starts).hasSize(1);
     assertThat(successor.starts.get(0).run().key().task().submission()).isEqualTo("new");
 
-    successor.advance(CellFixture.TERMS.silentWorkerMillis() + 1);
+    successor.advance(CellFixture.TERMS.silentWorkerTimeoutMillis() + 1);
     successor.confirmAll();
-    successor.hear(successor.view("w"), 1, List.of(successor.starts.get(0).run().key()));
+    successor.reportFrom(
+        successor.findWorker("w"), 1, List.of(successor.starts.get(0).run().key()));
     successor.pass();
     assertThat(successor.starts).hasSize(2);
     assertThat(successor.starts.get(1).run().key().number()).isGreaterThan(1_000);
   }
 
   /**
-   * A worker drained and left, and the owner was lost soon after. The successor waited for that
-   * worker for 9.9 s with all that it took over, since it might have run any of it. A worker at
-   * rest is off the roster, so nobody waits for it; it gets nothing before it is on it again.
+   * Guards against a delay after a takeover. A worker drained and left shortly before its owner was
+   * lost, and the new owner held all restored submissions back for 9.9 s, since the worker might
+   * have run any of them. An idle draining worker is off the roster, so no owner waits for it; it
+   * gets no work before it is on the roster again.
    */
   @Test
-  void workerAtRestIsOffTheRosterUntilItMayTakeWorkAgain() {
-    final WorkerView leaving = fixture.worker("leaving");
-    fixture.worker("staying");
+  void idleDrainingWorkerLeavesTheRosterUntilItIsReadyAgain() {
+    final WorkerView leaving = fixture.addWorker("leaving");
+    fixture.addWorker("staying");
     assertThat(fixture.roster)
         .extracting(each -> each.worker().id())
         .containsExactly("leaving", "staying");
 
-    fixture.list("leaving", 1, true);
+    fixture.listWorker("leaving", 1, true);
     cell.tick(fixture.now, fixture.now);
-    fixture.write();
+    fixture.writePending();
     assertThat(fixture.roster).extracting(each -> each.worker().id()).containsExactly("staying");
 
-    fixture.list("leaving", 1, false);
+    fixture.listWorker("leaving", 1, false);
     assertThat(leaving.acceptsOrders(fixture.now)).isFalse();
     cell.tick(fixture.now, fixture.now);
     assertThat(leaving.acceptsOrders(fixture.now)).isFalse();
-    fixture.write();
+    fixture.writePending();
     assertThat(fixture.roster)
         .extracting(each -> each.worker().id())
         .containsExactly("leaving", "staying");
@@ -338,23 +347,22 @@
   }
 
   /**
-   * A worker drains with a caller's task on it and is gone when the owner is lost. What was
-   * accepted before it drained may run there and waits; a check that came later cannot, and starts
-   * at once.
+   * A draining worker holds a task and is gone when the owner is lost. A submission accepted before
+   * the worker drained may run there and waits; a check accepted later cannot, and starts at once.
    */
   @Test
-  void takenOverTaskDoesNotWaitForWorkerClosedBeforeItCame() {
-    fixture.worker("leaving");
+  void takenOverTaskDoesNotWaitForWorkerThatDrainedBeforeItWasAccepted() {
+    fixture.addWorker("leaving");
     fixture.submit(spec("before", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.list("leaving", 1, true);
+    fixture.listWorker("leaving", 1, true);
     cell.tick(fixture.now, fixture.now);
-    fixture.write();
+    fixture.writePending();
     fixture.submit(spec("after", QUEUE, step(1, 1_000, 500, false)));
     assertThat(fixture.starts).hasSize(1);
 
     CellFixture successor = fixture.successor(2, "before", "after");
-    successor.worker("staying");
+    successor.addWorker("staying");
     successor.pass();
     assertThat(successor.starts)
         .extracting(each -> each.run().key().task().submission())
@@ -362,62 +370,62 @@
   }
 
   /**
-   * A caller's task ran twice at once. The predecessor went on for a moment beside its successor:
-   * its first run failed and it ordered a second one. The successor heard of the first run, then of
-   * the second, which it stopped, and then of the failure; it ordered a third run while the second
-   * was still being stopped.
+   * Guards against a task that runs twice at once. The previous owner is briefly active beside the
+   * new one: a first run fails there and it orders a second one. The new owner learns of the first
+   * run, then of the second, which it stops, and then of the failure. It must not order a third run
+   * while the second is still being stopped.
    */
   @Test
-  void taskWaitsForEveryRunOfItThatIsBeingStopped() {
+  void taskDoesNotStartWhileAnyOfItsRunsIsBeingStopped() {
     CellFixture successor = new CellFixture(2);
-    final WorkerView first = successor.worker("first");
-    final WorkerView second = successor.worker("second");
+    final WorkerView first = successor.addWorker("first");
+    final WorkerView second = successor.addWorker("second");
     successor.cell.restore(
         spec("s", QUEUE, step(1, 1_000, 500, false)),
         7,
         new SubmissionProgress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
         successor.now,
         successor.now);
-    RunKey one = new RunKey(new TaskName("s", 0, 0, 0), 1);
-    RunKey two = new RunKey(new TaskName("s", 0, 0, 0), 2);
-    successor.hear(first, 1, List.of(one));
-    successor.hear(second, 1, List.of(two));
-    assertThat(successor.stops).containsExactly(two);
-    successor.hear(first, 1, List.of(), new EndedRun(1, one, RunEnd.FAILED, ""));
-    successor.write();
+    RunKey firstRun = new RunKey(new TaskName("s", 0, 0, 0), 1);
+    RunKey secondRun = new RunKey(new TaskName("s", 0, 0, 0), 2);
+    successor.reportFrom(first, 1, List.of(firstRun));
+    successor.reportFrom(second, 1, List.of(secondRun));
+    assertThat(successor.stops).containsExactly(secondRun);
+    successor.reportFrom(first, 1, List.of(), new EndedRun(1, firstRun, RunEnd.FAILED, ""));
+    successor.writePending();
     successor.pass();
     assertThat(successor.starts).isEmpty();
 
-    successor.hear(second, 1, List.of(), new EndedRun(1, two, RunEnd.STOPPED, ""));
-    successor.write();
+    successor.reportFrom(second, 1, List.of(), new EndedRun(1, secondRun, RunEnd.STOPPED, ""));
+    successor.writePending();
     successor.pass();
     assertThat(successor.starts).hasSize(1);
   }
 
   /**
-   * A worker drains, and is ready again before the roster that says so is written. It must get
-   * nothing until the roster that says that it is open is written: a successor that reads the other
-   * would not wait for what it runs.
+   * A worker drains, and accepts work again before the roster without it is written. It must get no
+   * work until a roster with it is written: a new owner that reads the other roster would not wait
+   * for its runs.
    */
   @Test
-  void workerOpenedAgainWaitsForTheRosterThatSaysSo() {
-    final WorkerView worker = fixture.worker("w");
+  void reopenedWorkerTakesNoWorkBeforeItsRosterEntryIsWritten() {
+    final WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    fixture.list("w", 1, true);
+    fixture.listWorker("w", 1, true);
     cell.tick(fixture.now, fixture.now);
-    fixture.list("w", 1, false);
+    fixture.listWorker("w", 1, false);
     cell.tick(fixture.now, fixture.now);
-    fixture.write();
+    fixture.writePending();
     assertThat(worker.acceptsOrders(fixture.now)).isFalse();
     cell.tick(fixture.now, fixture.now);
-    fixture.write();
+    fixture.writePending();
     assertThat(worker.acceptsOrders(fixture.now)).isTrue();
   }
 
-  /** A worker that no earlier owner had on its roster got nothing from it. */
+  /** A worker that is not on an earlier owner's roster holds no runs of that owner. */
   @Test
-  void takenOverTaskDoesNotWaitForWorkersThatGotNothing() {
+  void takenOverTaskDoesNotWaitForWorkersOutsideTheRoster() {
     CellFixture successor = new CellFixture(2);
     successor.cell.restore(
         spec("old", QUEUE, step(1, 1_000, 500, false)),
@@ -425,16 +433,16 @@
         new SubmissionProgress(SubmissionState.RUNNING, 0, List.of(new BitSet()), Map.of()),
         successor.now,
         successor.now);
-    successor.list("dark", 1);
-    successor.worker("w");
+    successor.listWorker("dark", 1);
+    successor.addWorker("w");
     successor.pass();
     assertThat(successor.starts).hasSize(1);
   }
 
   @Test
-  void customersLimitCountsWhatIsBeingStopped() {
-    fixture.worker("w");
-    cell.configure(List.of(new CustomerTerms("customer", 100, new Resources(2_000, 0, 0))));
+  void customerLimitCountsRunsThatAreBeingStopped() {
+    fixture.addWorker("w");
+    cell.configure(List.of(new CustomerLimits("customer", 100, new Resources(2_000, 0, 0))));
     final Submission first = fixture.submit(spec("a", QUEUE, step(2, 1_000, 500, false)));
     fixture.confirmAll();
     fixture.submit(spec("b", QUEUE, step(1, 1_000, 500, false)));
@@ -443,35 +451,35 @@
     assertThat(fixture.starts).hasSize(2);
 
     fixture.advance(10);
-    fixture.hear(
-        fixture.view("w"),
-        end(1, fixture.starts.get(0).run(), RunEnd.STOPPED),
-        end(2, fixture.starts.get(1).run(), RunEnd.STOPPED));
+    fixture.reportFrom(
+        fixture.findWorker("w"),
+        endedRun(1, fixture.starts.get(0).run(), RunEnd.STOPPED),
+        endedRun(2, fixture.starts.get(1).run(), RunEnd.STOPPED));
     fixture.pass();
     assertThat(fixture.starts).hasSize(3);
   }
 
   @Test
-  void submissionFailsAfterItsLastAttemptOnly() {
-    final WorkerView worker = fixture.worker("w");
+  void submissionFailsOnlyAfterItsLastAttempt() {
+    final WorkerView worker = fixture.addWorker("w");
     final Submission submission = fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     Run first = fixture.starts.get(0).run();
-    fixture.hear(worker, end(1, first, RunEnd.FAILED));
-    fixture.hear(worker, end(1, first, RunEnd.FAILED));
+    fixture.reportFrom(worker, endedRun(1, first, RunEnd.FAILED));
+    fixture.reportFrom(worker, endedRun(1, first, RunEnd.FAILED));
     fixture.pass();
     assertThat(fixture.starts).hasSize(2);
 
     fixture.confirmAll();
     fixture.advance(10);
-    fixture.hear(worker, end(2, fixture.starts.get(1).run(), RunEnd.FAILED));
-    fixture.write();
-    assertThat(submission.shown()).isEqualTo(SubmissionState.FAILED);
+    fixture.reportFrom(worker, endedRun(2, fixture.starts.get(1).run(), RunEnd.FAILED));
+    fixture.writePending();
+    assertThat(submission.visibleState()).isEqualTo(SubmissionState.FAILED);
   }
 
   @Test
-  void gangStartsWholeUnderOneNumberAndStopsWhole() {
-    final WorkerView worker = fixture.worker("w");
+  void gangMembersShareOneRunNumberAndStopTogether() {
+    final WorkerView worker = fixture.addWorker("w");
     fixture.submit(spec("s", QUEUE, step(3, 5_000, 500, true)));
     assertThat(fixture.starts).hasSize(3);
     assertThat(fixture.starts).allMatch(next -> next.run().key().number() == 1);
@@ -488,19 +496,19 @@
   }
 
   /**
-   * A retry arrives seconds after the acknowledgement, when the submission has ended already and is
-   * kept in short form. It remains one submission: nothing runs again.
+   * A retry arrives seconds after the acknowledgement, when the submission has ended and is
+   * archived. It remains one submission, and no task runs again.
    */
   @Test
-  void retryOfAnEndedSubmissionRunsNothing() {
-    final WorkerView worker = fixture.worker("w");
+  void retryOfEndedSubmissionStartsNoRun() {
+    final WorkerView worker = fixture.addWorker("w");
     SubmissionSpec spec = spec("s", QUEUE, step(1, 1_000, 500, false));
     fixture.submit(spec);
     fixture.confirmAll();
-    fixture.hear(worker, end(1, fixture.starts.get(0).run(), RunEnd.DONE));
+    fixture.reportFrom(worker, endedRun(1, fixture.starts.get(0).run(), RunEnd.DONE));
     for (int round = 0; round < 3; round++) {
       fixture.cell.tick(fixture.now, fixture.now);
-      fixture.write();
+      fixture.writePending();
     }
     assertThat(cell.size()).isZero();
     assertThat(cell.accept(spec, fixture.now)).isNull();
@@ -508,22 +516,23 @@
   }
 
   @Test
-  void persistentTaskStartsAgainHoweverItEnds() {
-    StepFlags lasting = new StepFlags(false, false, false, false, true, false);
-    final WorkerView worker = fixture.worker("w");
+  void persistentTaskRestartsAfterSuccessAndFailure() {
+    StepFlags persistent = new StepFlags(false, false, false, false, true, false);
+    final WorkerView worker = fixture.addWorker("w");
     StepSpec step =
-        new StepSpec(1, new Resources(1_000, 1, 0), 100, List.of(), lasting, "", "", 0, "", 0, 0);
+        new StepSpec(
+            1, new Resources(1_000, 1, 0), 100, List.of(), persistent, "", "", 0, "", 0, 0);
     final Submission submission = fixture.submit(spec("s", QUEUE, step));
     for (int run = 0; run < 4; run++) {
       fixture.confirmAll();
-      RunEnd how = run % 2 == 0 ? RunEnd.DONE : RunEnd.FAILED;
-      fixture.hear(worker, end(run + 1, fixture.starts.get(run).run(), how));
+      RunEnd kind = run % 2 == 0 ? RunEnd.DONE : RunEnd.FAILED;
+      fixture.reportFrom(worker, endedRun(run + 1, fixture.starts.get(run).run(), kind));
       fixture.advance(50);
-      fixture.hear(worker);
+      fixture.reportFrom(worker);
       fixture.pass();
     }
     assertThat(fixture.starts).hasSize(5);
-    assertThat(submission.shown()).isEqualTo(SubmissionState.RUNNING);
+    assertThat(submission.visibleState()).isEqualTo(SubmissionState.RUNNING);
   }
 
   @Test
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelOwner.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.hickorypier.core.cell.Cell;
 import org.hickorypier.core.cell.CellOutput;
-import org.hickorypier.core.cell.CellTerms;
+import org.hickorypier.core.cell.CellTimings;
 import org.hickorypier.core.cell.RenewalReport;
 import org.hickorypier.core.cell.RosterEntry;
 import org.hickorypier.core.cell.Run;
@@ -28,7 +28,8 @@
  */
 final class ModelOwner implements CellOutput {
 
-  private static final CellTerms TERMS = CellTerms.of(ModelWorker.MAX_LEASE_MILLIS, 3_000, 600_000);
+  private static final CellTimings TERMS =
+      CellTimings.of(ModelWorker.MAX_LEASE_MILLIS, 3_000, 600_000);
   private static final long ORDER_TIMEOUT_MILLIS = 400;
 
   final int epoch;
@@ -80,7 +81,7 @@
   }
 
   private boolean mayIssueOrders() {
-    return !ended && time.nowMillis() - ownershipProvenAtMillis <= TERMS.proofMillis();
+    return !ended && time.nowMillis() - ownershipProvenAtMillis <= TERMS.ownershipProofMillis();
   }
 
   private void runControlLoop() {
@@ -89,7 +90,7 @@
     }
     if (mayIssueOrders()) {
       cell.tick(time.nowMillis(), time.nowMillis());
-      if (cell.wantsPass()) {
+      if (cell.needsPass()) {
         cell.pass(time.nowMillis(), time.nowMillis());
       }
     }
@@ -113,7 +114,7 @@
           entries.put(worker.id, worker.entry());
         }
       }
-      cell.listed(entries, time.nowMillis());
+      cell.workersListed(entries, time.nowMillis());
     }
     for (WorkerView worker : cell.workers()) {
       if (renewedWorkers.put(worker, true) == null) {
@@ -124,7 +125,7 @@
   }
 
   private void renewLease(WorkerView worker) {
-    if (ended || !cell.knows(worker)) {
+    if (ended || !cell.isKnown(worker)) {
       return;
     }
     if (!mayIssueOrders()) {
@@ -141,7 +142,7 @@
         () -> {
           if (!answered[0] && !ended) {
             answered[0] = true;
-            cell.holdUnanswered(worker, time.nowMillis());
+            cell.renewalUnanswered(worker, time.nowMillis());
             time.schedule(250, () -> renewLease(worker));
           }
         });
@@ -182,7 +183,7 @@
             end();
             return;
           }
-          cell.held(worker, report, sentAt, time.nowMillis());
+          cell.renewalAnswered(worker, report, sentAt, time.nowMillis());
           boolean[] renewalStarted = {false};
           Runnable next =
               () -> {
@@ -292,7 +293,7 @@
     for (Submission submission : unsavedSubmissions) {
       versions.put(submission, submission.version());
       specs.put(submission.spec().id(), submission.spec());
-      if (submission.worthSaving() || !submission.durable()) {
+      if (submission.needsSaving() || !submission.durable()) {
         progress.put(submission.spec().id(), submission.progress());
       }
     }
@@ -350,7 +351,7 @@
                 ownershipProvenAtMillis = sentAt;
                 versions.forEach(
                     (submission, version) -> {
-                      cell.durable(submission, version);
+                      cell.markDurable(submission, version);
                       cluster.recordWritten(submission);
                     });
                 actions.forEach(Runnable::run);
--- a/daemon/src/main/java/org/hickorypier/daemon/front/AccessDecision.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/AccessDecision.java
@@ -1,6 +1,6 @@
 package org.hickorypier.daemon.front;
 
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 import org.hickorypier.core.cluster.ClusterConfiguration;
 import org.hickorypier.core.cluster.QueueRoute;
 
@@ -53,7 +53,7 @@
     if (authorization == null || !authorization.startsWith(BEARER)) {
       return refused(UNAUTHORIZED, "no key", version);
     }
-    CustomerTerms customer =
+    CustomerLimits customer =
         configuration.customerOf(authorization.substring(BEARER.length()).trim()).orElse(null);
     return customer == null
         ? refused(UNAUTHORIZED, "unknown key", version)
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
@@ -262,7 +262,7 @@
         bytes += spec.length;
         records.add(new KeyedRecord(JournalKeys.specKey(id), spec));
       }
-      if (submission.worthSaving()) {
+      if (submission.needsSaving()) {
         byte[] value = SubmissionCodec.encodeProgress(submission.progress());
         bytes += value.length;
         records.add(new KeyedRecord(JournalKeys.progressKey(id), value));
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
@@ -99,7 +99,7 @@
     if (stopped) {
       return;
     }
-    if (!cell.knows(worker)) {
+    if (!cell.isKnown(worker)) {
       stopped = true;
       return;
     }
@@ -137,7 +137,7 @@
       return;
     }
     long now = instruments.timers().nowMillis();
-    cell.held(worker, report, sentAt, now);
+    cell.renewalAnswered(worker, report, sentAt, now);
     events.workerAnswered();
     if (wait == 0) {
       renew();
@@ -182,7 +182,7 @@
       return;
     }
     boolean alreadySilent = worker.silent();
-    cell.holdUnanswered(worker, instruments.timers().nowMillis());
+    cell.renewalUnanswered(worker, instruments.timers().nowMillis());
     instruments.timers().after(alreadySilent ? RETRY_DELAY : FIRST_RETRY_DELAY, this::renew);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.hickorypier.core.cell.Cell;
-import org.hickorypier.core.cell.ComeBack;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
+import org.hickorypier.core.cell.RetryAfter;
 import org.hickorypier.core.cell.RosterEntry;
 import org.hickorypier.core.cell.Submission;
 import org.hickorypier.core.cell.SubmissionStatus;
@@ -79,7 +79,7 @@
       OwnerDependencies dependencies,
       Takeover.Result taken,
       AdviceCallBalancer adviceCalls,
-      Optional<Collection<CustomerTerms>> customers,
+      Optional<Collection<CustomerLimits>> customers,
       Consumer<String> onLost) {
     this.dependencies = dependencies;
     this.epoch = taken.epoch();
@@ -124,7 +124,7 @@
     return epoch;
   }
 
-  void configure(Collection<CustomerTerms> customers) {
+  void configure(Collection<CustomerLimits> customers) {
     cell.configure(customers);
     requestPass();
   }
@@ -151,7 +151,7 @@
       // If no other instance has taken over by now, the store is unavailable to all instances, and
       // an immediate refusal serves the caller better than a wait. Before that, the request waits,
       // since a successor can accept it shortly.
-      return refuse(spec, "the store is unavailable", ComeBack.afterMillis(spec));
+      return refuse(spec, "the store is unavailable", RetryAfter.delayMillis(spec));
     }
     Submission submission = cell.accept(spec, now());
     requestPass();
@@ -225,7 +225,7 @@
 
   LinkReply countWaiting(String queue) {
     return knowsAllAccepted()
-        ? new LinkReply.Number(cell.waiting(queue))
+        ? new LinkReply.Number(cell.countWaiting(queue))
         : new LinkReply.NotOwner();
   }
 
@@ -317,12 +317,12 @@
   }
 
   private boolean maySendOrders() {
-    return !ended && journal.isProven(dependencies.terms().proofMillis());
+    return !ended && journal.isProven(dependencies.terms().ownershipProofMillis());
   }
 
   private void workersListed(Map<String, WorkerEntry> entries, Set<String> departed) {
-    cell.listed(entries, now());
-    cell.departed(departed, now());
+    cell.workersListed(entries, now());
+    cell.workersDeparted(departed, now());
     updateRenewals();
     requestPass();
   }
@@ -355,7 +355,7 @@
   }
 
   private void requestPass() {
-    if (!passScheduled && !ended && cell.wantsPass()) {
+    if (!passScheduled && !ended && cell.needsPass()) {
       passScheduled = true;
       dependencies.timers().after(PASS_DELAY, this::pass);
     }
@@ -413,7 +413,7 @@
     @Override
     public void written(Submission submission, long version) {
       boolean first = !submission.durable();
-      cell.durable(submission, version);
+      cell.markDurable(submission, version);
       if (first) {
         dependencies
             .log()
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerDependencies.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerDependencies.java
@@ -1,7 +1,7 @@
 package org.hickorypier.daemon.owner;
 
 import java.util.function.LongSupplier;
-import org.hickorypier.core.cell.CellTerms;
+import org.hickorypier.core.cell.CellTimings;
 import org.hickorypier.core.cell.EventLog;
 import org.hickorypier.daemon.time.SuspensionDetector;
 import org.hickorypier.daemon.time.TimerService;
@@ -30,5 +30,5 @@
     LongSupplier wallClock,
     SuspensionDetector suspensionDetector,
     EventLog log,
-    CellTerms terms,
+    CellTimings terms,
     long workerHeartbeatMillis) {}
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerGateway.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerGateway.java
@@ -8,8 +8,8 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import org.hickorypier.core.cell.ComeBack;
 import org.hickorypier.core.cell.EventLog;
+import org.hickorypier.core.cell.RetryAfter;
 import org.hickorypier.daemon.link.Link;
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
@@ -428,7 +428,7 @@
 
   private static long retryAfterMillis(LinkRequest request) {
     return request instanceof LinkRequest.Submit submit
-        ? ComeBack.afterMillis(submit.spec())
+        ? RetryAfter.delayMillis(submit.spec())
         : QUERY_RETRY_AFTER_MILLIS;
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
@@ -11,7 +11,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import org.hickorypier.core.cell.CustomerTerms;
+import org.hickorypier.core.cell.CustomerLimits;
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
 import org.hickorypier.platform.store.Append;
@@ -98,7 +98,7 @@
   private final AdviceCallBalancer advice;
   private OwnerCheck ownerCheck;
   private LongSupplier silentMillis = () -> 0;
-  private Optional<Collection<CustomerTerms>> customers = Optional.empty();
+  private Optional<Collection<CustomerLimits>> customers = Optional.empty();
   private Owner owner;
 
   /**
@@ -209,7 +209,7 @@
    *
    * @param updated all customers
    */
-  public void configure(Collection<CustomerTerms> updated) {
+  public void configure(Collection<CustomerLimits> updated) {
     customers = Optional.of(updated);
     if (owner != null) {
       owner.configure(updated);
