--- a/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpServerRequest;
-import org.hickorypier.platform.intake.CallerWords;
+import org.hickorypier.platform.intake.CallerProtocol;
 
 /**
  * Reads the body of a request, which may be too large, malformed, or never end. Stateless.
@@ -41,7 +41,8 @@
     }
     request.handler(part -> add(exchange, part, outcome));
     request.exceptionHandler(
-        error -> outcome.refused(BAD_REQUEST, CallerWords.error("the body cannot be read")));
+        error ->
+            outcome.refused(BAD_REQUEST, CallerProtocol.formatError("the body cannot be read")));
     request.endHandler(none -> outcome.whole());
   }
 
@@ -60,6 +61,6 @@
   }
 
   private static String tooLarge(String size) {
-    return CallerWords.error("the body has " + size + ", allowed are " + MOST_BYTES);
+    return CallerProtocol.formatError("the body has " + size + ", allowed are " + MOST_BYTES);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
@@ -18,7 +18,7 @@
 import org.hickorypier.daemon.time.TimerSubscription;
 import org.hickorypier.daemon.time.VertxTimerService;
 import org.hickorypier.platform.http.ServiceAddress;
-import org.hickorypier.platform.intake.CallerWords;
+import org.hickorypier.platform.intake.CallerProtocol;
 
 /**
  * Serves callers and the balancer's readiness checks, and ends both gracefully.
@@ -273,7 +273,8 @@
     long now = timers.nowMillis();
     for (Exchange exchange : connections.open()) {
       if (exchange.stalled(now)) {
-        refuseBody(exchange, TIMED_OUT, CallerWords.error("the body did not come in time"));
+        refuseBody(
+            exchange, TIMED_OUT, CallerProtocol.formatError("the body did not come in time"));
       } else if (!exchange.whole()) {
         lookForStalled();
       }
@@ -281,7 +282,7 @@
   }
 
   private long waitMillis(HttpServerRequest request) {
-    String text = request.getHeader(CallerWords.DEADLINE_HEADER);
+    String text = request.getHeader(CallerProtocol.DEADLINE_HEADER);
     long wait = USUAL_WAIT_MILLIS;
     try {
       wait = text == null ? wait : Long.parseLong(text.trim());
--- a/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
@@ -12,7 +12,7 @@
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
 import org.hickorypier.daemon.owner.ConfigurationSource;
-import org.hickorypier.platform.intake.CallerWords;
+import org.hickorypier.platform.intake.CallerProtocol;
 import org.hickorypier.platform.intake.SubmissionDecoder;
 import org.hickorypier.wire.UndecodableException;
 
@@ -104,7 +104,7 @@
       answers.answer(
           exchange,
           BAD_REQUEST,
-          CallerWords.error("the id is " + id + ", wanted are 16 hexadecimal digits"));
+          CallerProtocol.formatError("the id is " + id + ", wanted are 16 hexadecimal digits"));
     } else if (request.method() == HttpMethod.POST) {
       submit(exchange, judgement, id, waitMillis);
     } else if (request.method() == HttpMethod.GET) {
@@ -112,7 +112,8 @@
     } else if (request.method() == HttpMethod.DELETE) {
       ask(exchange, new LinkRequest.Cancel(id, judgement.customer()), id, waitMillis);
     } else {
-      answers.answer(exchange, NOT_ALLOWED, CallerWords.error("the method is " + request.method()));
+      answers.answer(
+          exchange, NOT_ALLOWED, CallerProtocol.formatError("the method is " + request.method()));
     }
   }
 
@@ -148,7 +149,7 @@
           BAD_REQUEST,
           "reason",
           error.getMessage());
-      answers.answer(exchange, BAD_REQUEST, CallerWords.error(error.getMessage()));
+      answers.answer(exchange, BAD_REQUEST, CallerProtocol.formatError(error.getMessage()));
       return;
     }
     exchange.asksToSubmit();
@@ -182,11 +183,11 @@
     if (reply instanceof LinkReply.Accepted) {
       answers.answer(exchange, OK, "{}");
     } else if (reply instanceof LinkReply.State state) {
-      answers.answer(exchange, OK, CallerWords.state(state.state()));
+      answers.answer(exchange, OK, CallerProtocol.formatState(state.state()));
     } else if (reply instanceof LinkReply.Number number) {
-      answers.answer(exchange, OK, CallerWords.waiting(number.number()));
+      answers.answer(exchange, OK, CallerProtocol.formatWaitingCount(number.number()));
     } else if (reply instanceof LinkReply.NotKnown) {
-      answers.answer(exchange, GONE, CallerWords.error("no such submission"));
+      answers.answer(exchange, GONE, CallerProtocol.formatError("no such submission"));
     } else if (reply instanceof LinkReply.Refused refused) {
       log.event(
           PART,
@@ -222,6 +223,6 @@
       long seconds = Math.max(1, retryMillis / SECOND_MILLIS);
       exchange.request().response().putHeader("Retry-After", Long.toString(seconds));
     }
-    answers.answer(exchange, status, CallerWords.error(reason));
+    answers.answer(exchange, status, CallerProtocol.formatError(reason));
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
@@ -28,7 +28,7 @@
 import org.hickorypier.daemon.time.VertxTimerService;
 import org.hickorypier.platform.advice.AdviceClient;
 import org.hickorypier.platform.execution.WorkerClient;
-import org.hickorypier.platform.http.HttpCalls;
+import org.hickorypier.platform.http.PooledHttpClient;
 import org.hickorypier.platform.store.StoreClient;
 
 /**
@@ -105,15 +105,16 @@
     }
     timers = new VertxTimerService(vertx, context);
     SuspensionDetector pauses = new SuspensionDetector(timers::nowMillis, wall);
-    StoreClient store = new StoreClient(new HttpCalls(vertx, STORE_CONNECTIONS), settings.store());
+    StoreClient store =
+        new StoreClient(new PooledHttpClient(vertx, STORE_CONNECTIONS), settings.store());
     advisor =
         settings.advisor() == null
             ? null
-            : new AdviceClient(new HttpCalls(vertx, ADVICE_CONNECTIONS), settings.advisor());
+            : new AdviceClient(new PooledHttpClient(vertx, ADVICE_CONNECTIONS), settings.advisor());
     OwnerDependencies instruments =
         new OwnerDependencies(
             store,
-            new WorkerClient(new HttpCalls(vertx, WORKER_CONNECTIONS)),
+            new WorkerClient(new PooledHttpClient(vertx, WORKER_CONNECTIONS)),
             timers,
             wall,
             pauses,
@@ -248,7 +249,7 @@
       return Future.succeededFuture(new LinkReply.Failed());
     }
     return advisor
-        .advise(request.step(), request.workers(), request.timeoutMillis())
+        .requestAdvice(request.step(), request.workers(), request.timeoutMillis())
         .map(advice -> (LinkReply) new LinkReply.Tickets(advice.tickets(), advice.validMillis()))
         .otherwise(
             error -> {
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.cli.ParseException;
-import org.hickorypier.platform.http.HttpCalls;
+import org.hickorypier.platform.http.PooledHttpClient;
 import org.hickorypier.platform.http.ServiceAddress;
 import org.hickorypier.platform.rehearsal.RehearsalPlatform;
 
@@ -36,15 +36,16 @@
   private static final long CALL_MILLIS = 3_000;
   private static final int OK = 200;
   private static final Map<String, String> HEADERS =
-      Map.of("Host", RehearsalPlatform.HOST, "Authorization", "Bearer " + RehearsalPlatform.KEY);
+      Map.of(
+          "Host", RehearsalPlatform.HOST, "Authorization", "Bearer " + RehearsalPlatform.API_KEY);
 
-  private final HttpCalls calls;
+  private final PooledHttpClient calls;
   private final Vertx vertx;
   private final CountDownLatch done = new CountDownLatch(SUBMISSIONS);
 
   private Rehearsal(Vertx vertx) {
     this.vertx = vertx;
-    this.calls = new HttpCalls(vertx, 2);
+    this.calls = new PooledHttpClient(vertx, 2);
   }
 
   /**
@@ -91,11 +92,12 @@
       return;
     }
     NodeSettings to = number % 2 == 0 ? first : second;
-    String path = RehearsalPlatform.PREFIX + "%016x".formatted(number);
+    String path = RehearsalPlatform.QUEUE_PATH_PREFIX + "%016x".formatted(number);
     boolean cancelled = number % 5 == 4;
     submit(to, path, POLLS)
         .compose(none -> call(to.ready(), HttpMethod.GET, "/", null))
-        .compose(none -> call(to.front(), HttpMethod.GET, RehearsalPlatform.PREFIX, null))
+        .compose(
+            none -> call(to.front(), HttpMethod.GET, RehearsalPlatform.QUEUE_PATH_PREFIX, null))
         .compose(
             none ->
                 cancelled
@@ -108,7 +110,12 @@
   private Future<String> submit(NodeSettings to, String path, int tries) {
     return calls
         .call(
-            to.front(), HttpMethod.POST, path, HEADERS, RehearsalPlatform.submission(), CALL_MILLIS)
+            to.front(),
+            HttpMethod.POST,
+            path,
+            HEADERS,
+            RehearsalPlatform.submissionBody(),
+            CALL_MILLIS)
         .compose(
             reply ->
                 reply.status() == OK || tries == 0
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
@@ -5,7 +5,7 @@
 import org.hickorypier.core.cell.Cell;
 import org.hickorypier.core.cell.RenewalReport;
 import org.hickorypier.core.cell.WorkerView;
-import org.hickorypier.platform.execution.Renewal;
+import org.hickorypier.platform.execution.LeaseRenewal;
 import org.hickorypier.platform.execution.WorkerCallException;
 
 /**
@@ -108,8 +108,8 @@
     long wait = waitMillis(deadline);
     instruments
         .workers()
-        .hold(
-            new Renewal(
+        .renewLease(
+            new LeaseRenewal(
                 worker.id(),
                 worker.entry().address(),
                 deadline,
@@ -174,7 +174,7 @@
     if (stopped) {
       return;
     }
-    if (error instanceof WorkerCallException refusal && refusal.fenced()) {
+    if (error instanceof WorkerCallException refusal && refusal.isFenced()) {
       events.fenced(worker.id());
       return;
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
@@ -15,8 +15,8 @@
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
 import org.hickorypier.platform.store.Append;
+import org.hickorypier.platform.store.GroupMembership;
 import org.hickorypier.platform.store.KeyedRecord;
-import org.hickorypier.platform.store.Membership;
 
 /**
  * Decides whether this instance owns the cell.
@@ -467,7 +467,7 @@
     endOwnership("shutdown");
   }
 
-  private void handleMembership(Membership membership) {
+  private void handleMembership(GroupMembership membership) {
     joining = false;
     generation = membership.generation();
     if (membership.partitions().contains(JournalKeys.PARTITION) && owner == null && !leaving) {
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Takeover.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Takeover.java
@@ -97,7 +97,7 @@
 
   Future<Result> run() {
     return store
-        .snapshot(JournalKeys.TOPIC, JournalKeys.PARTITION)
+        .readSnapshot(JournalKeys.TOPIC, JournalKeys.PARTITION)
         .compose(snapshot -> readToEnd(snapshot.from(), snapshot.values(), 0, 0));
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/TopicReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/TopicReader.java
@@ -55,7 +55,7 @@
   Future<Changes> readNext(long waitMillis) {
     Future<Changes> read =
         position == NO_POSITION
-            ? store.snapshot(topic, PARTITION).map(this::fromSnapshot)
+            ? store.readSnapshot(topic, PARTITION).map(this::fromSnapshot)
             : store.read(topic, PARTITION, position, waitMillis).map(this::fromPage);
     return read.onFailure(this::restartIfExpired);
   }
--- a/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/front/FrontServerTest.java
@@ -19,8 +19,8 @@
 import org.hickorypier.core.cluster.QueueRoute;
 import org.hickorypier.core.submission.QueueTerms;
 import org.hickorypier.daemon.owner.ConfigurationSource;
-import org.hickorypier.platform.http.HttpCalls;
 import org.hickorypier.platform.http.HttpReply;
+import org.hickorypier.platform.http.PooledHttpClient;
 import org.hickorypier.platform.http.ServiceAddress;
 import org.hickorypier.standins.http.LoopbackPort;
 import org.junit.jupiter.api.Test;
@@ -81,7 +81,7 @@
       String path = "/queue/5c0e7a21d94b36f1";
       String body = "{\"Spec\":\"text\",\"Phases\":[{\"Count\":1,\"Cpu\":10,\"MemMb\":1}]}";
       Map<String, String> host = Map.of("Host", "queue.example");
-      HttpCalls calls = new HttpCalls(vertx, 1);
+      PooledHttpClient calls = new PooledHttpClient(vertx, 1);
       assertThat(
               await(calls.call(front, HttpMethod.POST, path, host, Buffer.buffer(body), 5_000))
                   .status())
@@ -130,7 +130,7 @@
   }
 
   private static Future<HttpReply> ask(Vertx vertx, ServiceAddress readiness) {
-    return new HttpCalls(vertx, 1)
+    return new PooledHttpClient(vertx, 1)
         .call(readiness, HttpMethod.GET, "/hickorypier/ready", Map.of(), null, 2_000)
         .otherwise(new HttpReply(0, Buffer.buffer()));
   }
--- a/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
@@ -33,8 +33,8 @@
 import org.hickorypier.core.submission.QueueTerms;
 import org.hickorypier.daemon.owner.ProcessorSpeedMonitor;
 import org.hickorypier.daemon.owner.Strength;
-import org.hickorypier.platform.http.HttpCalls;
 import org.hickorypier.platform.http.HttpReply;
+import org.hickorypier.platform.http.PooledHttpClient;
 import org.hickorypier.platform.http.ServiceAddress;
 import org.hickorypier.platform.store.Append;
 import org.hickorypier.platform.store.KeyedRecord;
@@ -67,7 +67,7 @@
   private final List<HttpServer> workerListeners = new ArrayList<>();
   final List<Instance> instances = new ArrayList<>();
   final List<String> events = java.util.Collections.synchronizedList(new ArrayList<>());
-  private final HttpCalls calls = new HttpCalls(vertx, 20);
+  private final PooledHttpClient calls = new PooledHttpClient(vertx, 20);
   private final ServiceAddress storeAddress;
   EventLog log = (part, event, fields) -> {};
   Runnable onClose = () -> {};
--- a/daemon/src/test/java/org/hickorypier/daemon/owner/TakeoverTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/owner/TakeoverTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
-import org.hickorypier.platform.http.HttpCalls;
+import org.hickorypier.platform.http.PooledHttpClient;
 import org.hickorypier.platform.http.ServiceAddress;
 import org.hickorypier.platform.store.Append;
 import org.hickorypier.platform.store.KeyedRecord;
@@ -38,7 +38,7 @@
     HttpServer server = await(storeServer.listen(0));
     store =
         new StoreClient(
-            new HttpCalls(vertx, 8), new ServiceAddress("127.0.0.1", server.actualPort()));
+            new PooledHttpClient(vertx, 8), new ServiceAddress("127.0.0.1", server.actualPort()));
   }
 
   @AfterEach
--- a/measure/src/main/java/org/hickorypier/measure/soak/SoakCallers.java
+++ b/measure/src/main/java/org/hickorypier/measure/soak/SoakCallers.java
@@ -20,8 +20,8 @@
 import org.hickorypier.core.submission.SubmissionSpec;
 import org.hickorypier.core.submission.SubmissionState;
 import org.hickorypier.core.verification.PromiseChecker;
-import org.hickorypier.platform.http.HttpCalls;
 import org.hickorypier.platform.http.HttpReply;
+import org.hickorypier.platform.http.PooledHttpClient;
 import org.hickorypier.platform.http.ServiceAddress;
 
 /**
@@ -56,7 +56,7 @@
   private static final long WITHDRAWN_MILLIS = 5_000;
 
   private final Vertx vertx;
-  private final HttpCalls calls;
+  private final PooledHttpClient calls;
   private final StandInPlatform platform;
   private final List<ServiceAddress> fronts;
   private final PromiseChecker checker;
@@ -83,7 +83,7 @@
       LastingTaskCheck lasting,
       long seed) {
     this.vertx = vertx;
-    this.calls = new HttpCalls(vertx, CONNECTIONS);
+    this.calls = new PooledHttpClient(vertx, CONNECTIONS);
     this.platform = platform;
     this.fronts = List.copyOf(fronts);
     this.checker = checker;
--- a/measure/src/main/java/org/hickorypier/measure/soak/SoakRun.java
+++ b/measure/src/main/java/org/hickorypier/measure/soak/SoakRun.java
@@ -17,8 +17,8 @@
 import java.util.function.Supplier;
 import org.hickorypier.core.verification.PromiseChecker;
 import org.hickorypier.measure.fleet.FleetException;
-import org.hickorypier.platform.http.HttpCalls;
 import org.hickorypier.platform.http.HttpReply;
+import org.hickorypier.platform.http.PooledHttpClient;
 import org.hickorypier.platform.http.ServiceAddress;
 
 /**
@@ -115,7 +115,7 @@
   }
 
   private void awaitReady(Vertx vertx) throws SoakException {
-    HttpCalls calls = new HttpCalls(vertx, 1);
+    PooledHttpClient calls = new PooledHttpClient(vertx, 1);
     for (InstanceProcess instance : instances) {
       boolean ready = Waiting.until(START_MILLIS, () -> ready(calls, instance));
       if (!ready) {
@@ -124,7 +124,8 @@
     }
   }
 
-  private static boolean ready(HttpCalls calls, InstanceProcess instance) throws SoakException {
+  private static boolean ready(PooledHttpClient calls, InstanceProcess instance)
+      throws SoakException {
     HttpReply reply =
         Waiting.forResult(
             calls
--- a/standins/src/main/java/org/hickorypier/standins/main/RegisterMain.java
+++ b/standins/src/main/java/org/hickorypier/standins/main/RegisterMain.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import java.util.concurrent.ExecutionException;
 import org.apache.commons.cli.ParseException;
-import org.hickorypier.platform.http.HttpExchanges;
 import org.hickorypier.platform.http.HttpReply;
 import org.hickorypier.platform.http.HttpTimeouts;
 import org.hickorypier.platform.http.JsonCodec;
 import org.hickorypier.platform.http.ServiceAddress;
+import org.hickorypier.platform.http.ServiceHttpClient;
 import org.hickorypier.platform.instance.InstanceKind;
 import org.hickorypier.platform.instance.InstanceState;
 import org.hickorypier.platform.instance.ListedInstance;
@@ -34,11 +34,11 @@
   private static final int CONNECTIONS = 1;
 
   private final Vertx vertx;
-  private final HttpExchanges list;
+  private final ServiceHttpClient list;
 
   private RegisterMain(Vertx vertx, ServiceAddress address) {
     this.vertx = vertx;
-    this.list = new HttpExchanges(vertx, address, HttpTimeouts.STORE, CONNECTIONS);
+    this.list = new ServiceHttpClient(vertx, address, HttpTimeouts.STORE, CONNECTIONS);
   }
 
   /**
@@ -100,8 +100,9 @@
 
   private ListedInstance describe(String address)
       throws ParseException, ExecutionException, InterruptedException {
-    try (HttpExchanges worker =
-        new HttpExchanges(vertx, ServiceAddress.parse(address), HttpTimeouts.STORE, CONNECTIONS)) {
+    try (ServiceHttpClient worker =
+        new ServiceHttpClient(
+            vertx, ServiceAddress.parse(address), HttpTimeouts.STORE, CONNECTIONS)) {
       HttpReply reply = await(worker.call(HttpMethod.GET, "/status", null, Duration.ZERO));
       WorkerStatus status = JsonCodec.decode(reply.body(), WorkerStatus.class);
       return new ListedInstance(
--- a/standins/src/test/java/org/hickorypier/standins/contract/Served.java
+++ b/standins/src/test/java/org/hickorypier/standins/contract/Served.java
@@ -6,9 +6,9 @@
 import io.vertx.core.http.HttpServer;
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
-import org.hickorypier.platform.http.HttpExchanges;
 import org.hickorypier.platform.http.HttpTimeouts;
 import org.hickorypier.platform.http.ServiceAddress;
+import org.hickorypier.platform.http.ServiceHttpClient;
 import org.hickorypier.standins.fault.FaultPlan;
 
 /** A served stand-in and what a test needs to reach it. */
@@ -25,14 +25,14 @@
   private final Vertx vertx;
   private final HttpServer server;
   private final ServiceAddress address;
-  private final HttpExchanges control;
+  private final ServiceHttpClient control;
 
   /** Waits for a server to listen. */
   public Served(Vertx vertx, Future<HttpServer> listening) {
     this.vertx = vertx;
     this.server = await(listening);
     this.address = new ServiceAddress("127.0.0.1", server.actualPort());
-    this.control = new HttpExchanges(vertx, address, PATIENT, 1);
+    this.control = new ServiceHttpClient(vertx, address, PATIENT, 1);
   }
 
   /** Returns where it listens. */
