--- a/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/BodyReader.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpServerRequest;
-import org.hickorypier.platform.intake.CallerWords;
+import org.hickorypier.platform.intake.CallerProtocol;
 
 /**
  * Reads the body of a request up to {@link #MAX_BODY_BYTES}. Stateless.
@@ -41,7 +41,8 @@
     }
     request.handler(part -> appendPart(exchange, part, callback));
     request.exceptionHandler(
-        error -> callback.onRefused(BAD_REQUEST, CallerWords.error("the body cannot be read")));
+        error ->
+            callback.onRefused(BAD_REQUEST, CallerProtocol.formatError("the body cannot be read")));
     request.endHandler(ignored -> callback.onComplete());
   }
 
@@ -62,6 +63,6 @@
   }
 
   private static String tooLargeAnswer(String size) {
-    return CallerWords.error("the body has " + size + ", allowed are " + MAX_BODY_BYTES);
+    return CallerProtocol.formatError("the body has " + size + ", allowed are " + MAX_BODY_BYTES);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/FrontServer.java
@@ -18,7 +18,7 @@
 import org.hickorypier.daemon.time.TimerSubscription;
 import org.hickorypier.daemon.time.VertxTimerService;
 import org.hickorypier.platform.http.ServiceAddress;
-import org.hickorypier.platform.intake.CallerWords;
+import org.hickorypier.platform.intake.CallerProtocol;
 
 /**
  * HTTP servers for callers and for the balancer's readiness checks, with graceful shutdown.
@@ -277,7 +277,8 @@
     long now = timers.nowMillis();
     for (Exchange exchange : connections.openExchanges()) {
       if (exchange.isBodyOverdue(now)) {
-        refuseBody(exchange, REQUEST_TIMEOUT, CallerWords.error("the body did not come in time"));
+        refuseBody(
+            exchange, REQUEST_TIMEOUT, CallerProtocol.formatError("the body did not come in time"));
       } else if (!exchange.isBodyComplete()) {
         scheduleStallCheck();
       }
@@ -285,7 +286,7 @@
   }
 
   private long waitMillis(HttpServerRequest request) {
-    String text = request.getHeader(CallerWords.DEADLINE_HEADER);
+    String text = request.getHeader(CallerProtocol.DEADLINE_HEADER);
     long wait = DEFAULT_WAIT_MILLIS;
     try {
       wait = text == null ? wait : Long.parseLong(text.trim());
--- a/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/front/RequestHandler.java
@@ -12,7 +12,7 @@
 import org.hickorypier.daemon.link.LinkReply;
 import org.hickorypier.daemon.link.LinkRequest;
 import org.hickorypier.daemon.owner.ConfigurationSource;
-import org.hickorypier.platform.intake.CallerWords;
+import org.hickorypier.platform.intake.CallerProtocol;
 import org.hickorypier.platform.intake.SubmissionDecoder;
 import org.hickorypier.wire.UndecodableException;
 
@@ -106,7 +106,7 @@
       answerWriter.answer(
           exchange,
           BAD_REQUEST,
-          CallerWords.error("the id is " + id + ", wanted are 16 hexadecimal digits"));
+          CallerProtocol.formatError("the id is " + id + ", wanted are 16 hexadecimal digits"));
     } else if (request.method() == HttpMethod.POST) {
       submit(exchange, decision, id, waitMillis);
     } else if (request.method() == HttpMethod.GET) {
@@ -115,7 +115,9 @@
       sendToOwner(exchange, new LinkRequest.Cancel(id, decision.customer()), id, waitMillis);
     } else {
       answerWriter.answer(
-          exchange, METHOD_NOT_ALLOWED, CallerWords.error("the method is " + request.method()));
+          exchange,
+          METHOD_NOT_ALLOWED,
+          CallerProtocol.formatError("the method is " + request.method()));
     }
   }
 
@@ -151,7 +153,7 @@
           BAD_REQUEST,
           "reason",
           error.getMessage());
-      answerWriter.answer(exchange, BAD_REQUEST, CallerWords.error(error.getMessage()));
+      answerWriter.answer(exchange, BAD_REQUEST, CallerProtocol.formatError(error.getMessage()));
       return;
     }
     exchange.markSubmission();
@@ -186,11 +188,11 @@
     if (reply instanceof LinkReply.Accepted) {
       answerWriter.answer(exchange, OK, "{}");
     } else if (reply instanceof LinkReply.State state) {
-      answerWriter.answer(exchange, OK, CallerWords.state(state.state()));
+      answerWriter.answer(exchange, OK, CallerProtocol.formatState(state.state()));
     } else if (reply instanceof LinkReply.Number number) {
-      answerWriter.answer(exchange, OK, CallerWords.waiting(number.number()));
+      answerWriter.answer(exchange, OK, CallerProtocol.formatWaitingCount(number.number()));
     } else if (reply instanceof LinkReply.NotKnown) {
-      answerWriter.answer(exchange, GONE, CallerWords.error("no such submission"));
+      answerWriter.answer(exchange, GONE, CallerProtocol.formatError("no such submission"));
     } else if (reply instanceof LinkReply.Refused refused) {
       log.event(
           PART,
@@ -229,6 +231,6 @@
       long seconds = Math.max(1, retryMillis / MILLIS_PER_SECOND);
       exchange.request().response().putHeader("Retry-After", Long.toString(seconds));
     }
-    answerWriter.answer(exchange, status, CallerWords.error(reason));
+    answerWriter.answer(exchange, status, CallerProtocol.formatError(reason));
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Rehearsal.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.cli.ParseException;
-import org.hickorypier.platform.http.HttpCalls;
+import org.hickorypier.platform.http.PooledHttpClient;
 import org.hickorypier.platform.http.ServiceAddress;
 import org.hickorypier.platform.rehearsal.RehearsalPlatform;
 
@@ -38,15 +38,16 @@
   private static final long CALL_TIMEOUT_MILLIS = 3_000;
   private static final int OK = 200;
   private static final Map<String, String> HEADERS =
-      Map.of("Host", RehearsalPlatform.HOST, "Authorization", "Bearer " + RehearsalPlatform.KEY);
+      Map.of(
+          "Host", RehearsalPlatform.HOST, "Authorization", "Bearer " + RehearsalPlatform.API_KEY);
 
-  private final HttpCalls httpCalls;
+  private final PooledHttpClient httpCalls;
   private final Vertx vertx;
   private final CountDownLatch remainingSubmissions = new CountDownLatch(SUBMISSIONS);
 
   private Rehearsal(Vertx vertx) {
     this.vertx = vertx;
-    this.httpCalls = new HttpCalls(vertx, 2);
+    this.httpCalls = new PooledHttpClient(vertx, 2);
   }
 
   /**
@@ -93,11 +94,12 @@
       return;
     }
     NodeSettings target = number % 2 == 0 ? first : second;
-    String path = RehearsalPlatform.PREFIX + "%016x".formatted(number);
+    String path = RehearsalPlatform.QUEUE_PATH_PREFIX + "%016x".formatted(number);
     boolean cancelled = number % 5 == 4;
     submit(target, path, MAX_POLLS)
         .compose(none -> call(target.ready(), HttpMethod.GET, "/", null))
-        .compose(none -> call(target.front(), HttpMethod.GET, RehearsalPlatform.PREFIX, null))
+        .compose(
+            none -> call(target.front(), HttpMethod.GET, RehearsalPlatform.QUEUE_PATH_PREFIX, null))
         .compose(
             none ->
                 cancelled
@@ -117,7 +119,7 @@
             HttpMethod.POST,
             path,
             HEADERS,
-            RehearsalPlatform.submission(),
+            RehearsalPlatform.submissionBody(),
             CALL_TIMEOUT_MILLIS)
         .compose(
             reply ->
