--- a/core/src/main/java/org/hickorypier/core/scheduling/Admission.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Admission.java
@@ -27,13 +27,13 @@
   private static final int PATIENCE_PART = 8;
 
   private final SchedulerSettings settings;
-  private final Capacities capacities;
+  private final WorkerCapacities capacities;
   private final WorkHistory history;
   private final WaitEstimate waitEstimate;
 
   Admission(
       SchedulerSettings settings,
-      Capacities capacities,
+      WorkerCapacities capacities,
       WorkHistory history,
       WaitEstimate waitEstimate) {
     this.settings = settings;
@@ -44,7 +44,7 @@
 
   /** Returns why the item is refused, or empty if it may be queued. */
   Optional<Refusal> refuse(WorkItem item, TeamState team, long now) {
-    Optional<String> neverFits = capacities.whyNeverFits(item);
+    Optional<String> neverFits = capacities.explainNeverFits(item);
     if (neverFits.isPresent()) {
       return refusal(RefusalReason.NEVER_FITS, neverFits.get(), 0);
     }
--- a/core/src/main/java/org/hickorypier/core/scheduling/DataCentre.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/DataCentre.java
@@ -14,7 +14,8 @@
 
   private final Map<String, Rack> racks = new TreeMap<>();
   private final ServiceCounts services = new ServiceCounts();
-  private final RoomIndex index = new RoomIndex(RoomIndex.Scope.DATA_CENTRE);
+  private final FreeCapacityIndex index =
+      new FreeCapacityIndex(FreeCapacityIndex.Scope.DATA_CENTRE);
 
   Collection<Rack> racks() {
     return racks.values();
@@ -28,11 +29,11 @@
     return services;
   }
 
-  RoomIndex index() {
+  FreeCapacityIndex index() {
     return index;
   }
 
-  void eachWorker(Consumer<WorkerState> action) {
+  void forEachWorker(Consumer<WorkerState> action) {
     racks.values().forEach(rack -> rack.workers().forEach(action));
   }
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/Explanation.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Explanation.java
@@ -31,7 +31,7 @@
           + permitsNeeded
           + " more.";
     }
-    if (fleet.workers().stream().noneMatch(WorkerState::takesTasks)) {
+    if (fleet.workers().stream().noneMatch(WorkerState::acceptsTasks)) {
       return "no worker that takes new tasks has a free slot.";
     }
     if (queued.shape().isBlocked()) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/Fleet.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Fleet.java
@@ -20,13 +20,13 @@
 
   private final Map<String, WorkerState> workers = new LinkedHashMap<>();
   private final Map<String, DataCentre> dataCentres = new TreeMap<>();
-  private final Map<String, Integer> randomPlace = new HashMap<>();
-  private final List<WorkerState> forRandomChoice = new ArrayList<>();
-  private final RoomIndex index = new RoomIndex(RoomIndex.Scope.FLEET);
+  private final Map<String, Integer> positions = new HashMap<>();
+  private final List<WorkerState> workerList = new ArrayList<>();
+  private final FreeCapacityIndex index = new FreeCapacityIndex(FreeCapacityIndex.Scope.FLEET);
   private Resources total = Resources.NONE;
   private int totalSlots;
 
-  RoomIndex index() {
+  FreeCapacityIndex index() {
     return index;
   }
 
@@ -51,32 +51,32 @@
   }
 
   int size() {
-    return forRandomChoice.size();
+    return workerList.size();
   }
 
   WorkerState at(int place) {
-    return forRandomChoice.get(place);
+    return workerList.get(place);
   }
 
   void add(WorkerState worker) {
     workers.put(worker.name(), worker);
-    randomPlace.put(worker.name(), forRandomChoice.size());
-    forRandomChoice.add(worker);
+    positions.put(worker.name(), workerList.size());
+    workerList.add(worker);
     dataCentre(worker).add(worker);
     worker.reservations().forEach(reservation -> countService(worker, reservation.task(), true));
     total = total.plus(worker.description().capacity());
     totalSlots += worker.description().slots();
-    fitLevels(worker);
+    fitIndexLevels(worker);
     reindex(worker);
   }
 
   void remove(WorkerState worker) {
     workers.remove(worker.name());
-    int place = randomPlace.remove(worker.name());
-    WorkerState last = forRandomChoice.remove(forRandomChoice.size() - 1);
+    int place = positions.remove(worker.name());
+    WorkerState last = workerList.remove(workerList.size() - 1);
     if (last != worker) {
-      forRandomChoice.set(place, last);
-      randomPlace.put(last.name(), place);
+      workerList.set(place, last);
+      positions.put(last.name(), place);
     }
     index.remove(worker);
     DataCentre dataCentre = dataCentre(worker);
@@ -107,14 +107,14 @@
     reindex(worker, dataCentre(worker).index());
   }
 
-  private static void reindex(WorkerState worker, RoomIndex in) {
+  private static void reindex(WorkerState worker, FreeCapacityIndex in) {
     in.remove(worker);
-    if (worker.takesTasks()) {
+    if (worker.acceptsTasks()) {
       in.add(worker);
     }
   }
 
-  private void fitLevels(WorkerState worker) {
+  private void fitIndexLevels(WorkerState worker) {
     final Resources capacity = worker.description().capacity();
     final DataCentre dataCentre = dataCentre(worker);
     if (index.needsWiderLevels(capacity)) {
@@ -123,12 +123,12 @@
       workers.values().forEach(other -> reindex(other, index));
     }
     if (dataCentre.index().needsWiderLevels(capacity)) {
-      dataCentre.eachWorker(dataCentre.index()::remove);
+      dataCentre.forEachWorker(dataCentre.index()::remove);
       dataCentre.index().widenLevels(capacity);
-      dataCentre.eachWorker(other -> reindex(other, dataCentre.index()));
+      dataCentre.forEachWorker(other -> reindex(other, dataCentre.index()));
     }
-    index.seen(capacity);
-    dataCentre.index().seen(capacity);
+    index.includeCapacity(capacity);
+    dataCentre.index().includeCapacity(capacity);
   }
 
   private void countService(WorkerState worker, PlacedTask task, boolean more) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/RoomIndex.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/FreeCapacityIndex.java
@@ -16,7 +16,7 @@
  *
  * <p>Invariant: every indexed worker stands in the cell of its present free room. Not thread safe.
  */
-final class RoomIndex {
+final class FreeCapacityIndex {
 
   /** Memory levels, one for each bit of a row's mask. */
   private static final int MEMORY_LEVELS = Long.SIZE;
@@ -34,18 +34,18 @@
    */
   private static final double IMBALANCE_WEIGHT = 4;
 
-  private static final long LEAST_MILLI_PROCESSORS = 250;
-  private static final long LEAST_MEMORY_MEBIBYTES = 256;
+  private static final long MIN_MILLI_PROCESSORS_PER_LEVEL = 250;
+  private static final long MIN_MEMORY_MEBIBYTES_PER_LEVEL = 256;
 
   private final Scope scope;
   private final Row[] rows = new Row[ACCELERATOR_LEVELS * PROCESSOR_LEVELS];
   private final int[] workersByAccelerators = new int[ACCELERATOR_LEVELS];
-  private long milliProcessorsPerLevel = LEAST_MILLI_PROCESSORS;
-  private long memoryPerLevel = LEAST_MEMORY_MEBIBYTES;
+  private long milliProcessorsPerLevel = MIN_MILLI_PROCESSORS_PER_LEVEL;
+  private long memoryMebibytesPerLevel = MIN_MEMORY_MEBIBYTES_PER_LEVEL;
   private long largestMilliProcessors = 1;
-  private long largestMemory = 1;
-  private double processorPart;
-  private double memoryPart;
+  private long largestMemoryMebibytes = 1;
+  private double processorLevelFraction;
+  private double memoryLevelFraction;
 
   /** What an index spans; a worker stands in one index of each scope. */
   enum Scope {
@@ -56,28 +56,28 @@
   /** Where a worker stands: its row, its cell and its place in the cell. */
   static final class Position {
     private final int row;
-    private final int cell;
-    private int place;
+    private final int bucket;
+    private int offset;
 
     private Position(int row, int cell, int place) {
       this.row = row;
-      this.cell = cell;
-      this.place = place;
+      this.bucket = cell;
+      this.offset = place;
     }
   }
 
   private static final class Row {
-    private long mask;
-    private final List<List<WorkerState>> cells = new ArrayList<>();
+    private long occupiedBuckets;
+    private final List<List<WorkerState>> buckets = new ArrayList<>();
 
     private Row() {
       for (int i = 0; i < MEMORY_LEVELS; i++) {
-        cells.add(null);
+        buckets.add(null);
       }
     }
   }
 
-  RoomIndex(Scope scope) {
+  FreeCapacityIndex(Scope scope) {
     this.scope = scope;
   }
 
@@ -87,41 +87,41 @@
    */
   boolean needsWiderLevels(Resources capacity) {
     return capacity.milliProcessors() > milliProcessorsPerLevel * (PROCESSOR_LEVELS - 1)
-        || capacity.memoryMebibytes() > memoryPerLevel * MEMORY_LEVELS;
+        || capacity.memoryMebibytes() > memoryMebibytesPerLevel * MEMORY_LEVELS;
   }
 
   /** Has free room counted as parts of the largest worker. */
-  void seen(Resources capacity) {
+  void includeCapacity(Resources capacity) {
     largestMilliProcessors = Math.max(largestMilliProcessors, capacity.milliProcessors());
-    largestMemory = Math.max(largestMemory, capacity.memoryMebibytes());
-    processorPart = (double) milliProcessorsPerLevel / largestMilliProcessors;
-    memoryPart = (double) memoryPerLevel / largestMemory;
+    largestMemoryMebibytes = Math.max(largestMemoryMebibytes, capacity.memoryMebibytes());
+    processorLevelFraction = (double) milliProcessorsPerLevel / largestMilliProcessors;
+    memoryLevelFraction = (double) memoryMebibytesPerLevel / largestMemoryMebibytes;
   }
 
   void widenLevels(Resources capacity) {
     while (capacity.milliProcessors() > milliProcessorsPerLevel * (PROCESSOR_LEVELS - 1)) {
       milliProcessorsPerLevel *= 2;
     }
-    while (capacity.memoryMebibytes() > memoryPerLevel * MEMORY_LEVELS) {
-      memoryPerLevel *= 2;
+    while (capacity.memoryMebibytes() > memoryMebibytesPerLevel * MEMORY_LEVELS) {
+      memoryMebibytesPerLevel *= 2;
     }
   }
 
   void add(WorkerState worker) {
     int accelerators = acceleratorLevel(worker.freeAccelerators());
-    int row = row(accelerators, processorLevel(worker.freeMilliProcessors()));
+    int row = rowIndex(accelerators, processorLevel(worker.freeMilliProcessors()));
     int cell = memoryLevel(worker.freeMemoryMebibytes());
     if (rows[row] == null) {
       rows[row] = new Row();
     }
-    List<WorkerState> members = rows[row].cells.get(cell);
+    List<WorkerState> members = rows[row].buckets.get(cell);
     if (members == null) {
       members = new ArrayList<>();
-      rows[row].cells.set(cell, members);
+      rows[row].buckets.set(cell, members);
     }
-    worker.moveTo(scope, new Position(row, cell, members.size()));
+    worker.setPosition(scope, new Position(row, cell, members.size()));
     members.add(worker);
-    rows[row].mask |= 1L << cell;
+    rows[row].occupiedBuckets |= 1L << cell;
     workersByAccelerators[accelerators]++;
   }
 
@@ -131,17 +131,17 @@
       return;
     }
     Row row = rows[position.row];
-    List<WorkerState> members = row.cells.get(position.cell);
+    List<WorkerState> members = row.buckets.get(position.bucket);
     WorkerState last = members.remove(members.size() - 1);
     if (last != worker) {
-      members.set(position.place, last);
-      last.position(scope).place = position.place;
+      members.set(position.offset, last);
+      last.position(scope).offset = position.offset;
     }
     if (members.isEmpty()) {
-      row.mask &= ~(1L << position.cell);
+      row.occupiedBuckets &= ~(1L << position.bucket);
     }
     workersByAccelerators[position.row / PROCESSOR_LEVELS]--;
-    worker.moveTo(scope, null);
+    worker.setPosition(scope, null);
   }
 
   /**
@@ -159,7 +159,8 @@
    */
   WorkerState bestFit(Resources need, Predicate<WorkerState> allowed) {
     for (int level = acceleratorLevel(need.accelerators()); level < ACCELERATOR_LEVELS; level++) {
-      WorkerState found = workersByAccelerators[level] == 0 ? null : bestOf(level, need, allowed);
+      WorkerState found =
+          workersByAccelerators[level] == 0 ? null : bestFitAtLevel(level, need, allowed);
       if (found != null) {
         return found;
       }
@@ -167,24 +168,24 @@
     return null;
   }
 
-  private WorkerState bestOf(int level, Resources need, Predicate<WorkerState> allowed) {
+  private WorkerState bestFitAtLevel(int level, Resources need, Predicate<WorkerState> allowed) {
     int firstMemory = memoryLevel(need.memoryMebibytes());
     int firstProcessors = processorLevel(need.milliProcessors());
     WorkerState best = null;
     double bestScore = Double.MAX_VALUE;
     for (int i = firstProcessors; i < PROCESSOR_LEVELS; i++) {
-      double processors = (i - firstProcessors) * processorPart;
+      double processors = (i - firstProcessors) * processorLevelFraction;
       if (processors >= bestScore) {
         break;
       }
-      Row row = rows[row(level, i)];
-      long cells = row == null ? 0 : row.mask & -1L << firstMemory;
+      Row row = rows[rowIndex(level, i)];
+      long cells = row == null ? 0 : row.occupiedBuckets & -1L << firstMemory;
       for (; cells != 0; cells &= cells - 1) {
         int cell = Long.numberOfTrailingZeros(cells);
-        double memory = (cell - firstMemory) * memoryPart;
+        double memory = (cell - firstMemory) * memoryLevelFraction;
         double score = score(processors, memory);
         if (score < bestScore) {
-          WorkerState found = member(row, cell, need, allowed);
+          WorkerState found = firstFitting(row, cell, need, allowed);
           best = found == null ? best : found;
           bestScore = found == null ? bestScore : score;
         } else if (memory > processors) {
@@ -200,9 +201,9 @@
     return processors + memory + IMBALANCE_WEIGHT * Math.abs(processors - memory);
   }
 
-  private static WorkerState member(
+  private static WorkerState firstFitting(
       Row row, int cell, Resources need, Predicate<WorkerState> allowed) {
-    List<WorkerState> members = row.cells.get(cell);
+    List<WorkerState> members = row.buckets.get(cell);
     for (int i = members.size() - 1; i >= 0; i--) {
       WorkerState worker = members.get(i);
       if (worker.hasRoomFor(need) && allowed.test(worker)) {
@@ -212,7 +213,7 @@
     return null;
   }
 
-  private static int row(int acceleratorLevel, int processorLevel) {
+  private static int rowIndex(int acceleratorLevel, int processorLevel) {
     return acceleratorLevel * PROCESSOR_LEVELS + processorLevel;
   }
 
@@ -226,6 +227,7 @@
   }
 
   private int memoryLevel(long memoryMebibytes) {
-    return (int) Math.max(0, Math.min(MEMORY_LEVELS - 1, memoryMebibytes / memoryPerLevel));
+    return (int)
+        Math.max(0, Math.min(MEMORY_LEVELS - 1, memoryMebibytes / memoryMebibytesPerLevel));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/Hold.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Hold.java
@@ -9,9 +9,9 @@
  *
  * @param owner the item
  * @param workers the workers
- * @param startMillis when the item is expected to fit
+ * @param expectedStartMillis when the item is expected to fit
  */
-record Hold(QueuedItem owner, List<WorkerState> workers, long startMillis) {
+record Hold(QueuedItem owner, List<WorkerState> workers, long expectedStartMillis) {
 
   /** Copies the list. */
   Hold {
@@ -20,6 +20,6 @@
 
   /** Tells whether an item may use the held workers now. */
   boolean admits(QueuedItem queued, long now) {
-    return queued == owner || now + queued.item().expectedRunMillis() <= startMillis;
+    return queued == owner || now + queued.item().expectedRunMillis() <= expectedStartMillis;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/IncrementalScheduler.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/IncrementalScheduler.java
@@ -27,7 +27,7 @@
   private final Fleet fleet = new Fleet();
   private final UrgentReserve reserve;
   private final ShapeTable shapes;
-  private final Capacities capacities = new Capacities();
+  private final WorkerCapacities capacities = new WorkerCapacities();
   private final WorkHistory history;
   private final ItemQueue queue;
   private final Reservations reservations;
@@ -36,7 +36,7 @@
   private final LearnedSizes learnedSizes = new LearnedSizes();
   private final Quarantine quarantine;
   private final Admission admission;
-  private final Set<WorkKey> failing = new LinkedHashSet<>();
+  private final Set<WorkKey> failingJobs = new LinkedHashSet<>();
   private long latestMillis;
 
   IncrementalScheduler(SchedulerSettings settings, long seed) {
@@ -59,7 +59,7 @@
             history,
             reservations,
             new PlacementPolicies(fleet, random),
-            new RoomHolds(settings.holdAfterMillis(), fleet, order, random),
+            new WorkerHolds(settings.holdAfterMillis(), fleet, order, random),
             reserve);
   }
 
@@ -71,7 +71,7 @@
     }
     Optional<Refusal> refusal = admission.refuse(item, order.team(item.key().team()), now);
     if (refusal.isEmpty()) {
-      Resources need = reservedFor(item);
+      Resources need = reservationSize(item);
       queue.add(item, need);
       if (item.workClass() == WorkClass.URGENT) {
         reserve.urgentCame(need, now);
@@ -83,7 +83,7 @@
   @Override
   public List<Placement> place(long now) {
     latestMillis = now;
-    quarantine.release(now).forEach(this::roomFreed);
+    quarantine.release(now).forEach(this::capacityFreed);
     return placementLoop.run(now);
   }
 
@@ -91,7 +91,7 @@
   public List<GivenUp> expire(long now) {
     latestMillis = now;
     history.forgetOld(now);
-    List<GivenUp> givenUp = new ArrayList<>(giveUpFailing(now));
+    List<GivenUp> givenUp = new ArrayList<>(giveUpFailingJobs(now));
     for (QueuedItem queued : queue.removeExpired(now)) {
       String detail = "No place came free before the deadline.";
       givenUp.add(
@@ -101,16 +101,16 @@
   }
 
   /** Gives up what still waits of jobs whose tasks have failed on several workers by now. */
-  private List<GivenUp> giveUpFailing(long now) {
+  private List<GivenUp> giveUpFailingJobs(long now) {
     List<GivenUp> givenUp = new ArrayList<>();
-    for (WorkKey key : failing) {
+    for (WorkKey key : failingJobs) {
       QueuedItem queued = queue.get(key);
       if (queued != null) {
         queue.remove(queued, now);
         givenUp.add(new GivenUp(queued.item(), admission.failsEverywhereRefusal(key)));
       }
     }
-    failing.clear();
+    failingJobs.clear();
     return givenUp;
   }
 
@@ -125,18 +125,18 @@
   }
 
   @Override
-  public void ended(TaskId taskId, TaskEnd end, long now) {
+  public void taskEnded(TaskId taskId, TaskEnd end, long now) {
     latestMillis = now;
-    Reservation reservation = reservations.free(taskId, end, now);
+    Reservation reservation = reservations.release(taskId, end, now);
     if (reservation == null) {
       return;
     }
     waitEstimate.taskEnded(now);
     WorkerState worker = fleet.worker(reservation.task().worker());
     quarantine.taskEnded(worker, reservation, end, now);
-    roomFreed(worker);
+    capacityFreed(worker);
     if (admission.failsEverywhere(taskId.key()) && queue.get(taskId.key()) != null) {
-      failing.add(taskId.key());
+      failingJobs.add(taskId.key());
     }
   }
 
@@ -150,7 +150,7 @@
     }
     history.taskAdopted(taskId.key(), taskId.attempt());
     PlacedTask task = new PlacedTask(taskId, worker, workClass, reserved);
-    reservations.take(state, new Reservation(task, "", now, 0));
+    reservations.add(state, new Reservation(task, "", now, 0));
   }
 
   @Override
@@ -161,12 +161,12 @@
     } else {
       fleet.remove(state);
       capacities.remove(state.description().capacity());
-      state.describe(worker, open);
+      state.update(worker, open);
     }
     fleet.add(state);
     capacities.add(worker.capacity());
     order.setTotal(fleet.total());
-    roomFreed(state);
+    capacityFreed(state);
   }
 
   @Override
@@ -175,7 +175,7 @@
     if (state == null) {
       return List.of();
     }
-    final List<TaskId> taskIds = reservations.freeAll(state, latestMillis);
+    final List<TaskId> taskIds = reservations.releaseAll(state, latestMillis);
     fleet.remove(state);
     quarantine.forget(state);
     reserve.forget(state);
@@ -199,7 +199,7 @@
   }
 
   @Override
-  public void putUseElsewhere(String team, Resources resources) {
+  public void putRemoteUsage(String team, Resources resources) {
     TeamState state = order.team(team);
     order.update(state, () -> state.setUsedElsewhere(resources, latestMillis));
   }
@@ -234,8 +234,8 @@
   }
 
   @Override
-  public List<WorkerRoom> workers() {
-    return fleet.workers().stream().map(WorkerState::room).toList();
+  public List<WorkerSnapshot> workers() {
+    return fleet.workers().stream().map(WorkerState::snapshot).toList();
   }
 
   @Override
@@ -246,15 +246,15 @@
         : Optional.of(Explanation.of(queued, order.team(key.team()), fleet, now));
   }
 
-  private Resources reservedFor(WorkItem item) {
+  private Resources reservationSize(WorkItem item) {
     Resources learned = learnedSizes.sizeOf(item.key().team(), item.name(), item.resources());
-    return capacities.fitsWorkerHere(learned) ? learned : item.resources();
+    return capacities.fitsPresentWorker(learned) ? learned : item.resources();
   }
 
-  private void roomFreed(WorkerState worker) {
+  private void capacityFreed(WorkerState worker) {
     reserve.roomTaken(worker);
     reserve.roomFreed(worker);
-    if (!worker.takesTasks()) {
+    if (!worker.acceptsTasks()) {
       return;
     }
     if (shapes.unblock(worker)) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
@@ -29,10 +29,10 @@
   private final Reservations reservations;
   private final PlacementPolicies policies;
   private final UrgentTurns urgentTurns;
-  private final RoomHolds holds;
+  private final WorkerHolds holds;
   private final UrgentReserve reserve;
-  private final Map<QueuedItem, List<PlacedTask>> placed = new LinkedHashMap<>();
-  private boolean triesLater;
+  private final Map<QueuedItem, List<PlacedTask>> placedTasks = new LinkedHashMap<>();
+  private boolean hasDelayedGang;
 
   PlacementLoop(
       SchedulerSettings settings,
@@ -43,7 +43,7 @@
       WorkHistory history,
       Reservations reservations,
       PlacementPolicies policies,
-      RoomHolds holds,
+      WorkerHolds holds,
       UrgentReserve reserve) {
     this.settings = settings;
     this.fleet = fleet;
@@ -59,29 +59,29 @@
   }
 
   List<Placement> run(long now) {
-    tryHeld(now);
+    placeHoldOwners(now);
     boolean more = true;
     while (more) {
       boolean othersFirst = urgentTurns.isTurnOfOthers(now);
       more = placeOne(!othersFirst, now) || placeOne(othersFirst, now);
     }
-    List<Placement> placements = new ArrayList<>(placed.size());
-    placed.forEach((queued, tasks) -> placements.add(new Placement(queued.item(), tasks)));
-    placed.clear();
+    List<Placement> placements = new ArrayList<>(placedTasks.size());
+    placedTasks.forEach((queued, tasks) -> placements.add(new Placement(queued.item(), tasks)));
+    placedTasks.clear();
     return placements;
   }
 
   /** Tries the items that workers are held for before all others, which may fill their gaps. */
-  private void tryHeld(long now) {
-    holds.releaseUseless(now).forEach(this::offerAgain);
-    reserve.refresh(urgentTurns.isOverdue(now), now).forEach(this::offerAgain);
-    holds.holdForStarving(now);
+  private void placeHoldOwners(long now) {
+    holds.releaseObsolete(now).forEach(this::retryOn);
+    reserve.refresh(urgentTurns.isOverdue(now), now).forEach(this::retryOn);
+    holds.holdForStarvingItem(now);
     for (QueuedItem owner : holds.owners()) {
-      starts(order.team(owner.item().key().team()), owner, now);
+      tryStart(order.team(owner.item().key().team()), owner, now);
     }
   }
 
-  private void offerAgain(WorkerState worker) {
+  private void retryOn(WorkerState worker) {
     shapes.unblock(worker);
     order.tryAll();
   }
@@ -91,13 +91,14 @@
       if (team.isExhausted(urgent)) {
         continue;
       }
-      QueuedItem queued = firstThatStarts(team, urgent ? URGENT : team.classTurns().order(), now);
+      QueuedItem queued =
+          startFirstPossible(team, urgent ? URGENT : team.classTurns().order(), now);
       if (queued != null) {
         urgentTurns.started(urgent);
         team.classTurns().started(queued.item().workClass());
         return true;
       }
-      if (!triesLater) {
+      if (!hasDelayedGang) {
         team.markExhausted(urgent);
       }
     }
@@ -107,8 +108,8 @@
     return false;
   }
 
-  private QueuedItem firstThatStarts(TeamState team, List<WorkClass> classes, long now) {
-    triesLater = false;
+  private QueuedItem startFirstPossible(TeamState team, List<WorkClass> classes, long now) {
+    hasDelayedGang = false;
     if (team.freePermits() <= 0) {
       return null;
     }
@@ -120,7 +121,7 @@
           continue;
         }
         tried++;
-        if (starts(team, queued, now)) {
+        if (tryStart(team, queued, now)) {
           return queued;
         }
       }
@@ -128,30 +129,30 @@
     return null;
   }
 
-  private boolean starts(TeamState team, QueuedItem queued, long now) {
+  private boolean tryStart(TeamState team, QueuedItem queued, long now) {
     if (queued.item().workClass() == WorkClass.GANG) {
-      return startsGang(team, queued, now);
+      return tryStartGang(team, queued, now);
     }
     if (team.freePermits() <= 0) {
       return false;
     }
-    WorkerState worker = chooseFor(queued, now);
+    WorkerState worker = chooseWorker(queued, now);
     if (worker == null) {
       queued.triedInVain(now);
       return false;
     }
     reserve(queued, worker, now);
-    finishIfWhole(queued, now);
+    removeIfFullyPlaced(queued, now);
     return true;
   }
 
-  private WorkerState chooseFor(QueuedItem queued, long now) {
+  private WorkerState chooseWorker(QueuedItem queued, long now) {
     boolean isHeldFor = queued.isHeldFor();
     if (queued.shape().isBlocked() && !isHeldFor) {
       return null;
     }
     PlacementPolicy policy = policies.of(queued.item().workClass());
-    WorkerFilter usable = usableFor(queued, now);
+    WorkerFilter usable = usableWorkers(queued, now);
     Set<String> failedOn = history.failedOn(queued.item().key());
     if (!failedOn.isEmpty()) {
       WorkerFilter elsewhere = worker -> !failedOn.contains(worker.name()) && usable.test(worker);
@@ -172,16 +173,16 @@
    * other work to have its turn: an instance of four workers holds a quarter of its room for one
    * gang.
    */
-  private WorkerFilter usableFor(QueuedItem queued, long now) {
+  private WorkerFilter usableWorkers(QueuedItem queued, long now) {
     boolean urgent = queued.item().workClass() == WorkClass.URGENT;
     return worker ->
         (urgent || reserve.admits(worker, queued.need()))
-            && (worker.heldBy() == null
-                || worker.heldBy().admits(queued, now)
+            && (worker.currentHold() == null
+                || worker.currentHold().admits(queued, now)
                 || urgent && !urgentTurns.isOverdue(now));
   }
 
-  private boolean startsGang(TeamState team, QueuedItem queued, long now) {
+  private boolean tryStartGang(TeamState team, QueuedItem queued, long now) {
     int tasks = queued.waitingTasks();
     if (team.freePermits() < tasks) {
       return false;
@@ -191,14 +192,14 @@
       return false;
     }
     if (queued.nextTryMillis() > now) {
-      triesLater = true;
+      hasDelayedGang = true;
       return false;
     }
     List<Reservation> taken = new ArrayList<>(tasks);
     for (int i = 0; i < tasks; i++) {
-      WorkerState worker = chooseFor(queued, now);
+      WorkerState worker = chooseWorker(queued, now);
       if (worker == null) {
-        giveBack(taken);
+        releaseAll(taken);
         queued.triedInVain(now);
         queued.tryAgainAt(now + settings.gangRetryMillis());
         return false;
@@ -207,15 +208,15 @@
       fleet.reserve(worker, reservation);
       taken.add(reservation);
     }
-    giveBack(taken);
+    releaseAll(taken);
     for (Reservation reservation : taken) {
       reserve(queued, fleet.worker(reservation.task().worker()), now);
     }
-    finishIfWhole(queued, now);
+    removeIfFullyPlaced(queued, now);
     return true;
   }
 
-  private void giveBack(List<Reservation> taken) {
+  private void releaseAll(List<Reservation> taken) {
     for (Reservation reservation : taken) {
       WorkerState worker = fleet.worker(reservation.task().worker());
       fleet.release(worker, reservation);
@@ -228,9 +229,9 @@
     history.taskPlaced(queued.item().key());
     TeamState team = order.team(queued.item().key().team());
     team.taskStarted(queued, now);
-    reservations.take(worker, reservation);
+    reservations.add(worker, reservation);
     reserve.roomTaken(worker);
-    placed.computeIfAbsent(queued, unused -> new ArrayList<>()).add(reservation.task());
+    placedTasks.computeIfAbsent(queued, unused -> new ArrayList<>()).add(reservation.task());
   }
 
   private static Reservation reservation(
@@ -241,7 +242,7 @@
     return new Reservation(task, item.name(), now, item.expectedRunMillis());
   }
 
-  private void finishIfWhole(QueuedItem queued, long now) {
+  private void removeIfFullyPlaced(QueuedItem queued, long now) {
     if (queued.waitingTasks() == 0) {
       queue.remove(queued, now);
     }
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementPolicies.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementPolicies.java
@@ -15,7 +15,7 @@
  */
 final class PlacementPolicies {
 
-  private static final int CHOICES = 2;
+  private static final int SAMPLED_WORKERS = 2;
 
   private final Fleet fleet;
   private final RandomGenerator random;
@@ -50,9 +50,9 @@
    */
   private WorkerState lessLoadedOfTwo(QueuedItem queued, WorkerFilter allowed) {
     WorkerState best = null;
-    for (int i = 0; i < CHOICES && fleet.size() > 0; i++) {
+    for (int i = 0; i < SAMPLED_WORKERS && fleet.size() > 0; i++) {
       WorkerState worker = fleet.at(random.nextInt(fleet.size()));
-      if (worker.takesTasks()
+      if (worker.acceptsTasks()
           && worker.hasRoomFor(queued.need())
           && allowed.test(worker)
           && (best == null || worker.load() < best.load())) {
@@ -91,7 +91,7 @@
       List<WorkerState> rack, Resources need, WorkerFilter allowed) {
     WorkerState best = null;
     for (WorkerState worker : rack) {
-      if (worker.takesTasks()
+      if (worker.acceptsTasks()
           && worker.hasRoomFor(need)
           && allowed.test(worker)
           && (best == null || worker.load() < best.load())) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/Reservations.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Reservations.java
@@ -36,7 +36,7 @@
     return reservations.values();
   }
 
-  void take(WorkerState worker, Reservation reservation) {
+  void add(WorkerState worker, Reservation reservation) {
     PlacedTask task = reservation.task();
     reservations.put(task.taskId(), reservation);
     fleet.reserve(worker, reservation);
@@ -52,7 +52,7 @@
    * @param now the time
    * @return the reservation, or null if there is none
    */
-  Reservation free(TaskId taskId, TaskEnd end, long now) {
+  Reservation release(TaskId taskId, TaskEnd end, long now) {
     Reservation reservation = reservations.remove(taskId);
     if (reservation == null) {
       return null;
@@ -100,10 +100,10 @@
   }
 
   /** Frees the room of all tasks of a worker. */
-  List<TaskId> freeAll(WorkerState worker, long now) {
+  List<TaskId> releaseAll(WorkerState worker, long now) {
     List<TaskId> taskIds = new ArrayList<>();
     worker.reservations().forEach(reservation -> taskIds.add(reservation.task().taskId()));
-    taskIds.forEach(taskId -> free(taskId, TaskEnd.LOST, now));
+    taskIds.forEach(taskId -> release(taskId, TaskEnd.LOST, now));
     return taskIds;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/Scheduler.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Scheduler.java
@@ -36,7 +36,7 @@
    * Places as many queued items as fit now and reserves their room.
    *
    * @param now the time
-   * @return the placements; each of their tasks must later be reported to {@link #ended}
+   * @return the placements; each of their tasks must later be reported to {@link #taskEnded}
    */
   List<Placement> place(long now);
 
@@ -63,7 +63,7 @@
    * @param end how it ended
    * @param now the time
    */
-  void ended(TaskId taskId, TaskEnd end, long now);
+  void taskEnded(TaskId taskId, TaskEnd end, long now);
 
   /**
    * Counts a task that already runs on a worker, found there after a takeover.
@@ -115,7 +115,7 @@
    * @param team the team
    * @param resources the sum over the other instances
    */
-  void putUseElsewhere(String team, Resources resources);
+  void putRemoteUsage(String team, Resources resources);
 
   /**
    * Takes in a worker's lagging report of what a task really uses.
@@ -153,7 +153,7 @@
    *
    * @return a copy
    */
-  List<WorkerRoom> workers();
+  List<WorkerSnapshot> workers();
 
   /**
    * Says in one sentence why a queued item waits.
--- a/core/src/main/java/org/hickorypier/core/scheduling/Shape.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Shape.java
@@ -44,7 +44,7 @@
     queuedItems++;
   }
 
-  void itemGone() {
+  void itemRemoved() {
     queuedItems--;
   }
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/ShapeTable.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ShapeTable.java
@@ -25,14 +25,14 @@
   private final Map<Size, Shape> shapes = new HashMap<>();
   private final UrgentReserve reserve;
   private final List<Shape> blocked = new ArrayList<>();
-  private int sweepAt = UNUSED_SHAPES_LIMIT;
+  private int sweepThresholdShapes = UNUSED_SHAPES_LIMIT;
 
   ShapeTable(UrgentReserve reserve) {
     this.reserve = reserve;
   }
 
   Shape intern(Resources resources, WorkClass workClass) {
-    if (shapes.size() > sweepAt) {
+    if (shapes.size() > sweepThresholdShapes) {
       dropUnused();
     }
     return shapes.computeIfAbsent(
@@ -80,6 +80,6 @@
   private void dropUnused() {
     shapes.values().removeIf(Shape::isUnused);
     blocked.removeIf(Shape::isUnused);
-    sweepAt = Math.max(UNUSED_SHAPES_LIMIT, 2 * shapes.size());
+    sweepThresholdShapes = Math.max(UNUSED_SHAPES_LIMIT, 2 * shapes.size());
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/TeamState.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/TeamState.java
@@ -75,7 +75,7 @@
   void dequeue(QueuedItem queued) {
     queue(queued.item().workClass()).remove(queued);
     waitingTasks -= queued.waitingTasks();
-    queued.shape().itemGone();
+    queued.shape().itemRemoved();
     queued.markGone();
     markWorthTrying();
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
@@ -50,15 +50,15 @@
 
   /** Tells whether work that is not urgent may use a worker's room for a task. */
   boolean admits(WorkerState worker, Resources size) {
-    return !worker.isReserveForUrgent() || worker.hasRoomBeside(need, size);
+    return !worker.isReserveForUrgent() || worker.hasRoomForBoth(need, size);
   }
 
   /** Takes a worker with freed room into the reserve if it lacks one. */
   void roomFreed(WorkerState worker) {
-    if (!active || worker.isReserveForUrgent() || worker.heldBy() != null) {
+    if (!active || worker.isReserveForUrgent() || worker.currentHold() != null) {
       return;
     }
-    if (workers.size() < wanted() && worker.takesTasks() && worker.hasRoomFor(need)) {
+    if (workers.size() < wanted() && worker.acceptsTasks() && worker.hasRoomFor(need)) {
       workers.add(worker);
       worker.setReserveForUrgent(true);
     }
@@ -66,7 +66,7 @@
 
   /** Takes a worker out of the reserve once it has no gap any more. */
   void roomTaken(WorkerState worker) {
-    if (worker.isReserveForUrgent() && !(worker.takesTasks() && worker.hasRoomFor(need))) {
+    if (worker.isReserveForUrgent() && !(worker.acceptsTasks() && worker.hasRoomFor(need))) {
       drop(worker);
     }
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/Capacities.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerCapacities.java
@@ -13,21 +13,21 @@
  * decision. Sorts stay known after their workers have gone, since workers come back; a fleet has a
  * handful of sorts. Not thread safe.
  */
-final class Capacities {
+final class WorkerCapacities {
 
-  private final Map<Resources, Integer> workersOfSort = new LinkedHashMap<>();
+  private final Map<Resources, Integer> workersByCapacity = new LinkedHashMap<>();
 
   void add(Resources capacity) {
-    workersOfSort.merge(capacity, 1, Integer::sum);
+    workersByCapacity.merge(capacity, 1, Integer::sum);
   }
 
   void remove(Resources capacity) {
-    workersOfSort.merge(capacity, -1, Integer::sum);
+    workersByCapacity.merge(capacity, -1, Integer::sum);
   }
 
   /** Tells whether a worker that is here now could hold a task of this size. */
-  boolean fitsWorkerHere(Resources need) {
-    return workersOfSort.entrySet().stream()
+  boolean fitsPresentWorker(Resources need) {
+    return workersByCapacity.entrySet().stream()
         .anyMatch(sort -> sort.getValue() > 0 && need.fitsInto(sort.getKey()));
   }
 
@@ -37,15 +37,16 @@
    * @param item the work
    * @return the sentence, or empty if a worker of some sort could hold a task
    */
-  Optional<String> whyNeverFits(WorkItem item) {
+  Optional<String> explainNeverFits(WorkItem item) {
     Resources need = item.resources();
-    if (workersOfSort.isEmpty() || workersOfSort.keySet().stream().anyMatch(need::fitsInto)) {
+    if (workersByCapacity.isEmpty()
+        || workersByCapacity.keySet().stream().anyMatch(need::fitsInto)) {
       return Optional.empty();
     }
     long processors = 0;
     long memory = 0;
     int accelerators = 0;
-    for (Resources capacity : workersOfSort.keySet()) {
+    for (Resources capacity : workersByCapacity.keySet()) {
       processors = Math.max(processors, capacity.milliProcessors());
       memory = Math.max(memory, capacity.memoryMebibytes());
       accelerators = Math.max(accelerators, capacity.accelerators());
--- a/core/src/main/java/org/hickorypier/core/scheduling/RoomHolds.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerHolds.java
@@ -19,23 +19,23 @@
  *
  * <p>Invariant: exactly the workers of a hold name it. Not thread safe.
  */
-final class RoomHolds {
+final class WorkerHolds {
 
   /** A single task is large if it takes more than this part of a worker. */
-  private static final double LARGE_PART = 0.25;
+  private static final double LARGE_TASK_WORKER_FRACTION = 0.25;
 
   /** Each hold is tried at each round, so they are few. */
-  private static final int MOST_HOLDS = 8;
+  private static final int MAX_HOLDS = 8;
 
   /** The part of the workers that may be held at once, unless a single gang needs more. */
-  private static final double MOST_PART = 0.125;
+  private static final double MAX_HELD_WORKER_FRACTION = 0.125;
 
   /**
    * Workers looked at for a hold, if they suffice; all of a large fleet would take a millisecond.
    */
-  private static final int CANDIDATES = 256;
+  private static final int SCANNED_WORKERS = 256;
 
-  private static final long CHECK_MILLIS = 100;
+  private static final long CHECK_INTERVAL_MILLIS = 100;
 
   private record Candidate(WorkerState worker, long freeAtMillis, int tasks) {}
 
@@ -47,7 +47,7 @@
   private int heldWorkers;
   private long nextCheckMillis = Long.MIN_VALUE;
 
-  RoomHolds(long holdAfterMillis, Fleet fleet, FairOrder order, RandomGenerator random) {
+  WorkerHolds(long holdAfterMillis, Fleet fleet, FairOrder order, RandomGenerator random) {
     this.holdAfterMillis = holdAfterMillis;
     this.fleet = fleet;
     this.order = order;
@@ -65,16 +65,16 @@
    * @param now the time
    * @return the workers that are no longer held
    */
-  List<WorkerState> releaseUseless(long now) {
+  List<WorkerState> releaseObsolete(long now) {
     if (holds.isEmpty()) {
       return List.of();
     }
     List<WorkerState> released = new ArrayList<>();
     for (Iterator<Hold> each = holds.iterator(); each.hasNext(); ) {
       Hold hold = each.next();
-      if (!isOfUse(hold, now)) {
+      if (!isUsable(hold, now)) {
         hold.owner().setHeldFor(false);
-        hold.workers().forEach(worker -> worker.holdBy(null));
+        hold.workers().forEach(worker -> worker.setHold(null));
         released.addAll(hold.workers());
         heldWorkers -= hold.workers().size();
         each.remove();
@@ -88,34 +88,34 @@
    *
    * @param now the time
    */
-  void holdForStarving(long now) {
-    if (now < nextCheckMillis || holds.size() >= MOST_HOLDS) {
+  void holdForStarvingItem(long now) {
+    if (now < nextCheckMillis || holds.size() >= MAX_HOLDS) {
       return;
     }
-    nextCheckMillis = now + CHECK_MILLIS;
-    if (!holds.isEmpty() && heldWorkers >= fleet.size() * MOST_PART) {
+    nextCheckMillis = now + CHECK_INTERVAL_MILLIS;
+    if (!holds.isEmpty() && heldWorkers >= fleet.size() * MAX_HELD_WORKER_FRACTION) {
       return;
     }
-    QueuedItem starving = longestInVain(now);
+    QueuedItem starving = longestStarving(now);
     if (starving != null) {
       hold(starving, now);
     }
   }
 
-  private boolean isOfUse(Hold hold, long now) {
+  private boolean isUsable(Hold hold, long now) {
     QueuedItem owner = hold.owner();
     if (owner.isGone() || owner.isTooLate(now) || !hasPermits(owner)) {
       return false;
     }
     for (WorkerState worker : hold.workers()) {
-      if (!worker.takesTasksWhenFree() || fleet.worker(worker.name()) != worker) {
+      if (!worker.acceptsTasksWhenIdle() || fleet.worker(worker.name()) != worker) {
         return false;
       }
     }
     return true;
   }
 
-  private QueuedItem longestInVain(long now) {
+  private QueuedItem longestStarving(long now) {
     QueuedItem longest = null;
     for (TeamState team : order.waiting()) {
       for (WorkClass workClass : WorkClass.values()) {
@@ -123,7 +123,7 @@
         if (head != null
             && head.inVainSinceMillis() + holdAfterMillis <= now
             && (longest == null || head.inVainSinceMillis() < longest.inVainSinceMillis())
-            && mayHold(head, now)) {
+            && isEligible(head, now)) {
           longest = head;
         }
       }
@@ -140,27 +140,27 @@
     return null;
   }
 
-  private boolean mayHold(QueuedItem head, long now) {
+  private boolean isEligible(QueuedItem head, long now) {
     return !head.isTooLate(now) && isGangOrLarge(head) && hasPermits(head);
   }
 
   private boolean isGangOrLarge(QueuedItem queued) {
     return queued.item().workClass() == WorkClass.GANG
-        || queued.need().dominantShare(fleet.total()) * fleet.size() > LARGE_PART;
+        || queued.need().dominantShare(fleet.total()) * fleet.size() > LARGE_TASK_WORKER_FRACTION;
   }
 
   private boolean hasPermits(QueuedItem queued) {
-    return order.team(queued.item().key().team()).freePermits() >= tasksTogether(queued);
+    return order.team(queued.item().key().team()).freePermits() >= minTasksToStart(queued);
   }
 
-  private static int tasksTogether(QueuedItem queued) {
+  private static int minTasksToStart(QueuedItem queued) {
     return queued.item().workClass() == WorkClass.GANG ? queued.waitingTasks() : 1;
   }
 
   private void hold(QueuedItem starving, long now) {
     List<WorkerState> workers = new ArrayList<>();
     long startMillis = now;
-    int missing = tasksTogether(starving);
+    int missing = minTasksToStart(starving);
     for (Candidate candidate : candidates(starving, now)) {
       if (missing <= 0) {
         break;
@@ -176,7 +176,7 @@
     holds.add(hold);
     heldWorkers += workers.size();
     starving.setHeldFor(true);
-    workers.forEach(worker -> worker.holdBy(hold));
+    workers.forEach(worker -> worker.setHold(hold));
   }
 
   /**
@@ -184,16 +184,18 @@
    */
   private List<Candidate> candidates(QueuedItem starving, long now) {
     List<Candidate> candidates = new ArrayList<>();
-    int enough = tasksTogether(starving);
+    int enough = minTasksToStart(starving);
     int found = 0;
     int start = fleet.size() == 0 ? 0 : random.nextInt(fleet.size());
-    for (int i = 0; i < fleet.size() && (i < CANDIDATES || found < enough); i++) {
+    for (int i = 0; i < fleet.size() && (i < SCANNED_WORKERS || found < enough); i++) {
       WorkerState worker = fleet.at((start + i) % fleet.size());
       boolean usable =
-          worker.takesTasksWhenFree() && worker.heldBy() == null && !worker.isReserveForUrgent();
-      int tasks = usable ? worker.tasksWhenFree(starving.need()) : 0;
+          worker.acceptsTasksWhenIdle()
+              && worker.currentHold() == null
+              && !worker.isReserveForUrgent();
+      int tasks = usable ? worker.taskCapacityWhenIdle(starving.need()) : 0;
       if (tasks > 0) {
-        candidates.add(new Candidate(worker, Math.max(now, worker.freeAtMillis()), tasks));
+        candidates.add(new Candidate(worker, Math.max(now, worker.expectedIdleMillis()), tasks));
         found += tasks;
       }
     }
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerRoom.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerSnapshot.java
@@ -13,4 +13,5 @@
  * @param freeSlots slots not reserved
  * @param state one word: open, closed, quarantined or probing
  */
-public record WorkerRoom(WorkerDescription worker, Resources free, int freeSlots, String state) {}
+public record WorkerSnapshot(
+    WorkerDescription worker, Resources free, int freeSlots, String state) {}
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerState.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerState.java
@@ -24,15 +24,15 @@
   private int freeAccelerators;
   private int freeSlots;
   private final WorkerHealth health = new WorkerHealth();
-  private Hold heldBy;
+  private Hold currentHold;
   private boolean reserveForUrgent;
-  private final RoomIndex.Position[] positions =
-      new RoomIndex.Position[RoomIndex.Scope.values().length];
+  private final FreeCapacityIndex.Position[] positions =
+      new FreeCapacityIndex.Position[FreeCapacityIndex.Scope.values().length];
 
   WorkerState(WorkerDescription description, boolean open) {
     this.description = description;
     this.open = open;
-    recount();
+    recomputeFree();
   }
 
   WorkerDescription description() {
@@ -43,10 +43,10 @@
     return description.name();
   }
 
-  void describe(WorkerDescription newDescription, boolean newOpen) {
+  void update(WorkerDescription newDescription, boolean newOpen) {
     description = newDescription;
     open = newOpen;
-    recount();
+    recomputeFree();
   }
 
   WorkerHealth health() {
@@ -54,8 +54,8 @@
   }
 
   /** Returns the hold that keeps the worker free, or null. */
-  Hold heldBy() {
-    return heldBy;
+  Hold currentHold() {
+    return currentHold;
   }
 
   /** Tells whether a gap on this worker is kept free for urgent work. */
@@ -67,22 +67,22 @@
     reserveForUrgent = reserve;
   }
 
-  void holdBy(Hold hold) {
-    heldBy = hold;
+  void setHold(Hold hold) {
+    currentHold = hold;
   }
 
   /** Tells whether the worker may get a task at all, whatever its size. */
-  boolean takesTasks() {
+  boolean acceptsTasks() {
     return open && freeSlots > 0 && health.admits(tasks.size());
   }
 
   /** Tells whether the worker may get several tasks once its present ones have ended. */
-  boolean takesTasksWhenFree() {
+  boolean acceptsTasksWhenIdle() {
     return open && health.state() == WorkerHealth.State.GOOD;
   }
 
   /** Returns how many tasks of a size fit beside its services alone. */
-  int tasksWhenFree(Resources need) {
+  int taskCapacityWhenIdle(Resources need) {
     long processors = description.capacity().milliProcessors();
     long memory = description.capacity().memoryMebibytes();
     long accelerators = description.capacity().accelerators();
@@ -96,13 +96,13 @@
       }
     }
     long most = slots;
-    most = Math.min(most, times(processors, need.milliProcessors()));
-    most = Math.min(most, times(memory, need.memoryMebibytes()));
-    return (int) Math.max(0, Math.min(most, times(accelerators, need.accelerators())));
+    most = Math.min(most, fittingTasks(processors, need.milliProcessors()));
+    most = Math.min(most, fittingTasks(memory, need.memoryMebibytes()));
+    return (int) Math.max(0, Math.min(most, fittingTasks(accelerators, need.accelerators())));
   }
 
   /** Returns when its tasks but for services are expected to have ended. */
-  long freeAtMillis() {
+  long expectedIdleMillis() {
     long latest = Long.MIN_VALUE;
     for (Reservation reservation : tasks.values()) {
       if (!isService(reservation)) {
@@ -116,7 +116,7 @@
     return reservation.task().workClass() == WorkClass.SERVICE;
   }
 
-  private static long times(long room, long need) {
+  private static long fittingTasks(long room, long need) {
     return need == 0 ? Integer.MAX_VALUE : room / need;
   }
 
@@ -126,7 +126,7 @@
 
   void add(Reservation reservation) {
     tasks.put(reservation.task().taskId(), reservation);
-    take(reservation.task().reserved());
+    subtractFree(reservation.task().reserved());
   }
 
   void remove(Reservation reservation) {
@@ -146,7 +146,7 @@
   }
 
   /** Tells whether a task fits here together with another one. */
-  boolean hasRoomBeside(Resources other, Resources need) {
+  boolean hasRoomForBoth(Resources other, Resources need) {
     return freeSlots > 1
         && need.milliProcessors() + other.milliProcessors() <= freeMilliProcessors
         && need.memoryMebibytes() + other.memoryMebibytes() <= freeMemoryMebibytes
@@ -181,11 +181,11 @@
         Math.max(0, freeAccelerators));
   }
 
-  WorkerRoom room() {
-    return new WorkerRoom(description, free(), Math.max(0, freeSlots), stateWord());
+  WorkerSnapshot snapshot() {
+    return new WorkerSnapshot(description, free(), Math.max(0, freeSlots), stateName());
   }
 
-  private String stateWord() {
+  private String stateName() {
     if (!open) {
       return "closed";
     }
@@ -196,24 +196,24 @@
     };
   }
 
-  RoomIndex.Position position(RoomIndex.Scope scope) {
+  FreeCapacityIndex.Position position(FreeCapacityIndex.Scope scope) {
     return positions[scope.ordinal()];
   }
 
-  void moveTo(RoomIndex.Scope scope, RoomIndex.Position position) {
+  void setPosition(FreeCapacityIndex.Scope scope, FreeCapacityIndex.Position position) {
     positions[scope.ordinal()] = position;
   }
 
-  private void recount() {
+  private void recomputeFree() {
     Resources capacity = description.capacity();
     freeMilliProcessors = capacity.milliProcessors();
     freeMemoryMebibytes = capacity.memoryMebibytes();
     freeAccelerators = capacity.accelerators();
     freeSlots = description.slots();
-    tasks.values().forEach(reservation -> take(reservation.task().reserved()));
+    tasks.values().forEach(reservation -> subtractFree(reservation.task().reserved()));
   }
 
-  private void take(Resources reserved) {
+  private void subtractFree(Resources reserved) {
     freeMilliProcessors -= reserved.milliProcessors();
     freeMemoryMebibytes -= reserved.memoryMebibytes();
     freeAccelerators -= reserved.accelerators();
--- a/core/src/test/java/org/hickorypier/core/scheduling/AdmissionTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/AdmissionTest.java
@@ -24,7 +24,7 @@
     Scheduler scheduler =
         SchedulerFactory.create(SchedulerSettings.defaults().withShiftPatience(patienceMillis), 1);
     for (int number = 0; number < 6; number++) {
-      scheduler.putWorker(Work.worker(number), true);
+      scheduler.putWorker(SchedulerFixtures.worker(number), true);
     }
     scheduler.putPermits("north", 2);
 
@@ -38,11 +38,13 @@
   void patienceEndsWhenTheQueueHasWaited() {
     Scheduler scheduler =
         SchedulerFactory.create(SchedulerSettings.defaults().withShiftPatience(1_200), 1);
-    scheduler.putWorker(Work.worker(0), true);
+    scheduler.putWorker(SchedulerFixtures.worker(0), true);
     scheduler.putPermits("north", 2);
     submitBurst(scheduler, 0);
 
-    assertThat(scheduler.submit(Work.request("north", "late", 2_000, 2_000 + DEADLINE), 2_000))
+    assertThat(
+            scheduler.submit(
+                SchedulerFixtures.request("north", "late", 2_000, 2_000 + DEADLINE), 2_000))
         .hasValueSatisfying(
             refusal -> assertThat(refusal.reason()).isEqualTo(RefusalReason.DEADLINE_TOO_NEAR));
   }
@@ -67,7 +69,8 @@
     for (int number = 0; number < BURST; number++) {
       refused +=
           scheduler
-              .submit(Work.request("north", "burst-" + number, now, now + DEADLINE), now)
+              .submit(
+                  SchedulerFixtures.request("north", "burst-" + number, now, now + DEADLINE), now)
               .stream()
               .count();
       scheduler.place(now);
--- a/core/src/test/java/org/hickorypier/core/scheduling/CheckedScheduler.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/CheckedScheduler.java
@@ -21,18 +21,18 @@
 final class CheckedScheduler {
 
   private final Scheduler scheduler;
-  private final boolean usesAllRoom;
+  private final boolean workConserving;
   private final Map<WorkKey, Integer> waiting = new LinkedHashMap<>();
   private final Map<TaskId, PlacedTask> live = new LinkedHashMap<>();
   private final Map<WorkKey, WorkItem> resubmittable = new LinkedHashMap<>();
-  private final Map<WorkKey, Integer> tasksOf = new HashMap<>();
+  private final Map<WorkKey, Integer> taskCounts = new HashMap<>();
   private final Set<TaskId> everPlaced = new HashSet<>();
   private final Map<String, WorkerDescription> workers = new LinkedHashMap<>();
   private final Map<String, Integer> permits = new HashMap<>();
 
   CheckedScheduler(Scheduler scheduler, boolean usesAllRoom) {
     this.scheduler = scheduler;
-    this.usesAllRoom = usesAllRoom;
+    this.workConserving = usesAllRoom;
   }
 
   List<PlacedTask> live() {
@@ -58,7 +58,7 @@
     if (queued) {
       waiting.put(item.key(), item.tasks());
       resubmittable.put(item.key(), item);
-      tasksOf.put(item.key(), item.tasks());
+      taskCounts.put(item.key(), item.tasks());
     }
   }
 
@@ -73,15 +73,15 @@
       waiting.merge(item.key(), -placement.tasks().size(), Integer::sum);
       waiting.remove(item.key(), 0);
       checkPermits(item.key().team());
-      checkTasksOf(item.key());
+      checkTaskCount(item.key());
     }
-    if (usesAllRoom) {
-      checkNoRoomIsLeftIdle(now);
+    if (workConserving) {
+      checkWorkConserving(now);
     }
   }
 
   /** No queue head that may start waits beside an open worker that has the room. */
-  private void checkNoRoomIsLeftIdle(long now) {
+  private void checkWorkConserving(long now) {
     Set<String> seen = new HashSet<>();
     Map<String, Long> placedOfTeam =
         live.keySet().stream()
@@ -95,19 +95,19 @@
       if (isHead && permitted && item.workClass() != WorkClass.GANG) {
         assertThat(scheduler.workers())
             .as("room left idle for " + item)
-            .noneMatch(room -> takes(room, item.resources()));
+            .noneMatch(room -> hasRoomFor(room, item.resources()));
       }
     }
   }
 
-  private boolean takes(WorkerRoom room, Resources need) {
+  private boolean hasRoomFor(WorkerSnapshot room, Resources need) {
     boolean idle = room.freeSlots() == room.worker().slots();
     boolean admits = room.state().equals("open") || room.state().equals("probing") && idle;
     return admits && room.freeSlots() > 0 && need.fitsInto(room.free());
   }
 
   void end(TaskId taskId, TaskEnd end, long now) {
-    scheduler.ended(taskId, end, now);
+    scheduler.taskEnded(taskId, end, now);
     live.remove(taskId);
     if (end == TaskEnd.COMPLETED) {
       resubmittable.remove(taskId.key());
@@ -148,7 +148,7 @@
 
   /** Passes a report on, unless sizes must stay as declared for the check of idle room. */
   void reportUsage(TaskId taskId, Resources used, long now) {
-    if (usesAllRoom) {
+    if (workConserving) {
       return;
     }
     scheduler.reportUsage(taskId, used, now);
@@ -169,12 +169,12 @@
             team ->
                 assertThat(scheduler.waitingTasks(team))
                     .isEqualTo(waitingOfTeam.getOrDefault(team, 0)));
-    for (WorkerRoom room : scheduler.workers()) {
-      checkRoom(room, placed);
+    for (WorkerSnapshot room : scheduler.workers()) {
+      checkWorker(room, placed);
     }
   }
 
-  private void checkRoom(WorkerRoom room, Map<TaskId, PlacedTask> placed) {
+  private void checkWorker(WorkerSnapshot room, Map<TaskId, PlacedTask> placed) {
     Resources used = Resources.NONE;
     int slots = 0;
     for (PlacedTask task : placed.values()) {
@@ -194,8 +194,8 @@
     assertThat(placed).isLessThanOrEqualTo(permits.getOrDefault(team, 0));
   }
 
-  private void checkTasksOf(WorkKey key) {
+  private void checkTaskCount(WorkKey key) {
     long tasks = live.keySet().stream().filter(id -> id.key().equals(key)).count();
-    assertThat(tasks).as("no doubles of " + key).isLessThanOrEqualTo(tasksOf.get(key));
+    assertThat(tasks).as("no doubles of " + key).isLessThanOrEqualTo(taskCounts.get(key));
   }
 }
--- a/core/src/test/java/org/hickorypier/core/scheduling/ComeBackTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/ComeBackTest.java
@@ -30,7 +30,7 @@
   private final Map<WorkKey, Long> firstTries = new HashMap<>();
   private final Deque<Turn> turns = new ArrayDeque<>();
   private final SimulatedLoad load =
-      new SimulatedLoad(Work.scheduler(WORKERS, "north"), this::started);
+      new SimulatedLoad(SchedulerFixtures.scheduler(WORKERS, "north"), this::started);
 
   /** Guards against callers that stand at the tail again with each try until they give up. */
   @Test
@@ -76,7 +76,7 @@
   private void ask(Turn turn) {
     long now = load.now();
     WorkItem item =
-        Work.request("north", turn.key.requestId(), now, now + DEADLINE_MILLIS)
+        SchedulerFixtures.request("north", turn.key.requestId(), now, now + DEADLINE_MILLIS)
             .withFirstTriedMillis(firstTries.get(turn.key));
     int before = load.refusals().size();
     load.submit(item);
@@ -94,7 +94,7 @@
   private long started(PlacedTask task) {
     WorkKey key = task.taskId().key();
     waits.putIfAbsent(key, load.now() - firstTries.get(key));
-    return Work.RUN_MILLIS;
+    return SchedulerFixtures.RUN_MILLIS;
   }
 
   private record Turn(WorkKey key, long atMillis) {}
--- a/core/src/test/java/org/hickorypier/core/scheduling/RoomIndexTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/FreeCapacityIndexTest.java
@@ -15,7 +15,7 @@
 import org.hickorypier.core.model.WorkClass;
 import org.hickorypier.core.model.WorkKey;
 
-class RoomIndexTest {
+class FreeCapacityIndexTest {
 
   private static final Offset<Double> ROUNDING = Offset.offset(1e-9);
   private static final Resources CAPACITY = new Resources(16_000, 64_512, 4);
@@ -31,7 +31,7 @@
 
   private static double scoreAfter(WorkerState worker, Resources need) {
     Resources left = worker.free().minus(need);
-    return RoomIndex.score(
+    return FreeCapacityIndex.score(
         (double) left.milliProcessors() / CAPACITY.milliProcessors(),
         (double) left.memoryMebibytes() / CAPACITY.memoryMebibytes());
   }
@@ -43,12 +43,12 @@
   }
 
   @Property(seed = "7", tries = 100)
-  void indexFindsWhatTheSlowSearchFinds(@ForAll long seed) {
+  void bestFitMatchesExhaustiveSearch(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     Fleet fleet = new Fleet();
     List<WorkerState> workers = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      workers.add(new WorkerState(Work.worker(i, CAPACITY, 8), true));
+      workers.add(new WorkerState(SchedulerFixtures.worker(i, CAPACITY, 8), true));
       fleet.add(workers.get(i));
     }
     for (int step = 0; step < 200; step++) {
--- a/core/src/test/java/org/hickorypier/core/scheduling/OverloadTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/OverloadTest.java
@@ -26,13 +26,15 @@
    */
   @Test
   void smallTeamIsServedBesideFlood() {
-    SimulatedLoad load = new SimulatedLoad(Work.scheduler(5, "large", "small"), ONE_SECOND);
+    SimulatedLoad load =
+        new SimulatedLoad(SchedulerFixtures.scheduler(5, "large", "small"), ONE_SECOND);
     for (int i = 0; i < 400; i++) {
-      load.submit(Work.request("large", "burst-" + i, load.now(), load.now() + 60_000));
+      load.submit(
+          SchedulerFixtures.request("large", "burst-" + i, load.now(), load.now() + 60_000));
     }
     for (int i = 0; i < 100; i++) {
-      load.submit(Work.request("large", "l" + i, load.now(), load.now() + 60_000));
-      load.submit(Work.request("small", "s" + i, load.now(), load.now() + 3_000));
+      load.submit(SchedulerFixtures.request("large", "l" + i, load.now(), load.now() + 60_000));
+      load.submit(SchedulerFixtures.request("small", "s" + i, load.now(), load.now() + 3_000));
       load.run(100);
     }
 
@@ -46,9 +48,9 @@
    */
   @Test
   void saturationRefusesEarlyAndKeepsWhatItAccepts() {
-    SimulatedLoad load = new SimulatedLoad(Work.scheduler(5, "north"), ONE_SECOND);
+    SimulatedLoad load = new SimulatedLoad(SchedulerFixtures.scheduler(5, "north"), ONE_SECOND);
     for (int i = 0; i < 1_600; i++) {
-      load.submit(Work.request("north", "r" + i, load.now(), load.now() + 2_000));
+      load.submit(SchedulerFixtures.request("north", "r" + i, load.now(), load.now() + 2_000));
       load.run(i % 4 == 0 ? 50 : 0);
     }
 
@@ -67,15 +69,16 @@
    */
   @Test
   void newSizeDoesNotPassForRoom() {
-    Scheduler scheduler = Work.scheduler(1, "north");
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north");
     for (int i = 0; i < 28; i++) {
-      scheduler.submit(Work.request("north", "r" + i), 0);
+      scheduler.submit(SchedulerFixtures.request("north", "r" + i), 0);
     }
     scheduler.place(0);
     Resources other = new Resources(1_250, 1_024, 0);
     WorkKey key = new WorkKey("north", "new");
     WorkItem item =
-        new WorkItem(key, WorkClass.REQUEST, "check", other, 1, true, 0, 500, Work.RUN_MILLIS);
+        new WorkItem(
+            key, WorkClass.REQUEST, "check", other, 1, true, 0, 500, SchedulerFixtures.RUN_MILLIS);
 
     assertThat(scheduler.submit(item, 0))
         .map(Refusal::reason)
@@ -91,15 +94,23 @@
   void fewUrgentCallersDoNotWaitOnFullFleet() {
     ToLongFunction<PlacedTask> unlike =
         task -> 500 + new SplittableRandom(task.taskId().hashCode()).nextInt(1_000);
-    SimulatedLoad load = new SimulatedLoad(Work.scheduler(10, "north", "south"), unlike);
+    SimulatedLoad load =
+        new SimulatedLoad(SchedulerFixtures.scheduler(10, "north", "south"), unlike);
     for (int i = 0; i < 100; i++) {
-      load.submit(Work.item("south", "batch" + i, WorkClass.BATCH, Work.SMALL, 40), true);
+      load.submit(
+          SchedulerFixtures.item(
+              "south", "batch" + i, WorkClass.BATCH, SchedulerFixtures.SMALL, 40),
+          true);
       load.run(30);
     }
-    load.submit(Work.item("north", "first", WorkClass.URGENT, Work.SMALL, 1), true);
+    load.submit(
+        SchedulerFixtures.item("north", "first", WorkClass.URGENT, SchedulerFixtures.SMALL, 1),
+        true);
     load.run(2_000);
     for (int i = 0; i < 50; i++) {
-      load.submit(Work.item("north", "u" + i, WorkClass.URGENT, Work.SMALL, 1), true);
+      load.submit(
+          SchedulerFixtures.item("north", "u" + i, WorkClass.URGENT, SchedulerFixtures.SMALL, 1),
+          true);
       assertThat(load.started("north")).isEqualTo(i + 2);
       load.run(100);
     }
@@ -111,10 +122,14 @@
    */
   @Test
   void urgentFloodDoesNotStopOtherWork() {
-    SimulatedLoad load = new SimulatedLoad(Work.scheduler(2, "north", "south"), ONE_SECOND);
-    load.submit(Work.item("south", "batch", WorkClass.BATCH, Work.SMALL, 1_000), true);
+    SimulatedLoad load =
+        new SimulatedLoad(SchedulerFixtures.scheduler(2, "north", "south"), ONE_SECOND);
+    load.submit(
+        SchedulerFixtures.item("south", "batch", WorkClass.BATCH, SchedulerFixtures.SMALL, 1_000),
+        true);
     for (int i = 0; i < 600; i++) {
-      load.submit(Work.item("north", "u" + i, WorkClass.URGENT, Work.SMALL, 1));
+      load.submit(
+          SchedulerFixtures.item("north", "u" + i, WorkClass.URGENT, SchedulerFixtures.SMALL, 1));
     }
     load.run(16_000);
 
@@ -130,9 +145,10 @@
   void workerThatFailsEverythingIsQuarantined() {
     SimulatedLoad load =
         new SimulatedLoad(
-            Work.scheduler(6, "north"), task -> task.worker().equals("worker-0") ? -1 : 1_000);
+            SchedulerFixtures.scheduler(6, "north"),
+            task -> task.worker().equals("worker-0") ? -1 : 1_000);
     for (int i = 0; i < 1_000; i++) {
-      load.submit(Work.request("north", "r" + i, load.now(), load.now() + 60_000));
+      load.submit(SchedulerFixtures.request("north", "r" + i, load.now(), load.now() + 60_000));
       load.run(30);
     }
 
@@ -148,11 +164,11 @@
     boolean[] broken = {true};
     SimulatedLoad load =
         new SimulatedLoad(
-            Work.scheduler(3, "north"),
+            SchedulerFixtures.scheduler(3, "north"),
             task -> broken[0] && task.worker().equals("worker-0") ? -1 : 1_000);
     for (int i = 0; i < 600; i++) {
       broken[0] = i < 300;
-      load.submit(Work.request("north", "r" + i, load.now(), load.now() + 60_000));
+      load.submit(SchedulerFixtures.request("north", "r" + i, load.now(), load.now() + 60_000));
       load.run(100);
     }
 
@@ -165,9 +181,9 @@
    */
   @Test
   void faultyWorkDoesNotCloseTheFleet() {
-    SimulatedLoad load = new SimulatedLoad(Work.scheduler(8, "north"), task -> -1);
+    SimulatedLoad load = new SimulatedLoad(SchedulerFixtures.scheduler(8, "north"), task -> -1);
     for (int i = 0; i < 300; i++) {
-      load.submit(Work.request("north", "r" + i, load.now(), load.now() + 60_000));
+      load.submit(SchedulerFixtures.request("north", "r" + i, load.now(), load.now() + 60_000));
       load.run(20);
     }
 
@@ -180,9 +196,10 @@
   void slowWorkerIsIsolated() {
     SimulatedLoad load =
         new SimulatedLoad(
-            Work.scheduler(6, "north"), task -> task.worker().equals("worker-0") ? 10_000 : 1_000);
+            SchedulerFixtures.scheduler(6, "north"),
+            task -> task.worker().equals("worker-0") ? 10_000 : 1_000);
     for (int i = 0; i < 1_500; i++) {
-      load.submit(Work.request("north", "r" + i, load.now(), load.now() + 60_000));
+      load.submit(SchedulerFixtures.request("north", "r" + i, load.now(), load.now() + 60_000));
       load.run(40);
     }
 
@@ -197,10 +214,14 @@
    */
   @Test
   void gangIsNotStarvedBySmallWork() {
-    SimulatedLoad load = new SimulatedLoad(Work.scheduler(4, "north", "south"), ONE_SECOND);
-    load.submit(Work.item("south", "small", WorkClass.BATCH, Work.SMALL, 100_000), true);
+    SimulatedLoad load =
+        new SimulatedLoad(SchedulerFixtures.scheduler(4, "north", "south"), ONE_SECOND);
+    load.submit(
+        SchedulerFixtures.item("south", "small", WorkClass.BATCH, SchedulerFixtures.SMALL, 100_000),
+        true);
     load.run(2_000);
-    load.submit(Work.item("north", "gang", WorkClass.GANG, new Resources(8_000, 8_192, 0), 6));
+    load.submit(
+        SchedulerFixtures.item("north", "gang", WorkClass.GANG, new Resources(8_000, 8_192, 0), 6));
     load.run(14_000);
 
     assertThat(load.started("north")).isEqualTo(6);
@@ -213,10 +234,11 @@
    */
   @Test
   void restOfFaultyJobIsGivenUpOn() {
-    Scheduler scheduler = Work.scheduler(4, "north");
-    scheduler.submit(Work.item("north", "bad", WorkClass.BATCH, Work.SMALL, 500), 0);
+    Scheduler scheduler = SchedulerFixtures.scheduler(4, "north");
+    scheduler.submit(
+        SchedulerFixtures.item("north", "bad", WorkClass.BATCH, SchedulerFixtures.SMALL, 500), 0);
     for (PlacedTask task : scheduler.place(0).get(0).tasks()) {
-      scheduler.ended(task.taskId(), TaskEnd.FAILED, 10);
+      scheduler.taskEnded(task.taskId(), TaskEnd.FAILED, 10);
     }
 
     assertThat(scheduler.expire(10))
@@ -231,20 +253,21 @@
    */
   @Test
   void heldTasksOfOneTeamShareItsPermits() {
-    Scheduler scheduler = Work.scheduler(16);
+    Scheduler scheduler = SchedulerFixtures.scheduler(16);
     scheduler.putPermits("north", 1);
     for (int i = 0; i < 16; i++) {
       TaskId busy = new TaskId(new WorkKey("south", "b" + i), 1, 0);
-      scheduler.adopt(busy, "worker-" + i, WorkClass.BATCH, Work.CAPACITY, 0);
+      scheduler.adopt(busy, "worker-" + i, WorkClass.BATCH, SchedulerFixtures.CAPACITY, 0);
     }
     Resources large = new Resources(8_000, 8_192, 0);
-    scheduler.submit(Work.item("north", "first", WorkClass.BATCH, large, 1), 0);
-    scheduler.submit(Work.item("north", "second", WorkClass.BATCH, large, 1), 0);
+    scheduler.submit(SchedulerFixtures.item("north", "first", WorkClass.BATCH, large, 1), 0);
+    scheduler.submit(SchedulerFixtures.item("north", "second", WorkClass.BATCH, large, 1), 0);
     for (long now = 0; now <= 3_000; now += 100) {
       scheduler.place(now);
     }
     for (int i = 0; i < 16; i++) {
-      scheduler.ended(new TaskId(new WorkKey("south", "b" + i), 1, 0), TaskEnd.COMPLETED, 3_000);
+      scheduler.taskEnded(
+          new TaskId(new WorkKey("south", "b" + i), 1, 0), TaskEnd.COMPLETED, 3_000);
     }
 
     assertThat(scheduler.place(3_000)).hasSize(1);
@@ -255,10 +278,15 @@
   @Test
   void severalGangsAllStart() {
     String[] teams = {"a", "b", "c", "d"};
-    SimulatedLoad load = new SimulatedLoad(Work.scheduler(4, "a", "b", "c", "d", "s"), ONE_SECOND);
-    load.submit(Work.item("s", "small", WorkClass.BATCH, Work.SMALL, 100_000), true);
+    SimulatedLoad load =
+        new SimulatedLoad(SchedulerFixtures.scheduler(4, "a", "b", "c", "d", "s"), ONE_SECOND);
+    load.submit(
+        SchedulerFixtures.item("s", "small", WorkClass.BATCH, SchedulerFixtures.SMALL, 100_000),
+        true);
     for (String team : teams) {
-      load.submit(Work.item(team, "g", WorkClass.GANG, new Resources(8_000, 8_192, 0), 6), true);
+      load.submit(
+          SchedulerFixtures.item(team, "g", WorkClass.GANG, new Resources(8_000, 8_192, 0), 6),
+          true);
     }
     load.run(30_000);
 
@@ -271,10 +299,11 @@
    */
   @Test
   void jobsGoOnBehindRequestsOfTheSameTeam() {
-    SimulatedLoad load = new SimulatedLoad(Work.scheduler(2, "north"), ONE_SECOND);
-    load.submit(Work.item("north", "job", WorkClass.BATCH, Work.SMALL, 40), true);
+    SimulatedLoad load = new SimulatedLoad(SchedulerFixtures.scheduler(2, "north"), ONE_SECOND);
+    load.submit(
+        SchedulerFixtures.item("north", "job", WorkClass.BATCH, SchedulerFixtures.SMALL, 40), true);
     for (int i = 0; i < 900; i++) {
-      load.submit(Work.request("north", "r" + i));
+      load.submit(SchedulerFixtures.request("north", "r" + i));
     }
     load.run(10_000);
 
@@ -288,16 +317,25 @@
    */
   @Test
   void heldItemPastItsDeadlineDoesNotStart() {
-    Scheduler scheduler = Work.scheduler(1, "north");
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north");
     WorkKey busy = new WorkKey("south", "busy");
-    scheduler.adopt(new TaskId(busy, 1, 0), "worker-0", WorkClass.BATCH, Work.CAPACITY, 0);
+    scheduler.adopt(
+        new TaskId(busy, 1, 0), "worker-0", WorkClass.BATCH, SchedulerFixtures.CAPACITY, 0);
     scheduler.submit(
         new WorkItem(
-            new WorkKey("north", "gang"), WorkClass.GANG, "g", Work.SMALL, 2, true, 0, 15_000, 9),
+            new WorkKey("north", "gang"),
+            WorkClass.GANG,
+            "g",
+            SchedulerFixtures.SMALL,
+            2,
+            true,
+            0,
+            15_000,
+            9),
         0);
     scheduler.place(0);
     scheduler.place(12_000);
-    scheduler.ended(new TaskId(busy, 1, 0), TaskEnd.COMPLETED, 16_000);
+    scheduler.taskEnded(new TaskId(busy, 1, 0), TaskEnd.COMPLETED, 16_000);
 
     assertThat(scheduler.place(16_000)).isEmpty();
     assertThat(scheduler.expire(16_000))
@@ -308,10 +346,10 @@
   /** A wave of cancellations empties the queue, and the places go to who still waits. */
   @Test
   void waveOfCancellationsLeavesNothingBehind() {
-    Scheduler scheduler = Work.scheduler(0, "north");
+    Scheduler scheduler = SchedulerFixtures.scheduler(0, "north");
     for (int round = 0; round < 50; round++) {
       for (int i = 0; i < 900; i++) {
-        scheduler.submit(Work.request("north", round + "-" + i), round);
+        scheduler.submit(SchedulerFixtures.request("north", round + "-" + i), round);
       }
       for (int i = 0; i < 900; i++) {
         assertThat(scheduler.cancelQueued(new WorkKey("north", round + "-" + i))).isTrue();
@@ -320,8 +358,8 @@
 
     assertThat(scheduler.queued()).isEmpty();
     assertThat(scheduler.waitingTasks("north")).isZero();
-    scheduler.putWorker(Work.worker(0), true);
-    assertThat(scheduler.submit(Work.request("north", "last"), 60)).isEmpty();
+    scheduler.putWorker(SchedulerFixtures.worker(0), true);
+    assertThat(scheduler.submit(SchedulerFixtures.request("north", "last"), 60)).isEmpty();
     assertThat(scheduler.place(60)).hasSize(1);
   }
 
@@ -330,16 +368,16 @@
    */
   @Test
   void sizesAreLearnedFromReports() {
-    Scheduler scheduler = Work.scheduler(1, "north");
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north");
     Resources real = new Resources(4_000, 16_384, 0);
     for (int i = 0; i < 5; i++) {
-      scheduler.submit(Work.request("north", "r" + i), i);
+      scheduler.submit(SchedulerFixtures.request("north", "r" + i), i);
       TaskId id = scheduler.place(i).get(0).tasks().get(0).taskId();
       scheduler.reportUsage(id, real, i);
       assertThat(scheduler.placed().get(0).reserved()).isEqualTo(real);
-      scheduler.ended(id, TaskEnd.COMPLETED, i);
+      scheduler.taskEnded(id, TaskEnd.COMPLETED, i);
     }
-    scheduler.submit(Work.request("north", "next"), 10);
+    scheduler.submit(SchedulerFixtures.request("north", "next"), 10);
 
     PlacedTask next = scheduler.place(10).get(0).tasks().get(0);
     assertThat(next.reserved().memoryMebibytes()).isEqualTo(16_384);
@@ -351,12 +389,14 @@
   void longAndShortWorkMixedAllEnds() {
     SimulatedLoad load =
         new SimulatedLoad(
-            Work.scheduler(4, "north", "south"),
+            SchedulerFixtures.scheduler(4, "north", "south"),
             task -> task.taskId().key().team().equals("north") ? 20 : 4_000);
     for (int i = 0; i < 300; i++) {
-      load.submit(Work.request("north", "short" + i, load.now(), load.now() + 10_000));
+      load.submit(SchedulerFixtures.request("north", "short" + i, load.now(), load.now() + 10_000));
       if (i % 10 == 0) {
-        load.submit(Work.item("south", "long" + i, WorkClass.BATCH, Work.SMALL, 2));
+        load.submit(
+            SchedulerFixtures.item(
+                "south", "long" + i, WorkClass.BATCH, SchedulerFixtures.SMALL, 2));
       }
       load.run(50);
     }
--- a/core/src/test/java/org/hickorypier/core/scheduling/Work.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/SchedulerFixtures.java
@@ -7,18 +7,26 @@
 import org.hickorypier.core.model.WorkerDescription;
 
 /** Makes the work and workers of the tests. Holds no state. */
-final class Work {
+final class SchedulerFixtures {
 
   static final long RUN_MILLIS = 1_000;
-  static final long FAR = 1_000_000_000;
+  static final long FAR_DEADLINE_MILLIS = 1_000_000_000;
   static final Resources SMALL = new Resources(1_000, 1_024, 0);
   static final Resources CAPACITY = new Resources(16_000, 65_536, 0);
 
-  private Work() {}
+  private SchedulerFixtures() {}
 
   static WorkItem item(String team, String id, WorkClass workClass, Resources each, int tasks) {
     return new WorkItem(
-        new WorkKey(team, id), workClass, "check", each, tasks, true, 0, FAR, RUN_MILLIS);
+        new WorkKey(team, id),
+        workClass,
+        "check",
+        each,
+        tasks,
+        true,
+        0,
+        FAR_DEADLINE_MILLIS,
+        RUN_MILLIS);
   }
 
   static WorkItem request(String team, String id) {
--- a/core/src/test/java/org/hickorypier/core/scheduling/SchedulerPropertyTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/SchedulerPropertyTest.java
@@ -22,7 +22,7 @@
    * order. The account beside the scheduler finds any step that breaks capacity, slots or permits.
    */
   @Property(seed = "5", tries = 400)
-  void everyStepKeepsTheInvariants(@ForAll long seed) {
+  void invariantsHoldAfterEveryStep(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     SchedulerSettings settings =
         SchedulerSettings.defaults().withHoldAfterMillis(NO_HOLD_MILLIS).withUrgentReservePart(0);
@@ -31,7 +31,7 @@
 
   /** As above, with workers held for gangs, which leaves room idle on purpose. */
   @Property(seed = "6", tries = 400)
-  void everyStepKeepsTheInvariantsWithHolds(@ForAll long seed) {
+  void invariantsHoldAfterEveryStepWithHolds(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     SchedulerSettings settings = SchedulerSettings.defaults().withHoldAfterMillis(500);
     driveAndCheck(random, new CheckedScheduler(SchedulerFactory.create(settings, seed), false));
@@ -43,7 +43,7 @@
       checked.putPermits("team-" + i, random.nextInt(40));
     }
     for (int i = 0; i < WORKERS; i++) {
-      checked.putWorker(Work.worker(i, capacity(random), 1 + random.nextInt(8)), true);
+      checked.putWorker(SchedulerFixtures.worker(i, capacity(random), 1 + random.nextInt(8)), true);
     }
     for (int step = 0; step < STEPS; step++) {
       now += random.nextInt(400);
@@ -108,7 +108,7 @@
       int number = 100 + random.nextInt(10);
       boolean isNew = !names.contains("worker-" + number);
       if (isNew) {
-        checked.putWorker(Work.worker(number), random.nextInt(4) > 0);
+        checked.putWorker(SchedulerFixtures.worker(number), random.nextInt(4) > 0);
       }
     }
   }
--- a/core/src/test/java/org/hickorypier/core/scheduling/SchedulerTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/SchedulerTest.java
@@ -23,8 +23,8 @@
 
   @Test
   void requestIsPlacedOnceWithItsFirstAttempt() {
-    Scheduler scheduler = Work.scheduler(1, "north");
-    scheduler.submit(Work.request("north", "a"), 0);
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north");
+    scheduler.submit(SchedulerFixtures.request("north", "a"), 0);
 
     assertThat(tasks(scheduler.place(0)))
         .extracting(PlacedTask::taskId)
@@ -33,31 +33,31 @@
   }
 
   @Test
-  void newSubmissionAfterTroubleIsOneAttemptHigher() {
-    Scheduler scheduler = Work.scheduler(1, "north");
+  void resubmissionAfterFailureHasNextAttempt() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north");
     int attempt = 1;
     for (TaskEnd end : List.of(TaskEnd.NOT_STARTED, TaskEnd.LOST, TaskEnd.FAILED)) {
-      scheduler.submit(Work.request("north", "a"), 0);
+      scheduler.submit(SchedulerFixtures.request("north", "a"), 0);
       TaskId placed = tasks(scheduler.place(0)).get(0).taskId();
       assertThat(placed.attempt()).isEqualTo(attempt++);
-      scheduler.ended(placed, end, 0);
+      scheduler.taskEnded(placed, end, 0);
     }
   }
 
   @Test
-  void attemptThatWasOnlyQueuedIsNotCounted() {
-    Scheduler scheduler = Work.scheduler(1, "north");
-    scheduler.submit(Work.request("north", "a"), 0);
+  void cancelledQueuedAttemptIsNotCounted() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north");
+    scheduler.submit(SchedulerFixtures.request("north", "a"), 0);
     scheduler.cancelQueued(new WorkKey("north", "a"));
-    scheduler.submit(Work.request("north", "a"), 0);
+    scheduler.submit(SchedulerFixtures.request("north", "a"), 0);
 
     assertThat(tasks(scheduler.place(0)).get(0).taskId().attempt()).isEqualTo(1);
   }
 
   @Test
-  void teamWithoutPermitsWaitsAndIsToldSo() {
-    Scheduler scheduler = Work.scheduler(1);
-    scheduler.submit(Work.request("north", "a"), 0);
+  void teamWithoutPermitsWaitsWithExplanation() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(1);
+    scheduler.submit(SchedulerFixtures.request("north", "a"), 0);
 
     assertThat(scheduler.place(0)).isEmpty();
     assertThat(scheduler.waitingTasks("north")).isEqualTo(1);
@@ -67,10 +67,10 @@
   }
 
   @Test
-  void workThatNeverFitsIsRefusedAtOnceWithTheResource() {
-    Scheduler scheduler = Work.scheduler(2, "north");
+  void workLargerThanAnyWorkerIsRefusedWithTheResource() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(2, "north");
     Resources huge = new Resources(1_000, 70_000, 0);
-    WorkItem item = Work.item("north", "a", WorkClass.BATCH, huge, 1);
+    WorkItem item = SchedulerFixtures.item("north", "a", WorkClass.BATCH, huge, 1);
 
     assertThat(scheduler.submit(item, 0))
         .get()
@@ -80,24 +80,26 @@
 
   @Test
   void burstOfOneTeamFillsOnlyItsOwnQueue() {
-    Scheduler scheduler = Work.scheduler(1);
+    Scheduler scheduler = SchedulerFixtures.scheduler(1);
     int limit = SchedulerSettings.defaults().queueLimit();
     for (int i = 0; i < limit; i++) {
-      assertThat(scheduler.submit(Work.request("north", "a" + i), 0)).isEmpty();
+      assertThat(scheduler.submit(SchedulerFixtures.request("north", "a" + i), 0)).isEmpty();
     }
 
-    assertThat(scheduler.submit(Work.request("north", "more"), 0))
+    assertThat(scheduler.submit(SchedulerFixtures.request("north", "more"), 0))
         .map(Refusal::reason)
         .contains(RefusalReason.QUEUE_FULL);
-    assertThat(scheduler.submit(Work.request("south", "a"), 0)).isEmpty();
+    assertThat(scheduler.submit(SchedulerFixtures.request("south", "a"), 0)).isEmpty();
   }
 
   @Test
   void fullFleetIsDividedByShare() {
-    Scheduler scheduler = Work.scheduler(12, "north", "south");
+    Scheduler scheduler = SchedulerFixtures.scheduler(12, "north", "south");
     scheduler.putShare("north", 3);
-    scheduler.submit(Work.item("north", "a", WorkClass.BATCH, Work.SMALL, 200), 0);
-    scheduler.submit(Work.item("south", "a", WorkClass.BATCH, Work.SMALL, 200), 0);
+    scheduler.submit(
+        SchedulerFixtures.item("north", "a", WorkClass.BATCH, SchedulerFixtures.SMALL, 200), 0);
+    scheduler.submit(
+        SchedulerFixtures.item("south", "a", WorkClass.BATCH, SchedulerFixtures.SMALL, 200), 0);
 
     List<PlacedTask> placed = tasks(scheduler.place(0));
 
@@ -107,11 +109,13 @@
   }
 
   @Test
-  void useElsewhereCountsInTheFairOrder() {
-    Scheduler scheduler = Work.scheduler(1, "north", "south");
-    scheduler.putUseElsewhere("north", new Resources(16_000, 0, 0));
-    scheduler.submit(Work.item("north", "a", WorkClass.BATCH, Work.SMALL, 8), 0);
-    scheduler.submit(Work.item("south", "a", WorkClass.BATCH, Work.SMALL, 8), 0);
+  void remoteUsageCountsInFairOrder() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north", "south");
+    scheduler.putRemoteUsage("north", new Resources(16_000, 0, 0));
+    scheduler.submit(
+        SchedulerFixtures.item("north", "a", WorkClass.BATCH, SchedulerFixtures.SMALL, 8), 0);
+    scheduler.submit(
+        SchedulerFixtures.item("south", "a", WorkClass.BATCH, SchedulerFixtures.SMALL, 8), 0);
 
     assertThat(tasks(scheduler.place(0)))
         .allMatch(task -> task.taskId().key().team().equals("south"));
@@ -123,15 +127,15 @@
    * What it gains here counts as gained elsewhere too, so south is next after one task and not two.
    */
   @Test
-  void useElsewhereIsTakenToFollowTheUseHere() {
-    Scheduler scheduler = Work.scheduler(1, "north", "south");
-    scheduler.submit(Work.request("north", "first"), 0);
+  void remoteUsageEstimateFollowsLocalUsage() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north", "south");
+    scheduler.submit(SchedulerFixtures.request("north", "first"), 0);
     scheduler.place(0);
-    scheduler.putUseElsewhere("north", new Resources(2_000, 0, 0));
-    scheduler.putUseElsewhere("south", new Resources(4_000, 0, 0));
+    scheduler.putRemoteUsage("north", new Resources(2_000, 0, 0));
+    scheduler.putRemoteUsage("south", new Resources(4_000, 0, 0));
     for (int i = 0; i < 3; i++) {
-      scheduler.submit(Work.request("north", "n" + i), 0);
-      scheduler.submit(Work.request("south", "s" + i), 0);
+      scheduler.submit(SchedulerFixtures.request("north", "n" + i), 0);
+      scheduler.submit(SchedulerFixtures.request("south", "s" + i), 0);
     }
 
     assertThat(tasks(scheduler.place(0)))
@@ -144,17 +148,17 @@
    * the same of north; it once wiped out what had been gained since the first.
    */
   @Test
-  void nextDigestOfAnotherInstanceKeepsTheCorrection() {
-    Scheduler scheduler = Work.scheduler(1, "north", "south");
-    scheduler.submit(Work.request("north", "first"), 0);
+  void laterDigestKeepsRemoteUsageEstimate() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north", "south");
+    scheduler.submit(SchedulerFixtures.request("north", "first"), 0);
     scheduler.place(0);
-    scheduler.putUseElsewhere("north", new Resources(2_000, 0, 0));
-    scheduler.putUseElsewhere("south", new Resources(4_000, 0, 0));
-    scheduler.submit(Work.request("north", "n0"), 100);
+    scheduler.putRemoteUsage("north", new Resources(2_000, 0, 0));
+    scheduler.putRemoteUsage("south", new Resources(4_000, 0, 0));
+    scheduler.submit(SchedulerFixtures.request("north", "n0"), 100);
     scheduler.place(100);
-    scheduler.putUseElsewhere("north", new Resources(2_000, 0, 0));
-    scheduler.submit(Work.request("north", "n1"), 100);
-    scheduler.submit(Work.request("south", "s0"), 100);
+    scheduler.putRemoteUsage("north", new Resources(2_000, 0, 0));
+    scheduler.submit(SchedulerFixtures.request("north", "n1"), 100);
+    scheduler.submit(SchedulerFixtures.request("south", "s0"), 100);
 
     assertThat(tasks(scheduler.place(100)))
         .extracting(task -> task.taskId().key().team())
@@ -162,20 +166,22 @@
   }
 
   @Test
-  void gangStartsWholeOrNotAtAll() {
-    Scheduler scheduler = Work.scheduler(2, "north");
-    scheduler.submit(Work.item("north", "gang", WorkClass.GANG, Work.SMALL, 17), 0);
+  void gangStartsAllTasksOrNone() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(2, "north");
+    scheduler.submit(
+        SchedulerFixtures.item("north", "gang", WorkClass.GANG, SchedulerFixtures.SMALL, 17), 0);
     assertThat(scheduler.place(0)).isEmpty();
     assertThat(scheduler.workers()).allMatch(room -> room.freeSlots() == 8);
 
-    scheduler.putWorker(Work.worker(9), true);
+    scheduler.putWorker(SchedulerFixtures.worker(9), true);
     assertThat(tasks(scheduler.place(100))).hasSize(17);
   }
 
   @Test
   void serviceSpreadsOverDataCentresAndRacks() {
-    Scheduler scheduler = Work.scheduler(48, "north");
-    scheduler.submit(Work.item("north", "web", WorkClass.SERVICE, Work.SMALL, 4), 0);
+    Scheduler scheduler = SchedulerFixtures.scheduler(48, "north");
+    scheduler.submit(
+        SchedulerFixtures.item("north", "web", WorkClass.SERVICE, SchedulerFixtures.SMALL, 4), 0);
 
     Set<String> racks = new HashSet<>();
     tasks(scheduler.place(0)).forEach(task -> racks.add(task.worker().replace("worker-", "")));
@@ -186,46 +192,46 @@
   }
 
   @Test
-  void adoptedTaskCountsAndItsEndFreesTheRoom() {
-    Scheduler scheduler = Work.scheduler(1, "north");
+  void adoptedTaskCountsUntilItEnds() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north");
     TaskId adopted = new TaskId(new WorkKey("north", "old"), 4, 0);
-    scheduler.adopt(adopted, "worker-0", WorkClass.REQUEST, Work.CAPACITY, 0);
-    scheduler.submit(Work.request("north", "a"), 0);
+    scheduler.adopt(adopted, "worker-0", WorkClass.REQUEST, SchedulerFixtures.CAPACITY, 0);
+    scheduler.submit(SchedulerFixtures.request("north", "a"), 0);
     assertThat(scheduler.place(0)).isEmpty();
 
-    scheduler.ended(adopted, TaskEnd.LOST, 1);
+    scheduler.taskEnded(adopted, TaskEnd.LOST, 1);
     assertThat(scheduler.place(1)).hasSize(1);
-    scheduler.submit(Work.request("north", "old"), 1);
+    scheduler.submit(SchedulerFixtures.request("north", "old"), 1);
     assertThat(tasks(scheduler.place(1)).get(0).taskId().attempt()).isEqualTo(5);
   }
 
   @Test
   void workThatFailedOnThreeWorkersIsRefused() {
-    Scheduler scheduler = Work.scheduler(30, "north");
+    Scheduler scheduler = SchedulerFixtures.scheduler(30, "north");
     for (int i = 0; i < 3; i++) {
-      assertThat(scheduler.submit(Work.request("north", "bad"), i)).isEmpty();
-      scheduler.ended(tasks(scheduler.place(i)).get(0).taskId(), TaskEnd.FAILED, i);
+      assertThat(scheduler.submit(SchedulerFixtures.request("north", "bad"), i)).isEmpty();
+      scheduler.taskEnded(tasks(scheduler.place(i)).get(0).taskId(), TaskEnd.FAILED, i);
     }
 
-    assertThat(scheduler.submit(Work.request("north", "bad"), 4))
+    assertThat(scheduler.submit(SchedulerFixtures.request("north", "bad"), 4))
         .map(Refusal::reason)
         .contains(RefusalReason.FAILS_EVERYWHERE);
   }
 
   @Test
-  void closedWorkerGetsNothingAndKeepsItsTasks() {
-    Scheduler scheduler = Work.scheduler(1, "north");
-    scheduler.submit(Work.request("north", "a"), 0);
+  void closedWorkerGetsNoNewTasksAndKeepsItsOwn() {
+    Scheduler scheduler = SchedulerFixtures.scheduler(1, "north");
+    scheduler.submit(SchedulerFixtures.request("north", "a"), 0);
     scheduler.place(0);
-    scheduler.putWorker(Work.worker(0), false);
-    scheduler.submit(Work.request("north", "b"), 0);
+    scheduler.putWorker(SchedulerFixtures.worker(0), false);
+    scheduler.submit(SchedulerFixtures.request("north", "b"), 0);
 
     assertThat(scheduler.place(1)).isEmpty();
     assertThat(scheduler.placed()).hasSize(1);
   }
 
   @Test
-  void settingOutsideItsRangeNamesValueAndRange() {
+  void outOfRangeSettingErrorNamesValueAndRange() {
     assertThatThrownBy(() -> SchedulerSettings.defaults().withQueueLimit(0))
         .hasMessage("queueLimit is 0, allowed is 1 to 1000000");
   }
--- a/core/src/test/java/org/hickorypier/core/scheduling/SimulatedLoad.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/SimulatedLoad.java
@@ -57,7 +57,7 @@
               refusals.add(refusal);
               refusedOfTeam.merge(item.key().team(), 1L, Long::sum);
             });
-    decide();
+    placeTasks();
   }
 
   void submit(WorkItem item, boolean mustBeAccepted) {
@@ -72,15 +72,15 @@
     for (long end = now + millis; now < end; now += STEP_MILLIS) {
       while (!running.isEmpty() && running.peek().endMillis() <= now) {
         Running ended = running.poll();
-        scheduler.ended(ended.taskId(), ended.end(), now);
+        scheduler.taskEnded(ended.taskId(), ended.end(), now);
         completed += ended.end() == TaskEnd.COMPLETED ? 1 : 0;
         failed += ended.end() == TaskEnd.FAILED ? 1 : 0;
-        decide();
+        placeTasks();
       }
       scheduler
           .expire(now)
           .forEach(givenUp -> givenUpOfTeam.merge(givenUp.item().key().team(), 1L, Long::sum));
-      decide();
+      placeTasks();
     }
   }
 
@@ -108,7 +108,7 @@
     return failed;
   }
 
-  private void decide() {
+  private void placeTasks() {
     for (Placement placement : scheduler.place(now)) {
       for (PlacedTask task : placement.tasks()) {
         long millis = runMillis.applyAsLong(task);
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/DigestBoard.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/DigestBoard.java
@@ -14,7 +14,7 @@
 import org.hickorypier.core.model.WorkItem;
 import org.hickorypier.core.scheduling.PlacedTask;
 import org.hickorypier.core.scheduling.Scheduler;
-import org.hickorypier.core.scheduling.WorkerRoom;
+import org.hickorypier.core.scheduling.WorkerSnapshot;
 import org.hickorypier.daemon.peer.PeerIdentity;
 import org.hickorypier.daemon.peer.PeerListener;
 import org.hickorypier.wire.message.PeerMessage;
@@ -129,7 +129,7 @@
   public Digest own(long offset, long logAgeMillis, boolean taking) {
     Resources free = Resources.NONE;
     int slots = 0;
-    for (WorkerRoom room : scheduler.workers()) {
+    for (WorkerSnapshot room : scheduler.workers()) {
       if (OPEN.equals(room.state())) {
         free = free.plus(room.free());
         slots += room.freeSlots();
@@ -175,7 +175,7 @@
     }
     told.forEach(team -> sums.putIfAbsent(team, Resources.NONE));
     told.addAll(sums.keySet());
-    sums.forEach(scheduler::putUseElsewhere);
+    sums.forEach(scheduler::putRemoteUsage);
   }
 
   private record Received(PeerIdentity peer, Digest digest) {}
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalRows.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalRows.java
@@ -13,7 +13,7 @@
 import org.hickorypier.core.model.WorkerDescription;
 import org.hickorypier.core.scheduling.PlacedTask;
 import org.hickorypier.core.scheduling.Scheduler;
-import org.hickorypier.core.scheduling.WorkerRoom;
+import org.hickorypier.core.scheduling.WorkerSnapshot;
 import org.hickorypier.daemon.operator.InstanceRow;
 import org.hickorypier.daemon.operator.RefusedRow;
 import org.hickorypier.daemon.operator.RunningRow;
@@ -141,7 +141,7 @@
         .toList();
   }
 
-  private WorkerRow workerRow(WorkerRoom room) {
+  private WorkerRow workerRow(WorkerSnapshot room) {
     WorkerDescription worker = room.worker();
     return new WorkerRow(
         worker.name(),
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
@@ -424,7 +424,7 @@
 
   @Override
   public void onEnded(TaskId taskId, TaskReport report) {
-    scheduler.ended(taskId, report.end(), timers.nowMillis());
+    scheduler.taskEnded(taskId, report.end(), timers.nowMillis());
     WorkEntry entry = entries.get(taskId.key());
     if (entry != null) {
       boolean allEnded = entry.taskEnded(taskId, report);
--- a/measure/src/main/java/org/hickorypier/measure/FairnessLoad.java
+++ b/measure/src/main/java/org/hickorypier/measure/FairnessLoad.java
@@ -207,7 +207,7 @@
         for (int other = 0; other < INSTANCES; other++) {
           elsewhere = other == to ? elsewhere : elsewhere.plus(digests[other][team]);
         }
-        schedulerAt(to).putUseElsewhere(WorkMix.team(team), elsewhere);
+        schedulerAt(to).putRemoteUsage(WorkMix.team(team), elsewhere);
       }
     }
   }
--- a/measure/src/main/java/org/hickorypier/measure/SchedulerDecider.java
+++ b/measure/src/main/java/org/hickorypier/measure/SchedulerDecider.java
@@ -53,7 +53,7 @@
 
   @Override
   public void ended(TaskId taskId, long now) {
-    scheduler.ended(taskId, TaskEnd.COMPLETED, now);
+    scheduler.taskEnded(taskId, TaskEnd.COMPLETED, now);
   }
 
   @Override
