--- a/core/src/main/java/org/hickorypier/core/scheduling/DataCentre.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/DataCentre.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * The racks of a data centre, its workers by room, and the services on them.
+ * The racks of a data centre, an index of its workers by free resources, and its service counts.
  *
- * <p>Not thread safe.
+ * <p>Confined to the control thread.
  */
 final class DataCentre {
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/Fleet.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Fleet.java
@@ -11,10 +11,11 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * The workers, found by name, by room, by place and at random.
+ * The workers of an instance, by name, by free resources, by data centre and rack, and by position
+ * for random choice.
  *
- * <p>Invariants: the index holds exactly the workers that take new tasks and have a free slot; the
- * total is the sum over all capacities. Not thread safe.
+ * <p>Invariants: the index holds exactly the workers that accept new tasks and have a free slot;
+ * the total is the sum over all capacities. Confined to the control thread.
  */
 final class Fleet {
 
@@ -54,8 +55,8 @@
     return workerList.size();
   }
 
-  WorkerState at(int place) {
-    return workerList.get(place);
+  WorkerState at(int position) {
+    return workerList.get(position);
   }
 
   void add(WorkerState worker) {
@@ -72,11 +73,11 @@
 
   void remove(WorkerState worker) {
     workers.remove(worker.name());
-    int place = positions.remove(worker.name());
+    int position = positions.remove(worker.name());
     WorkerState last = workerList.remove(workerList.size() - 1);
     if (last != worker) {
-      workerList.set(place, last);
-      positions.put(last.name(), place);
+      workerList.set(position, last);
+      positions.put(last.name(), position);
     }
     index.remove(worker);
     DataCentre dataCentre = dataCentre(worker);
@@ -107,10 +108,10 @@
     reindex(worker, dataCentre(worker).index());
   }
 
-  private static void reindex(WorkerState worker, FreeCapacityIndex in) {
-    in.remove(worker);
+  private static void reindex(WorkerState worker, FreeCapacityIndex target) {
+    target.remove(worker);
     if (worker.acceptsTasks()) {
-      in.add(worker);
+      target.add(worker);
     }
   }
 
@@ -131,13 +132,13 @@
     dataCentre.index().includeCapacity(capacity);
   }
 
-  private void countService(WorkerState worker, PlacedTask task, boolean more) {
+  private void countService(WorkerState worker, PlacedTask task, boolean added) {
     if (task.workClass() != WorkClass.SERVICE) {
       return;
     }
     DataCentre dataCentre = dataCentre(worker);
     Rack rack = dataCentre.rack(worker.description().rack());
-    if (more) {
+    if (added) {
       dataCentre.services().add(task.taskId().key());
       rack.services().add(task.taskId().key());
     } else {
--- a/core/src/main/java/org/hickorypier/core/scheduling/FreeCapacityIndex.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/FreeCapacityIndex.java
@@ -6,31 +6,33 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * The open workers sorted by their free room, in cells of equal free accelerators, processors and
- * memory.
+ * Index of the open workers by free resources, in buckets of equal free accelerators, processors
+ * and memory.
  *
- * <p>Made for thousands of starts a second over thousands of workers. A look-up visits rows of
- * cells, whose number is fixed, and not workers; a change moves one worker between two cells. So
- * the cost of a decision hardly depends on the number of workers. Only in the lowest cells of a
- * look-up, where some members have a little less room than needed, are members tried one by one.
+ * <p>The index serves thousands of starts a second over thousands of workers. A lookup visits rows
+ * of buckets, whose number is fixed, rather than workers, and an update moves one worker between
+ * two buckets, so the cost of a decision hardly depends on the number of workers. Members are tried
+ * one by one only in the lowest buckets of a lookup, where some have slightly less free than
+ * needed.
  *
- * <p>Invariant: every indexed worker stands in the cell of its present free room. Not thread safe.
+ * <p>Invariant: every indexed worker is in the bucket of its current free resources. Confined to
+ * the control thread.
  */
 final class FreeCapacityIndex {
 
-  /** Memory levels, one for each bit of a row's mask. */
+  /** Memory levels, one for each bit of a row's mask of occupied buckets. */
   private static final int MEMORY_LEVELS = Long.SIZE;
 
-  /** Processor levels; with 250 milli-processors each, exact for workers of up to 16 processors. */
+  /** Levels of 250 milli-processors each are exact for workers of up to 16 processors. */
   private static final int PROCESSOR_LEVELS = 65;
 
-  /** Accelerator levels; no worker of the target has more than 8, those above share the last. */
+  /** Target workers have at most 8 accelerators; workers above the last level share it. */
   private static final int ACCELERATOR_LEVELS = 17;
 
   /**
-   * How much imbalance counts. Tried on a scratch copy with 20 seeds: at 1 no better than first fit
-   * on 7 of them; at 4 above it on all, with and without large tasks; from 8 on the least seed with
-   * large tasks falls again.
+   * Weight of the imbalance between free processors and free memory. At 1 the packing is no better
+   * than first fit on 7 of 20 seeds; at 4 it is better on all of them, with and without large
+   * tasks; from 8 upwards the worst seed with large tasks gets worse again.
    */
   private static final double IMBALANCE_WEIGHT = 4;
 
@@ -47,22 +49,22 @@
   private double processorLevelFraction;
   private double memoryLevelFraction;
 
-  /** What an index spans; a worker stands in one index of each scope. */
+  /** The workers that an index covers; a worker is in at most one index of each scope. */
   enum Scope {
     FLEET,
     DATA_CENTRE
   }
 
-  /** Where a worker stands: its row, its cell and its place in the cell. */
+  /** Location of a worker in an index: its row, its bucket and its offset in the bucket. */
   static final class Position {
     private final int row;
     private final int bucket;
     private int offset;
 
-    private Position(int row, int cell, int place) {
+    private Position(int row, int bucket, int offset) {
       this.row = row;
-      this.bucket = cell;
-      this.offset = place;
+      this.bucket = bucket;
+      this.offset = offset;
     }
   }
 
@@ -82,15 +84,15 @@
   }
 
   /**
-   * Tells whether a capacity spans more levels than there are. All workers must then be removed,
-   * the levels widened, and the workers added again.
+   * Returns whether a capacity exceeds the range of the levels. If so, the caller must remove all
+   * workers, widen the levels, and add the workers again.
    */
   boolean needsWiderLevels(Resources capacity) {
     return capacity.milliProcessors() > milliProcessorsPerLevel * (PROCESSOR_LEVELS - 1)
         || capacity.memoryMebibytes() > memoryMebibytesPerLevel * MEMORY_LEVELS;
   }
 
-  /** Has free room counted as parts of the largest worker. */
+  /** Includes a capacity in the largest worker, which scores are relative to. */
   void includeCapacity(Resources capacity) {
     largestMilliProcessors = Math.max(largestMilliProcessors, capacity.milliProcessors());
     largestMemoryMebibytes = Math.max(largestMemoryMebibytes, capacity.memoryMebibytes());
@@ -110,18 +112,18 @@
   void add(WorkerState worker) {
     int accelerators = acceleratorLevel(worker.freeAccelerators());
     int row = rowIndex(accelerators, processorLevel(worker.freeMilliProcessors()));
-    int cell = memoryLevel(worker.freeMemoryMebibytes());
+    int bucket = memoryLevel(worker.freeMemoryMebibytes());
     if (rows[row] == null) {
       rows[row] = new Row();
     }
-    List<WorkerState> members = rows[row].buckets.get(cell);
+    List<WorkerState> members = rows[row].buckets.get(bucket);
     if (members == null) {
       members = new ArrayList<>();
-      rows[row].buckets.set(cell, members);
+      rows[row].buckets.set(bucket, members);
     }
-    worker.setPosition(scope, new Position(row, cell, members.size()));
+    worker.setPosition(scope, new Position(row, bucket, members.size()));
     members.add(worker);
-    rows[row].occupiedBuckets |= 1L << cell;
+    rows[row].occupiedBuckets |= 1L << bucket;
     workersByAccelerators[accelerators]++;
   }
 
@@ -145,17 +147,17 @@
   }
 
   /**
-   * Finds the worker that a task leaves with the least and best balanced room, among those with the
-   * fewest free accelerators.
+   * Finds the worker that is left with the least and best balanced free resources by a task, among
+   * those with the fewest free accelerators.
    *
-   * <p>Least room alone fills workers until one resource is used up and the rest of the other is
-   * lost; balance alone spreads small tasks over all workers and leaves no gap for a large one. The
-   * score is the free processors and memory after the placement, as parts of the largest worker,
-   * plus {@link #IMBALANCE_WEIGHT} times their difference.
+   * <p>Minimising free resources alone fills workers until one resource is exhausted and the rest
+   * of the other is wasted; balancing alone spreads small tasks over all workers and leaves no gap
+   * for a large one. The score is the free processors and memory after the placement, as fractions
+   * of the largest worker, plus {@link #IMBALANCE_WEIGHT} times their difference.
    *
-   * @param need the room needed
-   * @param allowed what else must hold for the worker
-   * @return the worker, or null if there is none
+   * @param need the resources needed
+   * @param allowed an additional condition on the worker
+   * @return the worker, or null if none fits
    */
   WorkerState bestFit(Resources need, Predicate<WorkerState> allowed) {
     for (int level = acceleratorLevel(need.accelerators()); level < ACCELERATOR_LEVELS; level++) {
@@ -179,13 +181,13 @@
         break;
       }
       Row row = rows[rowIndex(level, i)];
-      long cells = row == null ? 0 : row.occupiedBuckets & -1L << firstMemory;
-      for (; cells != 0; cells &= cells - 1) {
-        int cell = Long.numberOfTrailingZeros(cells);
-        double memory = (cell - firstMemory) * memoryLevelFraction;
+      long buckets = row == null ? 0 : row.occupiedBuckets & -1L << firstMemory;
+      for (; buckets != 0; buckets &= buckets - 1) {
+        int bucket = Long.numberOfTrailingZeros(buckets);
+        double memory = (bucket - firstMemory) * memoryLevelFraction;
         double score = score(processors, memory);
         if (score < bestScore) {
-          WorkerState found = firstFitting(row, cell, need, allowed);
+          WorkerState found = firstFitting(row, bucket, need, allowed);
           best = found == null ? best : found;
           bestScore = found == null ? bestScore : score;
         } else if (memory > processors) {
@@ -196,14 +198,14 @@
     return best;
   }
 
-  /** Returns the score of free parts, the less the better. */
+  /** Returns the score of free fractions of processors and memory; lower is better. */
   static double score(double processors, double memory) {
     return processors + memory + IMBALANCE_WEIGHT * Math.abs(processors - memory);
   }
 
   private static WorkerState firstFitting(
-      Row row, int cell, Resources need, Predicate<WorkerState> allowed) {
-    List<WorkerState> members = row.buckets.get(cell);
+      Row row, int bucket, Resources need, Predicate<WorkerState> allowed) {
+    List<WorkerState> members = row.buckets.get(bucket);
     for (int i = members.size() - 1; i >= 0; i--) {
       WorkerState worker = members.get(i);
       if (worker.hasRoomFor(need) && allowed.test(worker)) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/Hold.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Hold.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * Workers that are kept free for one item.
+ * Workers held for one item.
  *
- * <p>Immutable, but for the state of what it names.
+ * <p>The record is immutable, but its owner and workers are not. Confined to the control thread.
  *
- * @param owner the item
- * @param workers the workers
- * @param expectedStartMillis when the item is expected to fit
+ * @param owner the item that the workers are held for
+ * @param workers the held workers
+ * @param expectedStartMillis when the item is expected to fit, on the monotonic clock
  */
 record Hold(QueuedItem owner, List<WorkerState> workers, long expectedStartMillis) {
 
-  /** Copies the list. */
+  /** Copies the list of workers. */
   Hold {
     workers = List.copyOf(workers);
   }
 
-  /** Tells whether an item may use the held workers now. */
+  /** Returns whether an item may use the held workers at the given time. */
   boolean admits(QueuedItem queued, long now) {
     return queued == owner || now + queued.item().expectedRunMillis() <= expectedStartMillis;
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/IncrementalScheduler.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/IncrementalScheduler.java
@@ -16,16 +16,16 @@
 import org.hickorypier.core.model.WorkerDescription;
 
 /**
- * The decisions over indexes that each call changes a little, so that no call goes through all
- * workers or all queued items, but for the operators' queries.
+ * Scheduler that maintains its indexes incrementally, so that no call except the operators' queries
+ * iterates over all workers or all queued items.
  *
- * <p>Invariants: those of {@link Scheduler}. Not thread safe.
+ * <p>Invariants: those of {@link Scheduler}. Confined to the control thread.
  */
 final class IncrementalScheduler implements Scheduler {
 
   private final FairOrder order = new FairOrder();
   private final Fleet fleet = new Fleet();
-  private final UrgentReserve reserve;
+  private final UrgentReserve urgentReserve;
   private final ShapeTable shapes;
   private final WorkerCapacities capacities = new WorkerCapacities();
   private final WorkHistory history;
@@ -40,8 +40,8 @@
   private long latestMillis;
 
   IncrementalScheduler(SchedulerSettings settings, long seed) {
-    reserve = new UrgentReserve(settings.urgentReservePart(), fleet);
-    shapes = new ShapeTable(reserve);
+    urgentReserve = new UrgentReserve(settings.urgentReservePart(), fleet);
+    shapes = new ShapeTable(urgentReserve);
     waitEstimate = new WaitEstimate(order, shapes);
     history = new WorkHistory(settings.historyMillis());
     queue = new ItemQueue(order, shapes, history);
@@ -60,7 +60,7 @@
             reservations,
             new PlacementPolicies(fleet, random),
             new WorkerHolds(settings.holdAfterMillis(), fleet, order, random),
-            reserve);
+            urgentReserve);
   }
 
   @Override
@@ -74,7 +74,7 @@
       Resources need = reservationSize(item);
       queue.add(item, need);
       if (item.workClass() == WorkClass.URGENT) {
-        reserve.urgentCame(need, now);
+        urgentReserve.urgentCame(need, now);
       }
     }
     return refusal;
@@ -93,14 +93,14 @@
     history.forgetOld(now);
     List<GivenUp> givenUp = new ArrayList<>(giveUpFailingJobs(now));
     for (QueuedItem queued : queue.removeExpired(now)) {
-      String detail = "No place came free before the deadline.";
+      String detail = "The work could not be placed before the deadline.";
       givenUp.add(
           new GivenUp(queued.item(), new Refusal(RefusalReason.DEADLINE_PASSED, detail, 0)));
     }
     return givenUp;
   }
 
-  /** Gives up what still waits of jobs whose tasks have failed on several workers by now. */
+  /** Gives up the queued remainder of jobs whose tasks have failed on several workers. */
   private List<GivenUp> giveUpFailingJobs(long now) {
     List<GivenUp> givenUp = new ArrayList<>();
     for (WorkKey key : failingJobs) {
@@ -178,7 +178,7 @@
     final List<TaskId> taskIds = reservations.releaseAll(state, latestMillis);
     fleet.remove(state);
     quarantine.forget(state);
-    reserve.forget(state);
+    urgentReserve.forget(state);
     capacities.remove(state.description().capacity());
     order.setTotal(fleet.total());
     return taskIds;
@@ -215,7 +215,7 @@
       learnedSizes.report(taskId.key().team(), reservation.name(), used);
     }
     reservations.raise(reservation, used);
-    reserve.roomTaken(fleet.worker(reservation.task().worker()));
+    urgentReserve.roomTaken(fleet.worker(reservation.task().worker()));
   }
 
   @Override
@@ -252,8 +252,8 @@
   }
 
   private void capacityFreed(WorkerState worker) {
-    reserve.roomTaken(worker);
-    reserve.roomFreed(worker);
+    urgentReserve.roomTaken(worker);
+    urgentReserve.roomFreed(worker);
     if (!worker.acceptsTasks()) {
       return;
     }
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacedTask.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacedTask.java
@@ -12,6 +12,6 @@
  * @param taskId the task
  * @param worker the worker's name
  * @param workClass the class of the work
- * @param reserved what is reserved for it on the worker
+ * @param reserved the resources reserved for it on the worker
  */
 public record PlacedTask(TaskId taskId, String worker, WorkClass workClass, Resources reserved) {}
--- a/core/src/main/java/org/hickorypier/core/scheduling/Placement.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Placement.java
@@ -13,7 +13,7 @@
  */
 public record Placement(WorkItem item, List<PlacedTask> tasks) {
 
-  /** Copies the list. */
+  /** Copies the list of tasks. */
   public Placement {
     tasks = List.copyOf(tasks);
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
@@ -11,10 +11,11 @@
 import org.hickorypier.core.model.WorkItem;
 
 /**
- * Takes queued work in order and puts it on workers until no more fits.
+ * Places queued work on workers in fair order until no more fits.
  *
  * <p>Each round starts one task, or one whole gang, of the team that comes first in the fair order,
- * so a job of a thousand tasks does not run past the other teams. Not thread safe.
+ * so a job of a thousand tasks does not run ahead of the other teams. Confined to the control
+ * thread.
  */
 final class PlacementLoop {
 
@@ -30,7 +31,7 @@
   private final PlacementPolicies policies;
   private final UrgentTurns urgentTurns;
   private final WorkerHolds holds;
-  private final UrgentReserve reserve;
+  private final UrgentReserve urgentReserve;
   private final Map<QueuedItem, List<PlacedTask>> placedTasks = new LinkedHashMap<>();
   private boolean hasDelayedGang;
 
@@ -44,7 +45,7 @@
       Reservations reservations,
       PlacementPolicies policies,
       WorkerHolds holds,
-      UrgentReserve reserve) {
+      UrgentReserve urgentReserve) {
     this.settings = settings;
     this.fleet = fleet;
     this.order = order;
@@ -54,16 +55,16 @@
     this.reservations = reservations;
     this.policies = policies;
     this.holds = holds;
-    this.reserve = reserve;
+    this.urgentReserve = urgentReserve;
     this.urgentTurns = new UrgentTurns(settings.urgentHoldMillis(), settings.urgentTurn());
   }
 
   List<Placement> run(long now) {
     placeHoldOwners(now);
-    boolean more = true;
-    while (more) {
+    boolean placedAny = true;
+    while (placedAny) {
       boolean othersFirst = urgentTurns.isTurnOfOthers(now);
-      more = placeOne(!othersFirst, now) || placeOne(othersFirst, now);
+      placedAny = placeOne(!othersFirst, now) || placeOne(othersFirst, now);
     }
     List<Placement> placements = new ArrayList<>(placedTasks.size());
     placedTasks.forEach((queued, tasks) -> placements.add(new Placement(queued.item(), tasks)));
@@ -71,10 +72,10 @@
     return placements;
   }
 
-  /** Tries the items that workers are held for before all others, which may fill their gaps. */
+  /** Tries the owners of holds first, since other items could fill the gaps on their workers. */
   private void placeHoldOwners(long now) {
     holds.releaseObsolete(now).forEach(this::retryOn);
-    reserve.refresh(urgentTurns.isOverdue(now), now).forEach(this::retryOn);
+    urgentReserve.refresh(urgentTurns.isOverdue(now), now).forEach(this::retryOn);
     holds.holdForStarvingItem(now);
     for (QueuedItem owner : holds.owners()) {
       tryStart(order.team(owner.item().key().team()), owner, now);
@@ -114,9 +115,9 @@
       return null;
     }
     for (WorkClass workClass : classes) {
-      Iterator<QueuedItem> heads = team.queue(workClass).items().iterator();
-      for (int tried = 0; tried < settings.backfillDepth() && heads.hasNext(); ) {
-        QueuedItem queued = heads.next();
+      Iterator<QueuedItem> candidates = team.queue(workClass).items().iterator();
+      for (int tried = 0; tried < settings.backfillDepth() && candidates.hasNext(); ) {
+        QueuedItem queued = candidates.next();
         if (queued.isTooLate(now)) {
           continue;
         }
@@ -147,36 +148,36 @@
   }
 
   private WorkerState chooseWorker(QueuedItem queued, long now) {
-    boolean isHeldFor = queued.isHeldFor();
-    if (queued.shape().isBlocked() && !isHeldFor) {
+    boolean ownsHold = queued.isHeldFor();
+    if (queued.shape().isBlocked() && !ownsHold) {
       return null;
     }
     PlacementPolicy policy = policies.of(queued.item().workClass());
     WorkerFilter usable = usableWorkers(queued, now);
     Set<String> failedOn = history.failedOn(queued.item().key());
     if (!failedOn.isEmpty()) {
-      WorkerFilter elsewhere = worker -> !failedOn.contains(worker.name()) && usable.test(worker);
-      WorkerState other = policy.choose(queued, elsewhere);
-      if (other != null) {
-        return other;
+      WorkerFilter notFailedOn = worker -> !failedOn.contains(worker.name()) && usable.test(worker);
+      WorkerState preferred = policy.choose(queued, notFailedOn);
+      if (preferred != null) {
+        return preferred;
       }
     }
     WorkerState worker = policy.choose(queued, usable);
-    if (worker == null && !isHeldFor) {
+    if (worker == null && !ownsHold) {
       shapes.block(queued.shape());
     }
     return worker;
   }
 
   /**
-   * Says which workers an item may use. Urgent work may use held workers, unless it is overdue for
-   * other work to have its turn: an instance of four workers holds a quarter of its room for one
+   * Returns a filter for the workers that an item may use. Urgent work may use held workers unless
+   * other work is overdue: an instance with four workers holds a quarter of its capacity for one
    * gang.
    */
   private WorkerFilter usableWorkers(QueuedItem queued, long now) {
     boolean urgent = queued.item().workClass() == WorkClass.URGENT;
     return worker ->
-        (urgent || reserve.admits(worker, queued.need()))
+        (urgent || urgentReserve.admits(worker, queued.need()))
             && (worker.currentHold() == null
                 || worker.currentHold().admits(queued, now)
                 || urgent && !urgentTurns.isOverdue(now));
@@ -195,29 +196,29 @@
       hasDelayedGang = true;
       return false;
     }
-    List<Reservation> taken = new ArrayList<>(tasks);
+    List<Reservation> tentative = new ArrayList<>(tasks);
     for (int i = 0; i < tasks; i++) {
       WorkerState worker = chooseWorker(queued, now);
       if (worker == null) {
-        releaseAll(taken);
+        releaseAll(tentative);
         queued.triedInVain(now);
         queued.tryAgainAt(now + settings.gangRetryMillis());
         return false;
       }
       Reservation reservation = reservation(queued, i, worker, now);
       fleet.reserve(worker, reservation);
-      taken.add(reservation);
+      tentative.add(reservation);
     }
-    releaseAll(taken);
-    for (Reservation reservation : taken) {
+    releaseAll(tentative);
+    for (Reservation reservation : tentative) {
       reserve(queued, fleet.worker(reservation.task().worker()), now);
     }
     removeIfFullyPlaced(queued, now);
     return true;
   }
 
-  private void releaseAll(List<Reservation> taken) {
-    for (Reservation reservation : taken) {
+  private void releaseAll(List<Reservation> tentative) {
+    for (Reservation reservation : tentative) {
       WorkerState worker = fleet.worker(reservation.task().worker());
       fleet.release(worker, reservation);
       shapes.unblock(worker);
@@ -230,7 +231,7 @@
     TeamState team = order.team(queued.item().key().team());
     team.taskStarted(queued, now);
     reservations.add(worker, reservation);
-    reserve.roomTaken(worker);
+    urgentReserve.roomTaken(worker);
     placedTasks.computeIfAbsent(queued, unused -> new ArrayList<>()).add(reservation.task());
   }
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementPolicies.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementPolicies.java
@@ -9,9 +9,9 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * The ways to choose a worker, one for each class of work.
+ * The placement policies, one for each class of work.
  *
- * <p>Not thread safe.
+ * <p>Confined to the control thread.
  */
 final class PlacementPolicies {
 
@@ -34,19 +34,19 @@
   }
 
   /**
-   * Chooses the worker that the task leaves with the least and best balanced room. Made for long
-   * queues of unlike tasks: large gaps stay whole for large tasks, which scattered small ones would
-   * otherwise keep out, and neither processors nor memory are used up alone.
+   * Chooses the worker that the task leaves with the least and best balanced free resources. This
+   * suits long queues of dissimilar tasks: large gaps stay whole for large tasks, which scattered
+   * small ones would otherwise keep out, and neither processors nor memory are exhausted alone.
    */
   private WorkerState bestFit(QueuedItem queued, WorkerFilter allowed) {
     return fleet.index().bestFit(queued.need(), allowed);
   }
 
   /**
-   * Chooses the less loaded of two workers taken at random. Made for short requests at a high rate:
-   * it levels the load nearly as well as the least loaded of all, without the herding onto a worker
-   * that has just become idle. When both are full, the index finds any gap there is, so room is
-   * never missed by bad luck.
+   * Chooses the less loaded of two random workers (power of two choices). This suits short requests
+   * at a high rate: it balances load nearly as well as choosing the least loaded worker, without
+   * herding onto a worker that has just become idle. If neither can take the task, the index finds
+   * any free resources, so random choice never misses a worker that fits.
    */
   private WorkerState lessLoadedOfTwo(QueuedItem queued, WorkerFilter allowed) {
     WorkerState best = null;
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Chooses a worker in the data centre, and in it the rack, with the fewest tasks of the same
-   * service. Made for services that must outlive the loss of a rack or a data centre. The index of
-   * a data centre tells whether it has room at all; only then are its racks gone through.
+   * Chooses a worker in the data centre, and within it the rack, with the fewest tasks of the same
+   * service, so that services survive the loss of a rack or a data centre. The racks of a data
+   * centre are searched only if its index finds a worker that fits.
    */
   private WorkerState spread(QueuedItem queued, WorkerFilter allowed) {
     WorkKey key = queued.item().key();
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementPolicy.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementPolicy.java
@@ -5,11 +5,11 @@
 interface PlacementPolicy {
 
   /**
-   * Chooses a worker with room for one more task.
+   * Chooses a worker that fits one more task.
    *
    * @param queued the item
-   * @param allowed what else must hold for the worker
-   * @return the worker, or null if none has room
+   * @param allowed an additional condition on the worker
+   * @return the worker, or null if none fits
    */
   WorkerState choose(QueuedItem queued, WorkerFilter allowed);
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/Rack.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Rack.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The workers of a rack, and the services on them.
+ * The workers of a rack and the services on them.
  *
- * <p>Not thread safe.
+ * <p>Confined to the control thread.
  */
 final class Rack {
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/Reservation.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Reservation.java
@@ -3,14 +3,14 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * A placed task with what the decisions keep about its run.
+ * Resources reserved for a placed task, with the data about its run that scheduling needs.
  *
  * <p>Immutable.
  *
- * @param task the task and its room
+ * @param task the task and the resources reserved for it
  * @param name the name under which sizes are learned, empty for adopted tasks
- * @param startedMillis when it was placed or adopted
- * @param expectedRunMillis the declared run time, 0 if not known
+ * @param startedMillis when it was placed or adopted, on the monotonic clock
+ * @param expectedRunMillis the declared run time, 0 if unknown
  */
 record Reservation(PlacedTask task, String name, long startedMillis, long expectedRunMillis) {
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/Reservations.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Reservations.java
@@ -9,11 +9,11 @@
 import org.hickorypier.core.model.TaskId;
 
 /**
- * The placed tasks, and the one place where their room is taken and freed: on the worker, in the
- * team's use and in the history together.
+ * The reservations of placed tasks. All reservations are made and released here, so that the worker
+ * and the team's usage change together; a release also updates the history.
  *
- * <p>Invariant: a task counts on its worker and in its team's use exactly if it is here. Not thread
- * safe.
+ * <p>Invariant: a task counts on its worker and in its team's usage if and only if it has a
+ * reservation here. Confined to the control thread.
  */
 final class Reservations {
 
@@ -45,11 +45,11 @@
   }
 
   /**
-   * Frees a task's room.
+   * Releases the reservation of a task.
    *
    * @param taskId the task
    * @param end how it ended
-   * @param now the time
+   * @param now the time in milliseconds of the monotonic clock
    * @return the reservation, or null if there is none
    */
   Reservation release(TaskId taskId, TaskEnd end, long now) {
@@ -69,10 +69,10 @@
   }
 
   /**
-   * Raises a task's reservation towards what it uses, as far as its worker has room.
+   * Raises the reservation of a task to its usage, as far as its worker has free resources.
    *
-   * <p>Made for tasks that use more than they declared: without it the next task would be put onto
-   * room that is not there.
+   * <p>Without this, the resources that a task uses beyond its declaration would count as free, and
+   * the next task would be placed on them.
    */
   void raise(Reservation reservation, Resources used) {
     PlacedTask task = reservation.task();
@@ -99,7 +99,7 @@
     return Math.max(reserved, Math.min(used, reserved + free));
   }
 
-  /** Frees the room of all tasks of a worker. */
+  /** Releases the reservations of all tasks of a worker, which is lost. */
   List<TaskId> releaseAll(WorkerState worker, long now) {
     List<TaskId> taskIds = new ArrayList<>();
     worker.reservations().forEach(reservation -> taskIds.add(reservation.task().taskId()));
--- a/core/src/main/java/org/hickorypier/core/scheduling/Scheduler.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Scheduler.java
@@ -11,15 +11,14 @@
 import org.hickorypier.core.model.WorkerDescription;
 
 /**
- * The decisions of one instance: which work to admit, in which order to take it, and where to put
- * it.
+ * The scheduler of one instance: it decides which work to admit, in which order to start it, and on
+ * which workers to place it.
  *
  * <p>Invariants: no worker's reservations exceed its capacity or slots; a team never has more tasks
- * placed here than its permits; every submitted item is queued, placed, or returned as given up on,
- * and never in two of these.
+ * placed here than its permits; every submitted item is queued, placed, or returned as given up,
+ * and never in two of these states.
  *
- * <p>Not thread safe: it belongs to the one control thread. Time is passed in, as milliseconds of a
- * monotonic clock.
+ * <p>Confined to the control thread. Callers pass in the time as milliseconds of a monotonic clock.
  */
 public interface Scheduler {
 
@@ -28,36 +27,37 @@
    *
    * @param item the work
    * @param now the time
-   * @return empty if it is queued, else the final answer
+   * @return empty if the item is queued or already known, else the refusal, which is final
    */
   Optional<Refusal> submit(WorkItem item, long now);
 
   /**
-   * Places as many queued items as fit now and reserves their room.
+   * Places as many queued items as fit and reserves resources for their tasks.
    *
    * @param now the time
-   * @return the placements; each of their tasks must later be reported to {@link #taskEnded}
+   * @return the placements; the end of each task must later be reported to {@link #taskEnded}
    */
   List<Placement> place(long now);
 
   /**
-   * Gives up on queued items that can no longer start in time.
+   * Gives up queued items that can no longer start before their deadline, or whose tasks have
+   * failed on too many workers.
    *
    * @param now the time
-   * @return the items given up on, with their final answers
+   * @return the given-up items, with their refusals
    */
   List<GivenUp> expire(long now);
 
   /**
-   * Takes a queued item out.
+   * Removes a queued item.
    *
    * @param key the item's key
-   * @return true if it was queued and is now gone; false if it is not queued here
+   * @return true if the item was queued and is removed, false if it is not queued here
    */
   boolean cancelQueued(WorkKey key);
 
   /**
-   * Frees the room of a placed task.
+   * Releases the reservation of a placed task. An unknown task is ignored.
    *
    * @param taskId the task
    * @param end how it ended
@@ -66,30 +66,32 @@
   void taskEnded(TaskId taskId, TaskEnd end, long now);
 
   /**
-   * Counts a task that already runs on a worker, found there after a takeover.
+   * Reserves resources for a task that already runs on a worker, found there after a takeover. The
+   * call has no effect if the worker is unknown or the task is already placed.
    *
    * @param taskId the task
    * @param worker the worker's name
    * @param workClass the task's class
-   * @param reserved what it reserves
+   * @param reserved the resources to reserve
    * @param now the time
    */
   void adopt(TaskId taskId, String worker, WorkClass workClass, Resources reserved, long now);
 
   /**
-   * Adds a worker, or changes its description or whether it takes new tasks. Tasks placed on it
+   * Adds a worker, or changes its description or whether it accepts new tasks. Tasks placed on it
    * stay.
    *
    * @param worker the worker
-   * @param open whether it takes new tasks; false while draining, leaving or out of our control
+   * @param open whether the worker accepts new tasks; false while it drains, leaves or is outside
+   *     the control of this instance
    */
   void putWorker(WorkerDescription worker, boolean open);
 
   /**
-   * Forgets a worker and the tasks placed on it.
+   * Removes a worker and the tasks placed on it.
    *
    * @param name the worker's name
-   * @return the ids of the tasks that were placed on it
+   * @return the ids of the tasks that were placed on it, empty if the worker is unknown
    */
   List<TaskId> removeWorker(String name);
 
@@ -98,11 +100,12 @@
    *
    * @param team the team
    * @param share the weight, more than 0
+   * @throws IllegalArgumentException if the share is not more than 0
    */
   void putShare(String team, double share);
 
   /**
-   * Sets how many tasks the team may have placed at this instance.
+   * Sets how many tasks a team may have placed at this instance.
    *
    * @param team the team
    * @param permits the number of tasks; 0 for an unknown team
@@ -110,7 +113,7 @@
   void putPermits(String team, int permits);
 
   /**
-   * Sets what the team uses at the other instances, as their digests tell.
+   * Sets the usage of a team at the other instances, as reported by their digests.
    *
    * @param team the team
    * @param resources the sum over the other instances
@@ -118,19 +121,19 @@
   void putRemoteUsage(String team, Resources resources);
 
   /**
-   * Takes in a worker's lagging report of what a task really uses.
+   * Records a worker's report of the actual usage of a task, which lags behind the task.
    *
    * @param taskId the task
-   * @param used what it used when the report was made
+   * @param used the usage when the report was made
    * @param now the time
    */
   void reportUsage(TaskId taskId, Resources used, long now);
 
   /**
-   * Returns how many more tasks the team could place here at once if it had permits for them.
+   * Returns how many tasks of a team wait here, which is how many more permits it could use.
    *
    * @param team the team
-   * @return the number of tasks waiting
+   * @return the number of waiting tasks
    */
   int waitingTasks(String team);
 
@@ -149,14 +152,14 @@
   List<PlacedTask> placed();
 
   /**
-   * Returns each worker with its room, for the operators' queries and the digest.
+   * Returns a snapshot of each worker, for the operators' queries and the digest.
    *
    * @return a copy
    */
   List<WorkerSnapshot> workers();
 
   /**
-   * Says in one sentence why a queued item waits.
+   * Explains in one sentence why a queued item waits.
    *
    * @param key the item's key
    * @param now the time
--- a/core/src/main/java/org/hickorypier/core/scheduling/SchedulerFactory.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/SchedulerFactory.java
@@ -1,9 +1,9 @@
 package org.hickorypier.core.scheduling;
 
 /**
- * Creates the decisions of an instance.
+ * Creates schedulers.
  *
- * <p>Holds no state, so safe to use from any thread.
+ * <p>Thread-safe, since it holds no state.
  */
 public final class SchedulerFactory {
 
@@ -13,7 +13,8 @@
    * Creates a scheduler without workers, teams or work.
    *
    * @param settings the limits
-   * @param seed the seed of the random choices; the same calls with the same seed decide the same
+   * @param seed the seed of the random choices; the same calls with the same seed give the same
+   *     decisions
    * @return the scheduler
    */
   public static Scheduler create(SchedulerSettings settings, long seed) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/Shape.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Shape.java
@@ -3,12 +3,12 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * One size of urgent or other task among the queued work, shared by all items of that size.
+ * One task size among the queued work, shared by all items of that size; urgent work has its own.
  *
- * <p>Made for saturation, when hundreds of queue heads wait and each freed slot starts one of them:
- * that a size fits nowhere is found out once and remembered, not looked up again for each head.
+ * <p>At saturation hundreds of queue heads wait and each freed slot starts one of them. The shape
+ * records that its size fits on no worker, so that this is not looked up again for each head.
  *
- * <p>Not thread safe.
+ * <p>Confined to the control thread.
  */
 final class Shape {
 
@@ -26,12 +26,12 @@
     return resources;
   }
 
-  /** Tells whether this is the size of urgent work, which may use the room kept free for it. */
+  /** Returns whether this is a size of urgent work, which may use the resources reserved for it. */
   boolean isUrgent() {
     return urgent;
   }
 
-  /** Tells whether no worker has room for this size, as far as is known. */
+  /** Returns whether this size is known to fit on no worker. */
   boolean isBlocked() {
     return blocked;
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/ShapeTable.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ShapeTable.java
@@ -8,27 +8,25 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * The sizes of the queued work, and which of them fit nowhere now.
+ * The task sizes of the queued work, and which of them currently fit on no worker.
  *
- * <p>Invariant: a shape that is marked blocked is in the list of blocked shapes, so freed room
- * always finds it. Not thread safe.
+ * <p>Invariant: a shape that is marked blocked is in the list of blocked shapes, so {@link
+ * #unblock} always finds it. Confined to the control thread.
  */
 final class ShapeTable {
 
-  /**
-   * Sizes kept before unused ones are dropped; far above the sizes that a fleet's teams declare.
-   */
+  /** Shapes kept before unused ones are dropped; far more than the teams of a fleet declare. */
   private static final int UNUSED_SHAPES_LIMIT = 2_048;
 
   private record Size(Resources resources, boolean urgent) {}
 
   private final Map<Size, Shape> shapes = new HashMap<>();
-  private final UrgentReserve reserve;
+  private final UrgentReserve urgentReserve;
   private final List<Shape> blocked = new ArrayList<>();
   private int sweepThresholdShapes = UNUSED_SHAPES_LIMIT;
 
-  ShapeTable(UrgentReserve reserve) {
-    this.reserve = reserve;
+  ShapeTable(UrgentReserve urgentReserve) {
+    this.urgentReserve = urgentReserve;
   }
 
   Shape intern(Resources resources, WorkClass workClass) {
@@ -39,7 +37,7 @@
         size(resources, workClass), size -> new Shape(size.resources(), size.urgent()));
   }
 
-  /** Tells whether this size is known to fit nowhere now. */
+  /** Returns whether this size is known to fit on no worker. */
   boolean isBlocked(Resources resources, WorkClass workClass) {
     Shape shape = shapes.get(size(resources, workClass));
     return shape != null && shape.isBlocked();
@@ -53,24 +51,24 @@
   }
 
   /**
-   * Unblocks the shapes that fit a worker's room.
+   * Unblocks the shapes that fit on a worker.
    *
-   * @param worker a worker with more room than before
+   * @param worker a worker with more free resources than before
    * @return true if any shape was unblocked
    */
   boolean unblock(WorkerState worker) {
-    boolean any = false;
+    boolean unblockedAny = false;
     for (int i = blocked.size() - 1; i >= 0; i--) {
       Shape shape = blocked.get(i);
       boolean fits = worker.hasRoomFor(shape.resources());
-      if (fits && (shape.isUrgent() || reserve.admits(worker, shape.resources()))) {
+      if (fits && (shape.isUrgent() || urgentReserve.admits(worker, shape.resources()))) {
         shape.setBlocked(false);
         blocked.set(i, blocked.get(blocked.size() - 1));
         blocked.remove(blocked.size() - 1);
-        any = true;
+        unblockedAny = true;
       }
     }
-    return any;
+    return unblockedAny;
   }
 
   private static Size size(Resources resources, WorkClass workClass) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/TaskEnd.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/TaskEnd.java
@@ -1,15 +1,17 @@
 package org.hickorypier.core.scheduling;
 
-/** How a placed task ended, as far as the decisions care. */
+/** How a placed task ended, as far as scheduling distinguishes it. */
 public enum TaskEnd {
-  /** It ran to its end. */
+  /** The task ran to its end. */
   COMPLETED,
-  /** It ran and failed; counts against its worker and its work. */
+  /** The task ran and failed, which counts against its worker and its work. */
   FAILED,
-  /** It was stopped by order or with its item; counts against nobody. */
+  /**
+   * The task was stopped on request or with its item, which counts against neither worker nor work.
+   */
   STOPPED,
-  /** Its worker was lost; counts against the worker. */
+  /** The worker of the task was lost, which counts against the worker. */
   LOST,
-  /** It certainly never started; the worker refused or could not be reached. */
+  /** The task certainly never started: the worker refused it or could not be reached. */
   NOT_STARTED
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerCapacities.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerCapacities.java
@@ -7,11 +7,11 @@
 import org.hickorypier.core.model.WorkItem;
 
 /**
- * The sorts of worker seen so far, to tell work that can never run here.
+ * The distinct worker capacities seen so far, used to detect work that can never run here.
  *
- * <p>Such work would wait to its deadline, hold a place in its queue, and be tried in every
- * decision. Sorts stay known after their workers have gone, since workers come back; a fleet has a
- * handful of sorts. Not thread safe.
+ * <p>Such work would wait until its deadline, occupy its queue, and be tried in every decision.
+ * Capacities stay known after their workers have left, since workers come back; a fleet has only a
+ * handful of distinct capacities. Confined to the control thread.
  */
 final class WorkerCapacities {
 
@@ -25,17 +25,19 @@
     workersByCapacity.merge(capacity, -1, Integer::sum);
   }
 
-  /** Tells whether a worker that is here now could hold a task of this size. */
+  /**
+   * Returns whether the capacity of a currently present worker suffices for a task of this size.
+   */
   boolean fitsPresentWorker(Resources need) {
     return workersByCapacity.entrySet().stream()
-        .anyMatch(sort -> sort.getValue() > 0 && need.fitsInto(sort.getKey()));
+        .anyMatch(entry -> entry.getValue() > 0 && need.fitsInto(entry.getKey()));
   }
 
   /**
-   * Says why a task can never fit.
+   * Explains why a task can never fit.
    *
    * @param item the work
-   * @return the sentence, or empty if a worker of some sort could hold a task
+   * @return a sentence, or empty if some known capacity suffices for a task or none is known
    */
   Optional<String> explainNeverFits(WorkItem item) {
     Resources need = item.resources();
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerFilter.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerFilter.java
@@ -2,10 +2,10 @@
 
 import java.util.function.Predicate;
 
-/** A condition on a worker beyond its room, such as not being kept free for other work. */
+/** A condition on a worker besides its free resources, such as not being held for other work. */
 @FunctionalInterface
 interface WorkerFilter extends Predicate<WorkerState> {
 
-  /** Allows every worker. */
+  /** Accepts every worker. */
   WorkerFilter ANY = worker -> true;
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerHolds.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerHolds.java
@@ -8,30 +8,33 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * Keeps workers free for gangs and large tasks that have waited long.
+ * Holds workers for gangs and large tasks that have waited long.
  *
- * <p>Made for a busy fleet, where each gap is filled by small work before a gang finds enough of
- * them at once: without this it would wait for ever. A fixed set of workers, those that come free
- * first, takes only work that is expected to end before the gang can start there; past that moment
- * it takes none. So the room only grows until the gang fits, also when run times are declared
- * wrong. The sets of two holds have no worker in common, so no gang waits for another's; all of
- * them together are a small part of the fleet, so little room lies idle.
+ * <p>On a busy fleet small work fills each gap before a gang finds enough of them at once, so
+ * without holds a gang could starve. A hold covers a fixed set of workers: of those examined, the
+ * ones expected to become idle first. They take only work that is expected to end before the gang
+ * can start there, and no work after that time, so their free resources only grow until the gang
+ * fits, even if declared run times are wrong. Holds share no worker, so no gang waits for workers
+ * held for another. All holds together cover a small fraction of the fleet, which bounds the idle
+ * capacity.
  *
- * <p>Invariant: exactly the workers of a hold name it. Not thread safe.
+ * <p>Invariant: a worker refers to a hold if and only if the hold contains it. Confined to the
+ * control thread.
  */
 final class WorkerHolds {
 
-  /** A single task is large if it takes more than this part of a worker. */
+  /** A single task is large if it needs more than this fraction of an average worker. */
   private static final double LARGE_TASK_WORKER_FRACTION = 0.25;
 
-  /** Each hold is tried at each round, so they are few. */
+  /** The number of holds is limited because every placement round tries each of their owners. */
   private static final int MAX_HOLDS = 8;
 
-  /** The part of the workers that may be held at once, unless a single gang needs more. */
+  /** Maximum fraction of workers held at once, unless a single gang needs more. */
   private static final double MAX_HELD_WORKER_FRACTION = 0.125;
 
   /**
-   * Workers looked at for a hold, if they suffice; all of a large fleet would take a millisecond.
+   * Workers examined for a hold, if they suffice. Examining all workers of a large fleet would take
+   * a millisecond.
    */
   private static final int SCANNED_WORKERS = 256;
 
@@ -54,15 +57,16 @@
     this.random = random;
   }
 
-  /** Returns the items that workers are held for. */
+  /** Returns the items that own a hold. */
   List<QueuedItem> owners() {
     return holds.isEmpty() ? List.of() : holds.stream().map(Hold::owner).toList();
   }
 
   /**
-   * Ends the holds that are of no more use.
+   * Ends the holds whose owner has left the queue, is past its deadline or lacks permits, and those
+   * with a worker that is gone, closed or unhealthy.
    *
-   * @param now the time
+   * @param now the time in milliseconds of the monotonic clock
    * @return the workers that are no longer held
    */
   List<WorkerState> releaseObsolete(long now) {
@@ -84,9 +88,10 @@
   }
 
   /**
-   * Begins a hold if an item has waited long enough and few workers are held.
+   * Creates a hold for the item that has been starving longest, if it has done so for the hold
+   * delay and few workers are held.
    *
-   * @param now the time
+   * @param now the time in milliseconds of the monotonic clock
    */
   void holdForStarvingItem(long now) {
     if (now < nextCheckMillis || holds.size() >= MAX_HOLDS) {
@@ -180,7 +185,7 @@
   }
 
   /**
-   * Returns workers that could take tasks of the item, those that come free first before others.
+   * Returns workers that could run tasks of the item, ordered by when they are expected to be idle.
    */
   private List<Candidate> candidates(QueuedItem starving, long now) {
     List<Candidate> candidates = new ArrayList<>();
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerState.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerState.java
@@ -11,8 +11,9 @@
 /**
  * A worker with its reservations.
  *
- * <p>Invariant: the used amounts are the sums over the tasks. They exceed the capacity only by
- * adopted tasks, which run whether they fit or not. Not thread safe.
+ * <p>Invariant: the free amounts are the capacity less the sums over the reservations. They are
+ * negative only through adopted tasks, which run whether or not they fit. Confined to the control
+ * thread.
  */
 final class WorkerState {
 
@@ -53,12 +54,12 @@
     return health;
   }
 
-  /** Returns the hold that keeps the worker free, or null. */
+  /** Returns the hold that contains the worker, or null. */
   Hold currentHold() {
     return currentHold;
   }
 
-  /** Tells whether a gap on this worker is kept free for urgent work. */
+  /** Returns whether free resources of this worker are reserved for urgent work. */
   boolean isReserveForUrgent() {
     return reserveForUrgent;
   }
@@ -71,17 +72,17 @@
     currentHold = hold;
   }
 
-  /** Tells whether the worker may get a task at all, whatever its size. */
+  /** Returns whether the worker may get another task, regardless of the size of the task. */
   boolean acceptsTasks() {
     return open && freeSlots > 0 && health.admits(tasks.size());
   }
 
-  /** Tells whether the worker may get several tasks once its present ones have ended. */
+  /** Returns whether the worker may get several tasks once its current ones have ended. */
   boolean acceptsTasksWhenIdle() {
     return open && health.state() == WorkerHealth.State.GOOD;
   }
 
-  /** Returns how many tasks of a size fit beside its services alone. */
+  /** Returns how many tasks of a size fit when only the services of the worker remain. */
   int taskCapacityWhenIdle(Resources need) {
     long processors = description.capacity().milliProcessors();
     long memory = description.capacity().memoryMebibytes();
@@ -95,13 +96,16 @@
         slots--;
       }
     }
-    long most = slots;
-    most = Math.min(most, fittingTasks(processors, need.milliProcessors()));
-    most = Math.min(most, fittingTasks(memory, need.memoryMebibytes()));
-    return (int) Math.max(0, Math.min(most, fittingTasks(accelerators, need.accelerators())));
+    long maxTasks = slots;
+    maxTasks = Math.min(maxTasks, fittingTasks(processors, need.milliProcessors()));
+    maxTasks = Math.min(maxTasks, fittingTasks(memory, need.memoryMebibytes()));
+    return (int) Math.max(0, Math.min(maxTasks, fittingTasks(accelerators, need.accelerators())));
   }
 
-  /** Returns when its tasks but for services are expected to have ended. */
+  /**
+   * Returns when all tasks except services are expected to have ended, or {@link Long#MIN_VALUE} if
+   * there are none.
+   */
   long expectedIdleMillis() {
     long latest = Long.MIN_VALUE;
     for (Reservation reservation : tasks.values()) {
@@ -116,8 +120,8 @@
     return reservation.task().workClass() == WorkClass.SERVICE;
   }
 
-  private static long fittingTasks(long room, long need) {
-    return need == 0 ? Integer.MAX_VALUE : room / need;
+  private static long fittingTasks(long free, long need) {
+    return need == 0 ? Integer.MAX_VALUE : free / need;
   }
 
   Collection<Reservation> reservations() {
@@ -145,7 +149,7 @@
         && need.accelerators() <= freeAccelerators;
   }
 
-  /** Tells whether a task fits here together with another one. */
+  /** Returns whether a task fits together with another one. */
   boolean hasRoomForBoth(Resources other, Resources need) {
     return freeSlots > 1
         && need.milliProcessors() + other.milliProcessors() <= freeMilliProcessors
@@ -169,7 +173,7 @@
     return freeSlots;
   }
 
-  /** Returns the used part of the slots, between 0 and 1, or above 1 by adopted tasks. */
+  /** Returns the fraction of slots in use, from 0 to 1, or above 1 through adopted tasks. */
   double load() {
     return 1.0 - (double) freeSlots / description.slots();
   }
--- a/core/src/test/java/org/hickorypier/core/scheduling/CheckedScheduler.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/CheckedScheduler.java
@@ -17,7 +17,10 @@
 import org.hickorypier.core.model.WorkKey;
 import org.hickorypier.core.model.WorkerDescription;
 
-/** Keeps a plain account beside a scheduler and compares both. Not thread safe. */
+/**
+ * Wraps a scheduler, keeps a reference model of its work, tasks and workers, and compares the two.
+ * Not thread-safe.
+ */
 final class CheckedScheduler {
 
   private final Scheduler scheduler;
@@ -48,13 +51,13 @@
   }
 
   void submit(WorkItem item, long now) {
-    boolean before = waiting.containsKey(item.key());
-    long alive = live.keySet().stream().filter(id -> id.key().equals(item.key())).count();
-    if (scheduler.submit(item, now).isPresent() || before) {
+    boolean alreadyWaiting = waiting.containsKey(item.key());
+    long liveTasks = live.keySet().stream().filter(id -> id.key().equals(item.key())).count();
+    if (scheduler.submit(item, now).isPresent() || alreadyWaiting) {
       return;
     }
-    boolean queued = scheduler.queued().stream().anyMatch(q -> q.key().equals(item.key()));
-    assertThat(queued || alive > 0).as("queued or joined to what runs").isTrue();
+    boolean queued = scheduler.queued().stream().anyMatch(other -> other.key().equals(item.key()));
+    assertThat(queued || liveTasks > 0).as("queued, or a duplicate of running work").isTrue();
     if (queued) {
       waiting.put(item.key(), item.tasks());
       resubmittable.put(item.key(), item);
@@ -67,7 +70,7 @@
       WorkItem item = placement.item();
       assertThat(item.deadlineMillis()).isGreaterThanOrEqualTo(item.tasks() > 1 ? 0 : now);
       for (PlacedTask task : placement.tasks()) {
-        assertThat(everPlaced.add(task.taskId())).as("placed once: " + task).isTrue();
+        assertThat(everPlaced.add(task.taskId())).as("task is placed only once: " + task).isTrue();
         live.put(task.taskId(), task);
       }
       waiting.merge(item.key(), -placement.tasks().size(), Integer::sum);
@@ -80,7 +83,7 @@
     }
   }
 
-  /** No queue head that may start waits beside an open worker that has the room. */
+  /** Checks that no queue head that may start waits while an open worker fits it. */
   private void checkWorkConserving(long now) {
     Set<String> seen = new HashSet<>();
     Map<String, Long> placedOfTeam =
@@ -94,16 +97,16 @@
       boolean permitted = placedOfTeam.getOrDefault(team, 0L) < permits.getOrDefault(team, 0);
       if (isHead && permitted && item.workClass() != WorkClass.GANG) {
         assertThat(scheduler.workers())
-            .as("room left idle for " + item)
-            .noneMatch(room -> hasRoomFor(room, item.resources()));
+            .as("workers with free resources for waiting " + item)
+            .noneMatch(snapshot -> acceptsTask(snapshot, item.resources()));
       }
     }
   }
 
-  private boolean hasRoomFor(WorkerSnapshot room, Resources need) {
-    boolean idle = room.freeSlots() == room.worker().slots();
-    boolean admits = room.state().equals("open") || room.state().equals("probing") && idle;
-    return admits && room.freeSlots() > 0 && need.fitsInto(room.free());
+  private boolean acceptsTask(WorkerSnapshot snapshot, Resources need) {
+    boolean idle = snapshot.freeSlots() == snapshot.worker().slots();
+    boolean admits = snapshot.state().equals("open") || snapshot.state().equals("probing") && idle;
+    return admits && snapshot.freeSlots() > 0 && need.fitsInto(snapshot.free());
   }
 
   void end(TaskId taskId, TaskEnd end, long now) {
@@ -116,7 +119,7 @@
 
   void expire(long now) {
     for (GivenUp givenUp : scheduler.expire(now)) {
-      assertThat(waiting.remove(givenUp.item().key())).as("given up once").isNotNull();
+      assertThat(waiting.remove(givenUp.item().key())).as("item is given up only once").isNotNull();
     }
   }
 
@@ -131,13 +134,13 @@
   }
 
   void removeWorker(String name) {
-    Set<TaskId> gone =
+    Set<TaskId> removed =
         live.values().stream()
             .filter(task -> task.worker().equals(name))
             .map(PlacedTask::taskId)
             .collect(Collectors.toSet());
-    assertThat(new HashSet<>(scheduler.removeWorker(name))).isEqualTo(gone);
-    gone.forEach(live::remove);
+    assertThat(new HashSet<>(scheduler.removeWorker(name))).isEqualTo(removed);
+    removed.forEach(live::remove);
     workers.remove(name);
   }
 
@@ -146,7 +149,7 @@
     scheduler.putPermits(team, number);
   }
 
-  /** Passes a report on, unless sizes must stay as declared for the check of idle room. */
+  /** Forwards a usage report, unless the work-conserving check needs sizes to stay as declared. */
   void reportUsage(TaskId taskId, Resources used, long now) {
     if (workConserving) {
       return;
@@ -154,7 +157,7 @@
     scheduler.reportUsage(taskId, used, now);
   }
 
-  /** Compares the scheduler with the account and checks what must hold on each worker. */
+  /** Compares the scheduler with the model and checks the invariants of each worker. */
   void check() {
     assertThat(scheduler.queued().stream().map(WorkItem::key))
         .containsExactlyInAnyOrderElementsOf(waiting.keySet());
@@ -169,24 +172,26 @@
             team ->
                 assertThat(scheduler.waitingTasks(team))
                     .isEqualTo(waitingOfTeam.getOrDefault(team, 0)));
-    for (WorkerSnapshot room : scheduler.workers()) {
-      checkWorker(room, placed);
+    for (WorkerSnapshot snapshot : scheduler.workers()) {
+      checkWorker(snapshot, placed);
     }
   }
 
-  private void checkWorker(WorkerSnapshot room, Map<TaskId, PlacedTask> placed) {
+  private void checkWorker(WorkerSnapshot snapshot, Map<TaskId, PlacedTask> placed) {
     Resources used = Resources.NONE;
     int slots = 0;
     for (PlacedTask task : placed.values()) {
-      if (task.worker().equals(room.worker().name())) {
+      if (task.worker().equals(snapshot.worker().name())) {
         used = used.plus(task.reserved());
         slots++;
       }
     }
-    Resources capacity = room.worker().capacity();
-    assertThat(used.fitsInto(capacity)).as("%s within %s", used, capacity).isTrue();
-    assertThat(room.free()).isEqualTo(capacity.minus(used));
-    assertThat(room.freeSlots()).isEqualTo(room.worker().slots() - slots).isNotNegative();
+    Resources capacity = snapshot.worker().capacity();
+    assertThat(used.fitsInto(capacity))
+        .as("reserved %s is within capacity %s", used, capacity)
+        .isTrue();
+    assertThat(snapshot.free()).isEqualTo(capacity.minus(used));
+    assertThat(snapshot.freeSlots()).isEqualTo(snapshot.worker().slots() - slots).isNotNegative();
   }
 
   private void checkPermits(String team) {
@@ -196,6 +201,6 @@
 
   private void checkTaskCount(WorkKey key) {
     long tasks = live.keySet().stream().filter(id -> id.key().equals(key)).count();
-    assertThat(tasks).as("no doubles of " + key).isLessThanOrEqualTo(taskCounts.get(key));
+    assertThat(tasks).as("no duplicate tasks of " + key).isLessThanOrEqualTo(taskCounts.get(key));
   }
 }
--- a/core/src/test/java/org/hickorypier/core/scheduling/FreeCapacityIndexTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/FreeCapacityIndexTest.java
@@ -20,8 +20,9 @@
   private static final Offset<Double> ROUNDING = Offset.offset(1e-9);
   private static final Resources CAPACITY = new Resources(16_000, 64_512, 4);
 
-  /** Goes through all workers: slow, and plainly right. */
-  private static Optional<WorkerState> reference(List<WorkerState> workers, Resources need) {
+  /** Finds the best fit by an exhaustive search over all workers. */
+  private static Optional<WorkerState> exhaustiveBestFit(
+      List<WorkerState> workers, Resources need) {
     return workers.stream()
         .filter(worker -> worker.hasRoomFor(need))
         .min(
@@ -36,12 +37,16 @@
         (double) left.memoryMebibytes() / CAPACITY.memoryMebibytes());
   }
 
-  /** Amounts are whole levels of the index, so that its order is the exact one. */
+  /** Returns whole multiples of the index levels, so that bucketing does not change the order. */
   private static Resources amount(SplittableRandom random) {
     return new Resources(
         250L * random.nextInt(40), 1_024L * random.nextInt(40), random.nextInt(5) / 2);
   }
 
+  /**
+   * Guards against an index that returns a worse worker than an exhaustive search, or misses one.
+   * Reservations and releases move workers between buckets between the lookups.
+   */
   @Property(seed = "7", tries = 100)
   void bestFitMatchesExhaustiveSearch(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -54,7 +59,7 @@
     for (int step = 0; step < 200; step++) {
       Resources need = amount(random);
       WorkerState found = fleet.index().bestFit(need, worker -> true);
-      Optional<WorkerState> expected = reference(workers, need);
+      Optional<WorkerState> expected = exhaustiveBestFit(workers, need);
       assertThat(found == null).isEqualTo(expected.isEmpty());
       if (found != null) {
         assertThat(found.freeAccelerators()).isEqualTo(expected.get().freeAccelerators());
@@ -63,9 +68,9 @@
         PlacedTask task = new PlacedTask(id, found.name(), WorkClass.BATCH, need);
         fleet.reserve(found, new Reservation(task, "", 0, 0));
       }
-      WorkerState some = workers.get(random.nextInt(workers.size()));
-      new ArrayList<>(some.reservations())
-          .stream().limit(2).forEach(reservation -> fleet.release(some, reservation));
+      WorkerState changed = workers.get(random.nextInt(workers.size()));
+      new ArrayList<>(changed.reservations())
+          .stream().limit(2).forEach(reservation -> fleet.release(changed, reservation));
     }
   }
 }
--- a/core/src/test/java/org/hickorypier/core/scheduling/SchedulerFixtures.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/SchedulerFixtures.java
@@ -6,7 +6,7 @@
 import org.hickorypier.core.model.WorkKey;
 import org.hickorypier.core.model.WorkerDescription;
 
-/** Makes the work and workers of the tests. Holds no state. */
+/** Creates work, workers and schedulers for tests. Thread-safe, since it holds no state. */
 final class SchedulerFixtures {
 
   static final long RUN_MILLIS = 1_000;
@@ -46,7 +46,7 @@
         RUN_MILLIS);
   }
 
-  /** Returns a worker of six to a rack and four racks to a data centre. */
+  /** Returns a worker; numbers map to racks of six workers and data centres of four racks. */
   static WorkerDescription worker(int number) {
     return worker(number, CAPACITY, 8);
   }
--- a/core/src/test/java/org/hickorypier/core/scheduling/SchedulerPropertyTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/SchedulerPropertyTest.java
@@ -17,9 +17,10 @@
   private static final long NO_HOLD_MILLIS = 3_600_000;
 
   /**
-   * Callers see their work run once, refused, given up, or waiting; never lost and never doubled.
-   * Arrivals, ends of every sort, cancellations, reports, lost and drained workers come in any
-   * order. The account beside the scheduler finds any step that breaks capacity, slots or permits.
+   * Guards against lost or duplicated work: every item runs once, is refused, is given up, or
+   * waits. Arrivals, task ends of every kind, cancellations, usage reports, and lost and closed
+   * workers come in random order. The reference model detects any step that violates capacity,
+   * slots or permits.
    */
   @Property(seed = "5", tries = 400)
   void invariantsHoldAfterEveryStep(@ForAll long seed) {
@@ -29,7 +30,10 @@
     driveAndCheck(random, new CheckedScheduler(SchedulerFactory.create(settings, seed), true));
   }
 
-  /** As above, with workers held for gangs, which leaves room idle on purpose. */
+  /**
+   * Checks the same invariants with workers held for gangs. Holds leave capacity idle on purpose,
+   * so the work-conserving check is off.
+   */
   @Property(seed = "6", tries = 400)
   void invariantsHoldAfterEveryStepWithHolds(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
--- a/core/src/test/java/org/hickorypier/core/scheduling/SchedulerTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/SchedulerTest.java
@@ -122,9 +122,10 @@
   }
 
   /**
-   * Teams get about their share between digests as well. North is behind, and every instance sees
-   * it; were each to give it all places until the next digest, it would get many times its part.
-   * What it gains here counts as gained elsewhere too, so south is next after one task and not two.
+   * Guards against a team exceeding its share between digests. Every instance sees that north is
+   * behind; if each gave it all free slots until the next digest, north would get many times its
+   * share. Usage gained here therefore counts as gained at the other instances too, so south is
+   * next after one task rather than two.
    */
   @Test
   void remoteUsageEstimateFollowsLocalUsage() {
@@ -144,8 +145,9 @@
   }
 
   /**
-   * As above, while the digests of the others come one by one. The next one, a moment later, says
-   * the same of north; it once wiped out what had been gained since the first.
+   * Guards against the loss of the remote usage estimate while digests of other instances arrive
+   * one by one. A second digest with unchanged usage for north shortly after the first must not
+   * discard what north has gained since the first.
    */
   @Test
   void laterDigestKeepsRemoteUsageEstimate() {
@@ -171,7 +173,7 @@
     scheduler.submit(
         SchedulerFixtures.item("north", "gang", WorkClass.GANG, SchedulerFixtures.SMALL, 17), 0);
     assertThat(scheduler.place(0)).isEmpty();
-    assertThat(scheduler.workers()).allMatch(room -> room.freeSlots() == 8);
+    assertThat(scheduler.workers()).allMatch(worker -> worker.freeSlots() == 8);
 
     scheduler.putWorker(SchedulerFixtures.worker(9), true);
     assertThat(tasks(scheduler.place(100))).hasSize(17);
--- a/core/src/test/java/org/hickorypier/core/scheduling/SimulatedLoad.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/SimulatedLoad.java
@@ -11,7 +11,10 @@
 import org.hickorypier.core.model.TaskId;
 import org.hickorypier.core.model.WorkItem;
 
-/** Runs placed tasks in fake time, ten milliseconds a step, and counts what callers see. */
+/**
+ * Runs placed tasks in simulated time, in steps of ten milliseconds, and counts the outcomes that
+ * callers see. Not thread-safe.
+ */
 final class SimulatedLoad {
 
   private static final long STEP_MILLIS = 10;
@@ -31,10 +34,10 @@
   private long now;
 
   /**
-   * Creates a load.
+   * Creates a simulated load.
    *
    * @param scheduler the scheduler under test
-   * @param runMillis how long a task runs; negative if it fails at once
+   * @param runMillis the run time of a task; negative if the task fails at once
    */
   SimulatedLoad(Scheduler scheduler, ToLongFunction<PlacedTask> runMillis) {
     this.scheduler = scheduler;
@@ -64,7 +67,7 @@
     int before = refusals.size();
     submit(item);
     if (mustBeAccepted && refusals.size() > before) {
-      throw new AssertionError("refused: " + refusals.get(before));
+      throw new AssertionError("unexpected refusal: " + refusals.get(before));
     }
   }
 
