--- a/core/src/main/java/org/hickorypier/core/scheduling/DataCentre.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/DataCentre.java
@@ -6,15 +6,16 @@
 import java.util.function.Consumer;
 
 /**
- * The racks of a data centre, its workers by room, and the services on them.
+ * The racks of a data centre, an index of its workers by free resources, and its service counts.
  *
- * <p>Not thread safe.
+ * <p>Confined to the control thread.
  */
 final class DataCentre {
 
   private final Map<String, Rack> racks = new TreeMap<>();
   private final ServiceCounts services = new ServiceCounts();
-  private final RoomIndex index = new RoomIndex(RoomIndex.Scope.DATA_CENTRE);
+  private final FreeCapacityIndex index =
+      new FreeCapacityIndex(FreeCapacityIndex.Scope.DATA_CENTRE);
 
   Collection<Rack> racks() {
     return racks.values();
@@ -28,11 +29,11 @@
     return services;
   }
 
-  RoomIndex index() {
+  FreeCapacityIndex index() {
     return index;
   }
 
-  void eachWorker(Consumer<WorkerState> action) {
+  void forEachWorker(Consumer<WorkerState> action) {
     racks.values().forEach(rack -> rack.workers().forEach(action));
   }
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/Fleet.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Fleet.java
@@ -11,22 +11,23 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * The workers, found by name, by room, by place and at random.
+ * The workers of an instance, by name, by free resources, by data centre and rack, and by position
+ * for random choice.
  *
- * <p>Invariants: the index holds exactly the workers that take new tasks and have a free slot; the
- * total is the sum over all capacities. Not thread safe.
+ * <p>Invariants: the index holds exactly the workers that accept new tasks and have a free slot;
+ * the total is the sum over all capacities. Confined to the control thread.
  */
 final class Fleet {
 
   private final Map<String, WorkerState> workers = new LinkedHashMap<>();
   private final Map<String, DataCentre> dataCentres = new TreeMap<>();
-  private final Map<String, Integer> randomPlace = new HashMap<>();
-  private final List<WorkerState> forRandomChoice = new ArrayList<>();
-  private final RoomIndex index = new RoomIndex(RoomIndex.Scope.FLEET);
+  private final Map<String, Integer> positions = new HashMap<>();
+  private final List<WorkerState> workerList = new ArrayList<>();
+  private final FreeCapacityIndex index = new FreeCapacityIndex(FreeCapacityIndex.Scope.FLEET);
   private Resources total = Resources.NONE;
   private int totalSlots;
 
-  RoomIndex index() {
+  FreeCapacityIndex index() {
     return index;
   }
 
@@ -51,32 +52,32 @@
   }
 
   int size() {
-    return forRandomChoice.size();
+    return workerList.size();
   }
 
-  WorkerState at(int place) {
-    return forRandomChoice.get(place);
+  WorkerState at(int position) {
+    return workerList.get(position);
   }
 
   void add(WorkerState worker) {
     workers.put(worker.name(), worker);
-    randomPlace.put(worker.name(), forRandomChoice.size());
-    forRandomChoice.add(worker);
+    positions.put(worker.name(), workerList.size());
+    workerList.add(worker);
     dataCentre(worker).add(worker);
     worker.reservations().forEach(reservation -> countService(worker, reservation.task(), true));
     total = total.plus(worker.description().capacity());
     totalSlots += worker.description().slots();
-    fitLevels(worker);
+    fitIndexLevels(worker);
     reindex(worker);
   }
 
   void remove(WorkerState worker) {
     workers.remove(worker.name());
-    int place = randomPlace.remove(worker.name());
-    WorkerState last = forRandomChoice.remove(forRandomChoice.size() - 1);
+    int position = positions.remove(worker.name());
+    WorkerState last = workerList.remove(workerList.size() - 1);
     if (last != worker) {
-      forRandomChoice.set(place, last);
-      randomPlace.put(last.name(), place);
+      workerList.set(position, last);
+      positions.put(last.name(), position);
     }
     index.remove(worker);
     DataCentre dataCentre = dataCentre(worker);
@@ -107,14 +108,14 @@
     reindex(worker, dataCentre(worker).index());
   }
 
-  private static void reindex(WorkerState worker, RoomIndex in) {
-    in.remove(worker);
-    if (worker.takesTasks()) {
-      in.add(worker);
+  private static void reindex(WorkerState worker, FreeCapacityIndex target) {
+    target.remove(worker);
+    if (worker.acceptsTasks()) {
+      target.add(worker);
     }
   }
 
-  private void fitLevels(WorkerState worker) {
+  private void fitIndexLevels(WorkerState worker) {
     final Resources capacity = worker.description().capacity();
     final DataCentre dataCentre = dataCentre(worker);
     if (index.needsWiderLevels(capacity)) {
@@ -123,21 +124,21 @@
       workers.values().forEach(other -> reindex(other, index));
     }
     if (dataCentre.index().needsWiderLevels(capacity)) {
-      dataCentre.eachWorker(dataCentre.index()::remove);
+      dataCentre.forEachWorker(dataCentre.index()::remove);
       dataCentre.index().widenLevels(capacity);
-      dataCentre.eachWorker(other -> reindex(other, dataCentre.index()));
+      dataCentre.forEachWorker(other -> reindex(other, dataCentre.index()));
     }
-    index.seen(capacity);
-    dataCentre.index().seen(capacity);
+    index.includeCapacity(capacity);
+    dataCentre.index().includeCapacity(capacity);
   }
 
-  private void countService(WorkerState worker, PlacedTask task, boolean more) {
+  private void countService(WorkerState worker, PlacedTask task, boolean added) {
     if (task.workClass() != WorkClass.SERVICE) {
       return;
     }
     DataCentre dataCentre = dataCentre(worker);
     Rack rack = dataCentre.rack(worker.description().rack());
-    if (more) {
+    if (added) {
       dataCentre.services().add(task.taskId().key());
       rack.services().add(task.taskId().key());
     } else {
--- a/core/src/main/java/org/hickorypier/core/scheduling/IncrementalScheduler.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/IncrementalScheduler.java
@@ -16,18 +16,18 @@
 import org.hickorypier.core.model.WorkerDescription;
 
 /**
- * The decisions over indexes that each call changes a little, so that no call goes through all
- * workers or all queued items, but for the operators' queries.
+ * Scheduler that maintains its indexes incrementally, so that no call except the operators' queries
+ * iterates over all workers or all queued items.
  *
- * <p>Invariants: those of {@link Scheduler}. Not thread safe.
+ * <p>Invariants: those of {@link Scheduler}. Confined to the control thread.
  */
 final class IncrementalScheduler implements Scheduler {
 
   private final FairOrder order = new FairOrder();
   private final Fleet fleet = new Fleet();
-  private final UrgentReserve reserve;
+  private final UrgentReserve urgentReserve;
   private final ShapeTable shapes;
-  private final Capacities capacities = new Capacities();
+  private final WorkerCapacities capacities = new WorkerCapacities();
   private final WorkHistory history;
   private final ItemQueue queue;
   private final Reservations reservations;
@@ -36,12 +36,12 @@
   private final LearnedSizes learnedSizes = new LearnedSizes();
   private final Quarantine quarantine;
   private final Admission admission;
-  private final Set<WorkKey> failing = new LinkedHashSet<>();
+  private final Set<WorkKey> failingJobs = new LinkedHashSet<>();
   private long latestMillis;
 
   IncrementalScheduler(SchedulerSettings settings, long seed) {
-    reserve = new UrgentReserve(settings.urgentReservePart(), fleet);
-    shapes = new ShapeTable(reserve);
+    urgentReserve = new UrgentReserve(settings.urgentReservePart(), fleet);
+    shapes = new ShapeTable(urgentReserve);
     waitEstimate = new WaitEstimate(order, shapes);
     history = new WorkHistory(settings.historyMillis());
     queue = new ItemQueue(order, shapes, history);
@@ -59,8 +59,8 @@
             history,
             reservations,
             new PlacementPolicies(fleet, random),
-            new RoomHolds(settings.holdAfterMillis(), fleet, order, random),
-            reserve);
+            new WorkerHolds(settings.holdAfterMillis(), fleet, order, random),
+            urgentReserve);
   }
 
   @Override
@@ -71,10 +71,10 @@
     }
     Optional<Refusal> refusal = admission.refuse(item, order.team(item.key().team()), now);
     if (refusal.isEmpty()) {
-      Resources need = reservedFor(item);
+      Resources need = reservationSize(item);
       queue.add(item, need);
       if (item.workClass() == WorkClass.URGENT) {
-        reserve.urgentCame(need, now);
+        urgentReserve.urgentCame(need, now);
       }
     }
     return refusal;
@@ -83,7 +83,7 @@
   @Override
   public List<Placement> place(long now) {
     latestMillis = now;
-    quarantine.release(now).forEach(this::roomFreed);
+    quarantine.release(now).forEach(this::capacityFreed);
     return placementLoop.run(now);
   }
 
@@ -91,26 +91,26 @@
   public List<GivenUp> expire(long now) {
     latestMillis = now;
     history.forgetOld(now);
-    List<GivenUp> givenUp = new ArrayList<>(giveUpFailing(now));
+    List<GivenUp> givenUp = new ArrayList<>(giveUpFailingJobs(now));
     for (QueuedItem queued : queue.removeExpired(now)) {
-      String detail = "No place came free before the deadline.";
+      String detail = "The work could not be placed before the deadline.";
       givenUp.add(
           new GivenUp(queued.item(), new Refusal(RefusalReason.DEADLINE_PASSED, detail, 0)));
     }
     return givenUp;
   }
 
-  /** Gives up what still waits of jobs whose tasks have failed on several workers by now. */
-  private List<GivenUp> giveUpFailing(long now) {
+  /** Gives up the queued remainder of jobs whose tasks have failed on several workers. */
+  private List<GivenUp> giveUpFailingJobs(long now) {
     List<GivenUp> givenUp = new ArrayList<>();
-    for (WorkKey key : failing) {
+    for (WorkKey key : failingJobs) {
       QueuedItem queued = queue.get(key);
       if (queued != null) {
         queue.remove(queued, now);
         givenUp.add(new GivenUp(queued.item(), admission.failsEverywhereRefusal(key)));
       }
     }
-    failing.clear();
+    failingJobs.clear();
     return givenUp;
   }
 
@@ -125,18 +125,18 @@
   }
 
   @Override
-  public void ended(TaskId taskId, TaskEnd end, long now) {
+  public void taskEnded(TaskId taskId, TaskEnd end, long now) {
     latestMillis = now;
-    Reservation reservation = reservations.free(taskId, end, now);
+    Reservation reservation = reservations.release(taskId, end, now);
     if (reservation == null) {
       return;
     }
     waitEstimate.taskEnded(now);
     WorkerState worker = fleet.worker(reservation.task().worker());
     quarantine.taskEnded(worker, reservation, end, now);
-    roomFreed(worker);
+    capacityFreed(worker);
     if (admission.failsEverywhere(taskId.key()) && queue.get(taskId.key()) != null) {
-      failing.add(taskId.key());
+      failingJobs.add(taskId.key());
     }
   }
 
@@ -150,7 +150,7 @@
     }
     history.taskAdopted(taskId.key(), taskId.attempt());
     PlacedTask task = new PlacedTask(taskId, worker, workClass, reserved);
-    reservations.take(state, new Reservation(task, "", now, 0));
+    reservations.add(state, new Reservation(task, "", now, 0));
   }
 
   @Override
@@ -161,12 +161,12 @@
     } else {
       fleet.remove(state);
       capacities.remove(state.description().capacity());
-      state.describe(worker, open);
+      state.update(worker, open);
     }
     fleet.add(state);
     capacities.add(worker.capacity());
     order.setTotal(fleet.total());
-    roomFreed(state);
+    capacityFreed(state);
   }
 
   @Override
@@ -175,10 +175,10 @@
     if (state == null) {
       return List.of();
     }
-    final List<TaskId> taskIds = reservations.freeAll(state, latestMillis);
+    final List<TaskId> taskIds = reservations.releaseAll(state, latestMillis);
     fleet.remove(state);
     quarantine.forget(state);
-    reserve.forget(state);
+    urgentReserve.forget(state);
     capacities.remove(state.description().capacity());
     order.setTotal(fleet.total());
     return taskIds;
@@ -199,7 +199,7 @@
   }
 
   @Override
-  public void putUseElsewhere(String team, Resources resources) {
+  public void putRemoteUsage(String team, Resources resources) {
     TeamState state = order.team(team);
     order.update(state, () -> state.setUsedElsewhere(resources, latestMillis));
   }
@@ -215,7 +215,7 @@
       learnedSizes.report(taskId.key().team(), reservation.name(), used);
     }
     reservations.raise(reservation, used);
-    reserve.roomTaken(fleet.worker(reservation.task().worker()));
+    urgentReserve.roomTaken(fleet.worker(reservation.task().worker()));
   }
 
   @Override
@@ -234,8 +234,8 @@
   }
 
   @Override
-  public List<WorkerRoom> workers() {
-    return fleet.workers().stream().map(WorkerState::room).toList();
+  public List<WorkerSnapshot> workers() {
+    return fleet.workers().stream().map(WorkerState::snapshot).toList();
   }
 
   @Override
@@ -246,15 +246,15 @@
         : Optional.of(Explanation.of(queued, order.team(key.team()), fleet, now));
   }
 
-  private Resources reservedFor(WorkItem item) {
+  private Resources reservationSize(WorkItem item) {
     Resources learned = learnedSizes.sizeOf(item.key().team(), item.name(), item.resources());
-    return capacities.fitsWorkerHere(learned) ? learned : item.resources();
+    return capacities.fitsPresentWorker(learned) ? learned : item.resources();
   }
 
-  private void roomFreed(WorkerState worker) {
-    reserve.roomTaken(worker);
-    reserve.roomFreed(worker);
-    if (!worker.takesTasks()) {
+  private void capacityFreed(WorkerState worker) {
+    urgentReserve.roomTaken(worker);
+    urgentReserve.roomFreed(worker);
+    if (!worker.acceptsTasks()) {
       return;
     }
     if (shapes.unblock(worker)) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
@@ -11,10 +11,11 @@
 import org.hickorypier.core.model.WorkItem;
 
 /**
- * Takes queued work in order and puts it on workers until no more fits.
+ * Places queued work on workers in fair order until no more fits.
  *
  * <p>Each round starts one task, or one whole gang, of the team that comes first in the fair order,
- * so a job of a thousand tasks does not run past the other teams. Not thread safe.
+ * so a job of a thousand tasks does not run ahead of the other teams. Confined to the control
+ * thread.
  */
 final class PlacementLoop {
 
@@ -29,10 +30,10 @@
   private final Reservations reservations;
   private final PlacementPolicies policies;
   private final UrgentTurns urgentTurns;
-  private final RoomHolds holds;
-  private final UrgentReserve reserve;
-  private final Map<QueuedItem, List<PlacedTask>> placed = new LinkedHashMap<>();
-  private boolean triesLater;
+  private final WorkerHolds holds;
+  private final UrgentReserve urgentReserve;
+  private final Map<QueuedItem, List<PlacedTask>> placedTasks = new LinkedHashMap<>();
+  private boolean hasDelayedGang;
 
   PlacementLoop(
       SchedulerSettings settings,
@@ -43,8 +44,8 @@
       WorkHistory history,
       Reservations reservations,
       PlacementPolicies policies,
-      RoomHolds holds,
-      UrgentReserve reserve) {
+      WorkerHolds holds,
+      UrgentReserve urgentReserve) {
     this.settings = settings;
     this.fleet = fleet;
     this.order = order;
@@ -54,34 +55,34 @@
     this.reservations = reservations;
     this.policies = policies;
     this.holds = holds;
-    this.reserve = reserve;
+    this.urgentReserve = urgentReserve;
     this.urgentTurns = new UrgentTurns(settings.urgentHoldMillis(), settings.urgentTurn());
   }
 
   List<Placement> run(long now) {
-    tryHeld(now);
-    boolean more = true;
-    while (more) {
+    placeHoldOwners(now);
+    boolean placedAny = true;
+    while (placedAny) {
       boolean othersFirst = urgentTurns.isTurnOfOthers(now);
-      more = placeOne(!othersFirst, now) || placeOne(othersFirst, now);
+      placedAny = placeOne(!othersFirst, now) || placeOne(othersFirst, now);
     }
-    List<Placement> placements = new ArrayList<>(placed.size());
-    placed.forEach((queued, tasks) -> placements.add(new Placement(queued.item(), tasks)));
-    placed.clear();
+    List<Placement> placements = new ArrayList<>(placedTasks.size());
+    placedTasks.forEach((queued, tasks) -> placements.add(new Placement(queued.item(), tasks)));
+    placedTasks.clear();
     return placements;
   }
 
-  /** Tries the items that workers are held for before all others, which may fill their gaps. */
-  private void tryHeld(long now) {
-    holds.releaseUseless(now).forEach(this::offerAgain);
-    reserve.refresh(urgentTurns.isOverdue(now), now).forEach(this::offerAgain);
-    holds.holdForStarving(now);
+  /** Tries the owners of holds first, since other items could fill the gaps on their workers. */
+  private void placeHoldOwners(long now) {
+    holds.releaseObsolete(now).forEach(this::retryOn);
+    urgentReserve.refresh(urgentTurns.isOverdue(now), now).forEach(this::retryOn);
+    holds.holdForStarvingItem(now);
     for (QueuedItem owner : holds.owners()) {
-      starts(order.team(owner.item().key().team()), owner, now);
+      tryStart(order.team(owner.item().key().team()), owner, now);
     }
   }
 
-  private void offerAgain(WorkerState worker) {
+  private void retryOn(WorkerState worker) {
     shapes.unblock(worker);
     order.tryAll();
   }
@@ -91,13 +92,14 @@
       if (team.isExhausted(urgent)) {
         continue;
       }
-      QueuedItem queued = firstThatStarts(team, urgent ? URGENT : team.classTurns().order(), now);
+      QueuedItem queued =
+          startFirstPossible(team, urgent ? URGENT : team.classTurns().order(), now);
       if (queued != null) {
         urgentTurns.started(urgent);
         team.classTurns().started(queued.item().workClass());
         return true;
       }
-      if (!triesLater) {
+      if (!hasDelayedGang) {
         team.markExhausted(urgent);
       }
     }
@@ -107,20 +109,20 @@
     return false;
   }
 
-  private QueuedItem firstThatStarts(TeamState team, List<WorkClass> classes, long now) {
-    triesLater = false;
+  private QueuedItem startFirstPossible(TeamState team, List<WorkClass> classes, long now) {
+    hasDelayedGang = false;
     if (team.freePermits() <= 0) {
       return null;
     }
     for (WorkClass workClass : classes) {
-      Iterator<QueuedItem> heads = team.queue(workClass).items().iterator();
-      for (int tried = 0; tried < settings.backfillDepth() && heads.hasNext(); ) {
-        QueuedItem queued = heads.next();
+      Iterator<QueuedItem> candidates = team.queue(workClass).items().iterator();
+      for (int tried = 0; tried < settings.backfillDepth() && candidates.hasNext(); ) {
+        QueuedItem queued = candidates.next();
         if (queued.isTooLate(now)) {
           continue;
         }
         tried++;
-        if (starts(team, queued, now)) {
+        if (tryStart(team, queued, now)) {
           return queued;
         }
       }
@@ -128,60 +130,60 @@
     return null;
   }
 
-  private boolean starts(TeamState team, QueuedItem queued, long now) {
+  private boolean tryStart(TeamState team, QueuedItem queued, long now) {
     if (queued.item().workClass() == WorkClass.GANG) {
-      return startsGang(team, queued, now);
+      return tryStartGang(team, queued, now);
     }
     if (team.freePermits() <= 0) {
       return false;
     }
-    WorkerState worker = chooseFor(queued, now);
+    WorkerState worker = chooseWorker(queued, now);
     if (worker == null) {
       queued.triedInVain(now);
       return false;
     }
     reserve(queued, worker, now);
-    finishIfWhole(queued, now);
+    removeIfFullyPlaced(queued, now);
     return true;
   }
 
-  private WorkerState chooseFor(QueuedItem queued, long now) {
-    boolean isHeldFor = queued.isHeldFor();
-    if (queued.shape().isBlocked() && !isHeldFor) {
+  private WorkerState chooseWorker(QueuedItem queued, long now) {
+    boolean ownsHold = queued.isHeldFor();
+    if (queued.shape().isBlocked() && !ownsHold) {
       return null;
     }
     PlacementPolicy policy = policies.of(queued.item().workClass());
-    WorkerFilter usable = usableFor(queued, now);
+    WorkerFilter usable = usableWorkers(queued, now);
     Set<String> failedOn = history.failedOn(queued.item().key());
     if (!failedOn.isEmpty()) {
-      WorkerFilter elsewhere = worker -> !failedOn.contains(worker.name()) && usable.test(worker);
-      WorkerState other = policy.choose(queued, elsewhere);
-      if (other != null) {
-        return other;
+      WorkerFilter notFailedOn = worker -> !failedOn.contains(worker.name()) && usable.test(worker);
+      WorkerState preferred = policy.choose(queued, notFailedOn);
+      if (preferred != null) {
+        return preferred;
       }
     }
     WorkerState worker = policy.choose(queued, usable);
-    if (worker == null && !isHeldFor) {
+    if (worker == null && !ownsHold) {
       shapes.block(queued.shape());
     }
     return worker;
   }
 
   /**
-   * Says which workers an item may use. Urgent work may use held workers, unless it is overdue for
-   * other work to have its turn: an instance of four workers holds a quarter of its room for one
+   * Returns a filter for the workers that an item may use. Urgent work may use held workers unless
+   * other work is overdue: an instance with four workers holds a quarter of its capacity for one
    * gang.
    */
-  private WorkerFilter usableFor(QueuedItem queued, long now) {
+  private WorkerFilter usableWorkers(QueuedItem queued, long now) {
     boolean urgent = queued.item().workClass() == WorkClass.URGENT;
     return worker ->
-        (urgent || reserve.admits(worker, queued.need()))
-            && (worker.heldBy() == null
-                || worker.heldBy().admits(queued, now)
+        (urgent || urgentReserve.admits(worker, queued.need()))
+            && (worker.currentHold() == null
+                || worker.currentHold().admits(queued, now)
                 || urgent && !urgentTurns.isOverdue(now));
   }
 
-  private boolean startsGang(TeamState team, QueuedItem queued, long now) {
+  private boolean tryStartGang(TeamState team, QueuedItem queued, long now) {
     int tasks = queued.waitingTasks();
     if (team.freePermits() < tasks) {
       return false;
@@ -191,32 +193,32 @@
       return false;
     }
     if (queued.nextTryMillis() > now) {
-      triesLater = true;
+      hasDelayedGang = true;
       return false;
     }
-    List<Reservation> taken = new ArrayList<>(tasks);
+    List<Reservation> tentative = new ArrayList<>(tasks);
     for (int i = 0; i < tasks; i++) {
-      WorkerState worker = chooseFor(queued, now);
+      WorkerState worker = chooseWorker(queued, now);
       if (worker == null) {
-        giveBack(taken);
+        releaseAll(tentative);
         queued.triedInVain(now);
         queued.tryAgainAt(now + settings.gangRetryMillis());
         return false;
       }
       Reservation reservation = reservation(queued, i, worker, now);
       fleet.reserve(worker, reservation);
-      taken.add(reservation);
+      tentative.add(reservation);
     }
-    giveBack(taken);
-    for (Reservation reservation : taken) {
+    releaseAll(tentative);
+    for (Reservation reservation : tentative) {
       reserve(queued, fleet.worker(reservation.task().worker()), now);
     }
-    finishIfWhole(queued, now);
+    removeIfFullyPlaced(queued, now);
     return true;
   }
 
-  private void giveBack(List<Reservation> taken) {
-    for (Reservation reservation : taken) {
+  private void releaseAll(List<Reservation> tentative) {
+    for (Reservation reservation : tentative) {
       WorkerState worker = fleet.worker(reservation.task().worker());
       fleet.release(worker, reservation);
       shapes.unblock(worker);
@@ -228,9 +230,9 @@
     history.taskPlaced(queued.item().key());
     TeamState team = order.team(queued.item().key().team());
     team.taskStarted(queued, now);
-    reservations.take(worker, reservation);
-    reserve.roomTaken(worker);
-    placed.computeIfAbsent(queued, unused -> new ArrayList<>()).add(reservation.task());
+    reservations.add(worker, reservation);
+    urgentReserve.roomTaken(worker);
+    placedTasks.computeIfAbsent(queued, unused -> new ArrayList<>()).add(reservation.task());
   }
 
   private static Reservation reservation(
@@ -241,7 +243,7 @@
     return new Reservation(task, item.name(), now, item.expectedRunMillis());
   }
 
-  private void finishIfWhole(QueuedItem queued, long now) {
+  private void removeIfFullyPlaced(QueuedItem queued, long now) {
     if (queued.waitingTasks() == 0) {
       queue.remove(queued, now);
     }
--- a/core/src/main/java/org/hickorypier/core/scheduling/RoomHolds.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerHolds.java
@@ -8,34 +8,37 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * Keeps workers free for gangs and large tasks that have waited long.
+ * Holds workers for gangs and large tasks that have waited long.
  *
- * <p>Made for a busy fleet, where each gap is filled by small work before a gang finds enough of
- * them at once: without this it would wait for ever. A fixed set of workers, those that come free
- * first, takes only work that is expected to end before the gang can start there; past that moment
- * it takes none. So the room only grows until the gang fits, also when run times are declared
- * wrong. The sets of two holds have no worker in common, so no gang waits for another's; all of
- * them together are a small part of the fleet, so little room lies idle.
+ * <p>On a busy fleet small work fills each gap before a gang finds enough of them at once, so
+ * without holds a gang could starve. A hold covers a fixed set of workers: of those examined, the
+ * ones expected to become idle first. They take only work that is expected to end before the gang
+ * can start there, and no work after that time, so their free resources only grow until the gang
+ * fits, even if declared run times are wrong. Holds share no worker, so no gang waits for workers
+ * held for another. All holds together cover a small fraction of the fleet, which bounds the idle
+ * capacity.
  *
- * <p>Invariant: exactly the workers of a hold name it. Not thread safe.
+ * <p>Invariant: a worker refers to a hold if and only if the hold contains it. Confined to the
+ * control thread.
  */
-final class RoomHolds {
+final class WorkerHolds {
 
-  /** A single task is large if it takes more than this part of a worker. */
-  private static final double LARGE_PART = 0.25;
+  /** A single task is large if it needs more than this fraction of an average worker. */
+  private static final double LARGE_TASK_WORKER_FRACTION = 0.25;
 
-  /** Each hold is tried at each round, so they are few. */
-  private static final int MOST_HOLDS = 8;
+  /** The number of holds is limited because every placement round tries each of their owners. */
+  private static final int MAX_HOLDS = 8;
 
-  /** The part of the workers that may be held at once, unless a single gang needs more. */
-  private static final double MOST_PART = 0.125;
+  /** Maximum fraction of workers held at once, unless a single gang needs more. */
+  private static final double MAX_HELD_WORKER_FRACTION = 0.125;
 
   /**
-   * Workers looked at for a hold, if they suffice; all of a large fleet would take a millisecond.
+   * Workers examined for a hold, if they suffice. Examining all workers of a large fleet would take
+   * a millisecond.
    */
-  private static final int CANDIDATES = 256;
+  private static final int SCANNED_WORKERS = 256;
 
-  private static final long CHECK_MILLIS = 100;
+  private static final long CHECK_INTERVAL_MILLIS = 100;
 
   private record Candidate(WorkerState worker, long freeAtMillis, int tasks) {}
 
@@ -47,34 +50,35 @@
   private int heldWorkers;
   private long nextCheckMillis = Long.MIN_VALUE;
 
-  RoomHolds(long holdAfterMillis, Fleet fleet, FairOrder order, RandomGenerator random) {
+  WorkerHolds(long holdAfterMillis, Fleet fleet, FairOrder order, RandomGenerator random) {
     this.holdAfterMillis = holdAfterMillis;
     this.fleet = fleet;
     this.order = order;
     this.random = random;
   }
 
-  /** Returns the items that workers are held for. */
+  /** Returns the items that own a hold. */
   List<QueuedItem> owners() {
     return holds.isEmpty() ? List.of() : holds.stream().map(Hold::owner).toList();
   }
 
   /**
-   * Ends the holds that are of no more use.
+   * Ends the holds whose owner has left the queue, is past its deadline or lacks permits, and those
+   * with a worker that is gone, closed or unhealthy.
    *
-   * @param now the time
+   * @param now the time in milliseconds of the monotonic clock
    * @return the workers that are no longer held
    */
-  List<WorkerState> releaseUseless(long now) {
+  List<WorkerState> releaseObsolete(long now) {
     if (holds.isEmpty()) {
       return List.of();
     }
     List<WorkerState> released = new ArrayList<>();
     for (Iterator<Hold> each = holds.iterator(); each.hasNext(); ) {
       Hold hold = each.next();
-      if (!isOfUse(hold, now)) {
+      if (!isUsable(hold, now)) {
         hold.owner().setHeldFor(false);
-        hold.workers().forEach(worker -> worker.holdBy(null));
+        hold.workers().forEach(worker -> worker.setHold(null));
         released.addAll(hold.workers());
         heldWorkers -= hold.workers().size();
         each.remove();
@@ -84,38 +88,39 @@
   }
 
   /**
-   * Begins a hold if an item has waited long enough and few workers are held.
+   * Creates a hold for the item that has been starving longest, if it has done so for the hold
+   * delay and few workers are held.
    *
-   * @param now the time
+   * @param now the time in milliseconds of the monotonic clock
    */
-  void holdForStarving(long now) {
-    if (now < nextCheckMillis || holds.size() >= MOST_HOLDS) {
+  void holdForStarvingItem(long now) {
+    if (now < nextCheckMillis || holds.size() >= MAX_HOLDS) {
       return;
     }
-    nextCheckMillis = now + CHECK_MILLIS;
-    if (!holds.isEmpty() && heldWorkers >= fleet.size() * MOST_PART) {
+    nextCheckMillis = now + CHECK_INTERVAL_MILLIS;
+    if (!holds.isEmpty() && heldWorkers >= fleet.size() * MAX_HELD_WORKER_FRACTION) {
       return;
     }
-    QueuedItem starving = longestInVain(now);
+    QueuedItem starving = longestStarving(now);
     if (starving != null) {
       hold(starving, now);
     }
   }
 
-  private boolean isOfUse(Hold hold, long now) {
+  private boolean isUsable(Hold hold, long now) {
     QueuedItem owner = hold.owner();
     if (owner.isGone() || owner.isTooLate(now) || !hasPermits(owner)) {
       return false;
     }
     for (WorkerState worker : hold.workers()) {
-      if (!worker.takesTasksWhenFree() || fleet.worker(worker.name()) != worker) {
+      if (!worker.acceptsTasksWhenIdle() || fleet.worker(worker.name()) != worker) {
         return false;
       }
     }
     return true;
   }
 
-  private QueuedItem longestInVain(long now) {
+  private QueuedItem longestStarving(long now) {
     QueuedItem longest = null;
     for (TeamState team : order.waiting()) {
       for (WorkClass workClass : WorkClass.values()) {
@@ -123,7 +128,7 @@
         if (head != null
             && head.inVainSinceMillis() + holdAfterMillis <= now
             && (longest == null || head.inVainSinceMillis() < longest.inVainSinceMillis())
-            && mayHold(head, now)) {
+            && isEligible(head, now)) {
           longest = head;
         }
       }
@@ -140,27 +145,27 @@
     return null;
   }
 
-  private boolean mayHold(QueuedItem head, long now) {
+  private boolean isEligible(QueuedItem head, long now) {
     return !head.isTooLate(now) && isGangOrLarge(head) && hasPermits(head);
   }
 
   private boolean isGangOrLarge(QueuedItem queued) {
     return queued.item().workClass() == WorkClass.GANG
-        || queued.need().dominantShare(fleet.total()) * fleet.size() > LARGE_PART;
+        || queued.need().dominantShare(fleet.total()) * fleet.size() > LARGE_TASK_WORKER_FRACTION;
   }
 
   private boolean hasPermits(QueuedItem queued) {
-    return order.team(queued.item().key().team()).freePermits() >= tasksTogether(queued);
+    return order.team(queued.item().key().team()).freePermits() >= minTasksToStart(queued);
   }
 
-  private static int tasksTogether(QueuedItem queued) {
+  private static int minTasksToStart(QueuedItem queued) {
     return queued.item().workClass() == WorkClass.GANG ? queued.waitingTasks() : 1;
   }
 
   private void hold(QueuedItem starving, long now) {
     List<WorkerState> workers = new ArrayList<>();
     long startMillis = now;
-    int missing = tasksTogether(starving);
+    int missing = minTasksToStart(starving);
     for (Candidate candidate : candidates(starving, now)) {
       if (missing <= 0) {
         break;
@@ -176,24 +181,26 @@
     holds.add(hold);
     heldWorkers += workers.size();
     starving.setHeldFor(true);
-    workers.forEach(worker -> worker.holdBy(hold));
+    workers.forEach(worker -> worker.setHold(hold));
   }
 
   /**
-   * Returns workers that could take tasks of the item, those that come free first before others.
+   * Returns workers that could run tasks of the item, ordered by when they are expected to be idle.
    */
   private List<Candidate> candidates(QueuedItem starving, long now) {
     List<Candidate> candidates = new ArrayList<>();
-    int enough = tasksTogether(starving);
+    int enough = minTasksToStart(starving);
     int found = 0;
     int start = fleet.size() == 0 ? 0 : random.nextInt(fleet.size());
-    for (int i = 0; i < fleet.size() && (i < CANDIDATES || found < enough); i++) {
+    for (int i = 0; i < fleet.size() && (i < SCANNED_WORKERS || found < enough); i++) {
       WorkerState worker = fleet.at((start + i) % fleet.size());
       boolean usable =
-          worker.takesTasksWhenFree() && worker.heldBy() == null && !worker.isReserveForUrgent();
-      int tasks = usable ? worker.tasksWhenFree(starving.need()) : 0;
+          worker.acceptsTasksWhenIdle()
+              && worker.currentHold() == null
+              && !worker.isReserveForUrgent();
+      int tasks = usable ? worker.taskCapacityWhenIdle(starving.need()) : 0;
       if (tasks > 0) {
-        candidates.add(new Candidate(worker, Math.max(now, worker.freeAtMillis()), tasks));
+        candidates.add(new Candidate(worker, Math.max(now, worker.expectedIdleMillis()), tasks));
         found += tasks;
       }
     }
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerState.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerState.java
@@ -11,8 +11,9 @@
 /**
  * A worker with its reservations.
  *
- * <p>Invariant: the used amounts are the sums over the tasks. They exceed the capacity only by
- * adopted tasks, which run whether they fit or not. Not thread safe.
+ * <p>Invariant: the free amounts are the capacity less the sums over the reservations. They are
+ * negative only through adopted tasks, which run whether or not they fit. Confined to the control
+ * thread.
  */
 final class WorkerState {
 
@@ -24,15 +25,15 @@
   private int freeAccelerators;
   private int freeSlots;
   private final WorkerHealth health = new WorkerHealth();
-  private Hold heldBy;
+  private Hold currentHold;
   private boolean reserveForUrgent;
-  private final RoomIndex.Position[] positions =
-      new RoomIndex.Position[RoomIndex.Scope.values().length];
+  private final FreeCapacityIndex.Position[] positions =
+      new FreeCapacityIndex.Position[FreeCapacityIndex.Scope.values().length];
 
   WorkerState(WorkerDescription description, boolean open) {
     this.description = description;
     this.open = open;
-    recount();
+    recomputeFree();
   }
 
   WorkerDescription description() {
@@ -43,22 +44,22 @@
     return description.name();
   }
 
-  void describe(WorkerDescription newDescription, boolean newOpen) {
+  void update(WorkerDescription newDescription, boolean newOpen) {
     description = newDescription;
     open = newOpen;
-    recount();
+    recomputeFree();
   }
 
   WorkerHealth health() {
     return health;
   }
 
-  /** Returns the hold that keeps the worker free, or null. */
-  Hold heldBy() {
-    return heldBy;
+  /** Returns the hold that contains the worker, or null. */
+  Hold currentHold() {
+    return currentHold;
   }
 
-  /** Tells whether a gap on this worker is kept free for urgent work. */
+  /** Returns whether free resources of this worker are reserved for urgent work. */
   boolean isReserveForUrgent() {
     return reserveForUrgent;
   }
@@ -67,22 +68,22 @@
     reserveForUrgent = reserve;
   }
 
-  void holdBy(Hold hold) {
-    heldBy = hold;
+  void setHold(Hold hold) {
+    currentHold = hold;
   }
 
-  /** Tells whether the worker may get a task at all, whatever its size. */
-  boolean takesTasks() {
+  /** Returns whether the worker may get another task, regardless of the size of the task. */
+  boolean acceptsTasks() {
     return open && freeSlots > 0 && health.admits(tasks.size());
   }
 
-  /** Tells whether the worker may get several tasks once its present ones have ended. */
-  boolean takesTasksWhenFree() {
+  /** Returns whether the worker may get several tasks once its current ones have ended. */
+  boolean acceptsTasksWhenIdle() {
     return open && health.state() == WorkerHealth.State.GOOD;
   }
 
-  /** Returns how many tasks of a size fit beside its services alone. */
-  int tasksWhenFree(Resources need) {
+  /** Returns how many tasks of a size fit when only the services of the worker remain. */
+  int taskCapacityWhenIdle(Resources need) {
     long processors = description.capacity().milliProcessors();
     long memory = description.capacity().memoryMebibytes();
     long accelerators = description.capacity().accelerators();
@@ -95,14 +96,17 @@
         slots--;
       }
     }
-    long most = slots;
-    most = Math.min(most, times(processors, need.milliProcessors()));
-    most = Math.min(most, times(memory, need.memoryMebibytes()));
-    return (int) Math.max(0, Math.min(most, times(accelerators, need.accelerators())));
+    long maxTasks = slots;
+    maxTasks = Math.min(maxTasks, fittingTasks(processors, need.milliProcessors()));
+    maxTasks = Math.min(maxTasks, fittingTasks(memory, need.memoryMebibytes()));
+    return (int) Math.max(0, Math.min(maxTasks, fittingTasks(accelerators, need.accelerators())));
   }
 
-  /** Returns when its tasks but for services are expected to have ended. */
-  long freeAtMillis() {
+  /**
+   * Returns when all tasks except services are expected to have ended, or {@link Long#MIN_VALUE} if
+   * there are none.
+   */
+  long expectedIdleMillis() {
     long latest = Long.MIN_VALUE;
     for (Reservation reservation : tasks.values()) {
       if (!isService(reservation)) {
@@ -116,8 +120,8 @@
     return reservation.task().workClass() == WorkClass.SERVICE;
   }
 
-  private static long times(long room, long need) {
-    return need == 0 ? Integer.MAX_VALUE : room / need;
+  private static long fittingTasks(long free, long need) {
+    return need == 0 ? Integer.MAX_VALUE : free / need;
   }
 
   Collection<Reservation> reservations() {
@@ -126,7 +130,7 @@
 
   void add(Reservation reservation) {
     tasks.put(reservation.task().taskId(), reservation);
-    take(reservation.task().reserved());
+    subtractFree(reservation.task().reserved());
   }
 
   void remove(Reservation reservation) {
@@ -145,8 +149,8 @@
         && need.accelerators() <= freeAccelerators;
   }
 
-  /** Tells whether a task fits here together with another one. */
-  boolean hasRoomBeside(Resources other, Resources need) {
+  /** Returns whether a task fits together with another one. */
+  boolean hasRoomForBoth(Resources other, Resources need) {
     return freeSlots > 1
         && need.milliProcessors() + other.milliProcessors() <= freeMilliProcessors
         && need.memoryMebibytes() + other.memoryMebibytes() <= freeMemoryMebibytes
@@ -169,7 +173,7 @@
     return freeSlots;
   }
 
-  /** Returns the used part of the slots, between 0 and 1, or above 1 by adopted tasks. */
+  /** Returns the fraction of slots in use, from 0 to 1, or above 1 through adopted tasks. */
   double load() {
     return 1.0 - (double) freeSlots / description.slots();
   }
@@ -181,11 +185,11 @@
         Math.max(0, freeAccelerators));
   }
 
-  WorkerRoom room() {
-    return new WorkerRoom(description, free(), Math.max(0, freeSlots), stateWord());
+  WorkerSnapshot snapshot() {
+    return new WorkerSnapshot(description, free(), Math.max(0, freeSlots), stateName());
   }
 
-  private String stateWord() {
+  private String stateName() {
     if (!open) {
       return "closed";
     }
@@ -196,24 +200,24 @@
     };
   }
 
-  RoomIndex.Position position(RoomIndex.Scope scope) {
+  FreeCapacityIndex.Position position(FreeCapacityIndex.Scope scope) {
     return positions[scope.ordinal()];
   }
 
-  void moveTo(RoomIndex.Scope scope, RoomIndex.Position position) {
+  void setPosition(FreeCapacityIndex.Scope scope, FreeCapacityIndex.Position position) {
     positions[scope.ordinal()] = position;
   }
 
-  private void recount() {
+  private void recomputeFree() {
     Resources capacity = description.capacity();
     freeMilliProcessors = capacity.milliProcessors();
     freeMemoryMebibytes = capacity.memoryMebibytes();
     freeAccelerators = capacity.accelerators();
     freeSlots = description.slots();
-    tasks.values().forEach(reservation -> take(reservation.task().reserved()));
+    tasks.values().forEach(reservation -> subtractFree(reservation.task().reserved()));
   }
 
-  private void take(Resources reserved) {
+  private void subtractFree(Resources reserved) {
     freeMilliProcessors -= reserved.milliProcessors();
     freeMemoryMebibytes -= reserved.memoryMebibytes();
     freeAccelerators -= reserved.accelerators();
--- a/core/src/test/java/org/hickorypier/core/scheduling/SimulatedLoad.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/SimulatedLoad.java
@@ -11,7 +11,10 @@
 import org.hickorypier.core.model.TaskId;
 import org.hickorypier.core.model.WorkItem;
 
-/** Runs placed tasks in fake time, ten milliseconds a step, and counts what callers see. */
+/**
+ * Runs placed tasks in simulated time, in steps of ten milliseconds, and counts the outcomes that
+ * callers see. Not thread-safe.
+ */
 final class SimulatedLoad {
 
   private static final long STEP_MILLIS = 10;
@@ -31,10 +34,10 @@
   private long now;
 
   /**
-   * Creates a load.
+   * Creates a simulated load.
    *
    * @param scheduler the scheduler under test
-   * @param runMillis how long a task runs; negative if it fails at once
+   * @param runMillis the run time of a task; negative if the task fails at once
    */
   SimulatedLoad(Scheduler scheduler, ToLongFunction<PlacedTask> runMillis) {
     this.scheduler = scheduler;
@@ -57,14 +60,14 @@
               refusals.add(refusal);
               refusedOfTeam.merge(item.key().team(), 1L, Long::sum);
             });
-    decide();
+    placeTasks();
   }
 
   void submit(WorkItem item, boolean mustBeAccepted) {
     int before = refusals.size();
     submit(item);
     if (mustBeAccepted && refusals.size() > before) {
-      throw new AssertionError("refused: " + refusals.get(before));
+      throw new AssertionError("unexpected refusal: " + refusals.get(before));
     }
   }
 
@@ -72,15 +75,15 @@
     for (long end = now + millis; now < end; now += STEP_MILLIS) {
       while (!running.isEmpty() && running.peek().endMillis() <= now) {
         Running ended = running.poll();
-        scheduler.ended(ended.taskId(), ended.end(), now);
+        scheduler.taskEnded(ended.taskId(), ended.end(), now);
         completed += ended.end() == TaskEnd.COMPLETED ? 1 : 0;
         failed += ended.end() == TaskEnd.FAILED ? 1 : 0;
-        decide();
+        placeTasks();
       }
       scheduler
           .expire(now)
           .forEach(givenUp -> givenUpOfTeam.merge(givenUp.item().key().team(), 1L, Long::sum));
-      decide();
+      placeTasks();
     }
   }
 
@@ -108,7 +111,7 @@
     return failed;
   }
 
-  private void decide() {
+  private void placeTasks() {
     for (Placement placement : scheduler.place(now)) {
       for (PlacedTask task : placement.tasks()) {
         long millis = runMillis.applyAsLong(task);
