--- a/core/src/main/java/org/hickorypier/core/configuration/ConfigurationFold.java
+++ b/core/src/main/java/org/hickorypier/core/configuration/ConfigurationFold.java
@@ -63,8 +63,7 @@
     }
     FoldResult<Configuration> result = applyNew(next, offset, change);
     FoldedId entry = new FoldedId(change.id(), offset, result.verdict());
-    return new FoldResult<>(
-        result.state().withFoldedId(entry), result.verdict(), result.sentence());
+    return new FoldResult<>(result.state().withFoldedId(entry), result.verdict(), result.reason());
   }
 
   /**
--- a/core/src/main/java/org/hickorypier/core/fold/FoldResult.java
+++ b/core/src/main/java/org/hickorypier/core/fold/FoldResult.java
@@ -8,6 +8,6 @@
  * @param <S> the state
  * @param state the state after the record
  * @param verdict what became of the record
- * @param sentence the reason, for people
+ * @param reason the reason, for people
  */
-public record FoldResult<S>(S state, Verdict verdict, String sentence) {}
+public record FoldResult<S>(S state, Verdict verdict, String reason) {}
--- a/core/src/main/java/org/hickorypier/core/fold/ReadinessRule.java
+++ b/core/src/main/java/org/hickorypier/core/fold/ReadinessRule.java
@@ -24,7 +24,7 @@
    * @param readyPeer the highest offset folded by a peer that is itself ready, -1 if there is none
    * @return why the state is not whole, or empty if it is
    */
-  public static Optional<String> obstacle(
+  public static Optional<String> notReadyReason(
       long folded, long next, boolean caughtUp, long readyPeer) {
     if (folded + 1 < next) {
       return Optional.of(
--- a/core/src/main/java/org/hickorypier/core/fold/RecentIds.java
+++ b/core/src/main/java/org/hickorypier/core/fold/RecentIds.java
@@ -20,11 +20,11 @@
  */
 public final class RecentIds {
 
-  private final long distance;
+  private final long retainedOffsets;
   private final Map<String, FoldedId> ids;
 
   private RecentIds(long distance, Map<String, FoldedId> ids) {
-    this.distance = distance;
+    this.retainedOffsets = distance;
     this.ids = ids;
   }
 
@@ -70,12 +70,12 @@
   public RecentIds plus(FoldedId entry) {
     Map<String, FoldedId> next = new LinkedHashMap<>(ids.size() * 2);
     for (FoldedId known : ids.values()) {
-      if (known.offset() >= entry.offset() - distance) {
+      if (known.offset() >= entry.offset() - retainedOffsets) {
         next.put(known.id(), known);
       }
     }
     next.putIfAbsent(entry.id(), entry);
-    return new RecentIds(distance, next);
+    return new RecentIds(retainedOffsets, next);
   }
 
   /**
@@ -89,7 +89,9 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof RecentIds that && distance == that.distance && ids.equals(that.ids);
+    return other instanceof RecentIds that
+        && retainedOffsets == that.retainedOffsets
+        && ids.equals(that.ids);
   }
 
   @Override
--- a/core/src/main/java/org/hickorypier/core/fold/SnapshotPolicy.java
+++ b/core/src/main/java/org/hickorypier/core/fold/SnapshotPolicy.java
@@ -13,12 +13,12 @@
  * @param intervalMillis the time between snapshots; a quarter of the log's retention at the most,
  *     so that after a restart of all instances, which forget when the last one was published, the
  *     next still comes before half the retention
- * @param records the records after which one is published before its time, for a log that keeps a
- *     number of records
- * @param turnMillis how much longer each instance waits than the one before it in the order of
+ * @param recordThreshold the records after which one is published before its time, for a log that
+ *     keeps a number of records
+ * @param staggerMillis how much longer each instance waits than the one before it in the order of
  *     names
  */
-public record SnapshotPolicy(long intervalMillis, long records, long turnMillis) {
+public record SnapshotPolicy(long intervalMillis, long recordThreshold, long staggerMillis) {
 
   /**
    * The policy in use: made for a log that keeps records for 40 minutes or more and 20,000 records
@@ -35,9 +35,9 @@
    * @return true if this instance publishes one now
    */
   public boolean isDue(long millisSince, long recordsSince, int turn) {
-    long late = turn * turnMillis;
+    long late = turn * staggerMillis;
     boolean oldEnough = millisSince >= intervalMillis + late;
-    boolean manyRecords = recordsSince >= records && millisSince >= late;
+    boolean manyRecords = recordsSince >= recordThreshold && millisSince >= late;
     return oldEnough || manyRecords;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/permits/LocalPermits.java
+++ b/core/src/main/java/org/hickorypier/core/permits/LocalPermits.java
@@ -28,7 +28,7 @@
    * How much later each instance in the order of names says a new limit, if none before it has. One
    * record for a change is enough; without the order each instance would append one at once.
    */
-  private static final long LIMIT_TURN_MILLIS = 300;
+  private static final long LIMIT_PUBLICATION_STAGGER_MILLIS = 300;
 
   private final Holder self;
   private final Map<String, LocalTeam> teams = new HashMap<>();
@@ -63,7 +63,7 @@
    */
   public FoldResult<PermitState> fold(long offset, PermitRecord change) {
     FoldResult<PermitState> result = PermitFold.apply(state, offset, change);
-    take(result.state());
+    replaceState(result.state());
     return result;
   }
 
@@ -72,8 +72,8 @@
    *
    * @param offset its offset
    */
-  public void passOver(long offset) {
-    take(PermitFold.passOver(state, offset));
+  public void skipRecord(long offset) {
+    replaceState(PermitFold.skipRecord(state, offset));
   }
 
   /**
@@ -81,8 +81,8 @@
    *
    * @param snapshot the snapshot
    */
-  public void adopt(Snapshot snapshot) {
-    take(PermitFold.adopt(state, snapshot).state());
+  public void applySnapshot(Snapshot snapshot) {
+    replaceState(PermitFold.applySnapshot(state, snapshot).state());
   }
 
   /**
@@ -98,7 +98,7 @@
     if (revision > team.revision) {
       team.revision = revision;
       team.limit = limit;
-      team.limitSince = now;
+      team.limitChangedAt = now;
     }
   }
 
@@ -116,23 +116,24 @@
       String name, PermitDemand own, Map<Holder, PermitDemand> others, long now) {
     LocalTeam team = team(name);
     List<PermitRecord> records = new ArrayList<>();
-    if (isMyTurnToSayLimit(name, team, others, now)) {
-      team.saidRevision = team.revision;
+    if (isLimitPublicationDue(name, team, others, now)) {
+      team.publishedRevision = team.revision;
       records.add(new Limit(name, team.revision, team.limit));
     }
-    long idleMillis = team.isIdle ? now - team.idleSince : 0;
+    long idleMillis = team.hasIdleExcess ? now - team.idleSince : 0;
     PermitPlan plan =
         PermitPlanner.plan(
-            new PermitView(self, inForce(name, team), own, others, team.asked, idleMillis));
-    if (plan.idle() && !team.isIdle) {
+            new PermitView(
+                self, effectivePermits(name, team), own, others, team.pendingRequest, idleMillis));
+    if (plan.hasIdleExcess() && !team.hasIdleExcess) {
       team.idleSince = now;
     }
-    team.isIdle = plan.idle();
+    team.hasIdleExcess = plan.hasIdleExcess();
     team.cap = plan.cap();
-    if (plan.ask().isPresent() && !isAdopting()) {
-      int count = plan.ask().getAsInt();
-      team.asked = OptionalInt.of(count);
-      team.askedSequence = ++lastSequence;
+    if (plan.request().isPresent() && !isAdoptionPending()) {
+      int count = plan.request().getAsInt();
+      team.pendingRequest = OptionalInt.of(count);
+      team.requestSequence = ++lastSequence;
       records.add(new Hold(self.instance(), self.incarnation(), lastSequence, name, count));
     }
     return new PlannedPermits(usable(name), records);
@@ -147,14 +148,14 @@
    */
   public int usable(String name) {
     LocalTeam team = team(name);
-    TeamPermits permits = inForce(name, team);
+    TeamPermits permits = effectivePermits(name, team);
     if (permits.isOverLimit()) {
       return 0;
     }
     // A request for fewer may be in force already: from the moment of asking, no more than that is
     // used. A request for more counts only once it has been read back.
     int held = permits.heldBy(self);
-    return Math.min(team.cap, Math.min(held, team.asked.orElse(held)));
+    return Math.min(team.cap, Math.min(held, team.pendingRequest.orElse(held)));
   }
 
   /**
@@ -167,7 +168,7 @@
    *     grant
    * @return the record
    */
-  public Adopt adoption(String worker, long token, List<AdoptedTasks> tasks) {
+  public Adopt createAdoption(String worker, long token, List<AdoptedTasks> tasks) {
     adoptionSequence = ++lastSequence;
     return new Adopt(
         self.instance(), self.incarnation(), adoptionSequence, worker, token, List.copyOf(tasks));
@@ -176,7 +177,7 @@
   // Until the adopted tasks' permits have come, the hold seen here is lower than it will be. A
   // request planned on it would arrive as one for fewer than what runs, and the fold would give the
   // rest to others: more would run than the limit allows.
-  private boolean isAdopting() {
+  private boolean isAdoptionPending() {
     return adoptionSequence > state.sequenceOf(self);
   }
 
@@ -227,7 +228,7 @@
    * @param gone the holder that looks gone
    * @return the record
    */
-  public Fence fence(Holder gone) {
+  public Fence createFence(Holder gone) {
     return new Fence(gone.instance(), gone.incarnation(), state.sequenceOf(gone));
   }
 
@@ -237,36 +238,36 @@
    *
    * @param change the record
    */
-  public void notAppended(PermitRecord change) {
+  public void onRecordNotAppended(PermitRecord change) {
     if (change instanceof Hold hold) {
       LocalTeam team = team(hold.team());
-      if (team.askedSequence == hold.sequence()) {
-        team.asked = OptionalInt.empty();
+      if (team.requestSequence == hold.sequence()) {
+        team.pendingRequest = OptionalInt.empty();
       }
     } else if (change instanceof Adopt adoption) {
       if (adoptionSequence == adoption.sequence()) {
         adoptionSequence = 0;
       }
     } else if (change instanceof Limit limit) {
-      team(limit.team()).saidRevision = 0;
+      team(limit.team()).publishedRevision = 0;
     }
   }
 
-  private void take(PermitState next) {
+  private void replaceState(PermitState next) {
     state = next;
     long folded = state.sequenceOf(self);
     for (LocalTeam team : teams.values()) {
       // A later record of this holder was folded, so the earlier one can no longer take effect,
       // even if it was lost on the way.
-      if (team.askedSequence <= folded) {
-        team.asked = OptionalInt.empty();
+      if (team.requestSequence <= folded) {
+        team.pendingRequest = OptionalInt.empty();
       }
     }
   }
 
   // The configuration may be ahead of the permits stream. A lowered limit counts from the moment it
   // is known here; a raised one from the moment all have it in the same order.
-  private TeamPermits inForce(String name, LocalTeam team) {
+  private TeamPermits effectivePermits(String name, LocalTeam team) {
     TeamPermits permits = state.team(name);
     if (team.revision > permits.revision() && team.limit < permits.limit()) {
       return permits.withLimit(permits.revision(), team.limit);
@@ -274,14 +275,14 @@
     return permits;
   }
 
-  private boolean isMyTurnToSayLimit(
+  private boolean isLimitPublicationDue(
       String name, LocalTeam team, Map<Holder, PermitDemand> others, long now) {
-    if (team.revision <= Math.max(team.saidRevision, state.team(name).revision())) {
+    if (team.revision <= Math.max(team.publishedRevision, state.team(name).revision())) {
       return false;
     }
     TreeSet<Holder> before = new TreeSet<>(others.keySet());
     int turn = before.headSet(self).size();
-    return now - team.limitSince >= turn * LIMIT_TURN_MILLIS;
+    return now - team.limitChangedAt >= turn * LIMIT_PUBLICATION_STAGGER_MILLIS;
   }
 
   private LocalTeam team(String name) {
@@ -291,12 +292,12 @@
   private static final class LocalTeam {
     private long revision;
     private int limit;
-    private long limitSince;
-    private long saidRevision;
-    private OptionalInt asked = OptionalInt.empty();
-    private long askedSequence;
+    private long limitChangedAt;
+    private long publishedRevision;
+    private OptionalInt pendingRequest = OptionalInt.empty();
+    private long requestSequence;
     private int cap;
-    private boolean isIdle;
+    private boolean hasIdleExcess;
     private long idleSince;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/permits/HolderMark.java
+++ b/core/src/main/java/org/hickorypier/core/permits/NumberAtOffset.java
@@ -8,4 +8,4 @@
  * @param number the last sequence number, or the highest retired incarnation
  * @param offset the offset of the record that said so
  */
-public record HolderMark(long number, long offset) {}
+public record NumberAtOffset(long number, long offset) {}
--- a/core/src/main/java/org/hickorypier/core/permits/PermitFold.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitFold.java
@@ -46,26 +46,26 @@
     if (change instanceof Snapshot snapshot
         && snapshot.upTo() > state.offset()
         && snapshot.upTo() < offset) {
-      return adopt(state, snapshot);
+      return applySnapshot(state, snapshot);
     }
     if (offset > state.offset() + 1) {
       return result(state, Verdict.GAP, "records before it are missing");
     }
-    PermitState next = state.foldedAt(offset);
+    PermitState next = state.withOffset(offset);
     if (change instanceof Limit limit) {
-      return limit(next, limit);
+      return applyLimit(next, limit);
     }
     if (change instanceof Hold hold) {
-      return hold(next, hold);
+      return applyHold(next, hold);
     }
     if (change instanceof Adopt adoption) {
-      return adoptTasks(next, adoption);
+      return applyAdoption(next, adoption);
     }
     if (change instanceof Fence fence) {
-      return fence(next, fence);
+      return applyFence(next, fence);
     }
     if (change instanceof Retire retirement) {
-      return retire(next, retirement);
+      return applyRetirement(next, retirement);
     }
     return result(next, Verdict.DUPLICATE, "the snapshot says nothing new here");
   }
@@ -77,8 +77,8 @@
    * @param offset the record's offset
    * @return the state after
    */
-  public static PermitState passOver(PermitState state, long offset) {
-    return offset == state.offset() + 1 ? state.foldedAt(offset) : state;
+  public static PermitState skipRecord(PermitState state, long offset) {
+    return offset == state.offset() + 1 ? state.withOffset(offset) : state;
   }
 
   /**
@@ -88,17 +88,17 @@
    * @param snapshot the snapshot
    * @return the state of the snapshot, or the state before if that is as new
    */
-  public static FoldResult<PermitState> adopt(PermitState state, Snapshot snapshot) {
+  public static FoldResult<PermitState> applySnapshot(PermitState state, Snapshot snapshot) {
     if (snapshot.upTo() <= state.offset()) {
       return result(state, Verdict.DUPLICATE, "the state here is as new");
     }
-    if (!PermitSnapshots.isWhole(snapshot)) {
+    if (!PermitSnapshots.isComplete(snapshot)) {
       return result(state, Verdict.INVALID, "the snapshot is not whole");
     }
     return result(PermitSnapshots.read(snapshot), Verdict.APPLIED, "the state is the snapshot's");
   }
 
-  private static FoldResult<PermitState> limit(PermitState state, Limit limit) {
+  private static FoldResult<PermitState> applyLimit(PermitState state, Limit limit) {
     if (limit.team() == null || limit.limit() < 0) {
       return result(state, Verdict.INVALID, "a limit needs a team and is not negative");
     }
@@ -114,7 +114,7 @@
         "the limit is now " + limit.limit());
   }
 
-  private static FoldResult<PermitState> hold(PermitState state, Hold hold) {
+  private static FoldResult<PermitState> applyHold(PermitState state, Hold hold) {
     if (hold.instance() == null || hold.team() == null || hold.count() < 0) {
       return result(state, Verdict.INVALID, "a hold needs a holder, a team and a count");
     }
@@ -133,25 +133,25 @@
     if (team.revision() == 0) {
       return result(next, Verdict.CONFLICT, "no limit is known for " + hold.team());
     }
-    int granted = granted(team, before, hold.count());
+    int granted = grantedCount(team, before, hold.count());
     return result(
         next.withTeam(hold.team(), team.withHold(holder, granted, state.offset())),
         Verdict.APPLIED,
         "holds " + granted + " of " + hold.count() + " asked for");
   }
 
-  private static int granted(TeamPermits team, int before, int asked) {
+  private static int grantedCount(TeamPermits team, int before, int asked) {
     if (asked <= before) {
       return asked;
     }
     return Math.min(asked, before + team.free());
   }
 
-  private static FoldResult<PermitState> adoptTasks(PermitState state, Adopt adoption) {
+  private static FoldResult<PermitState> applyAdoption(PermitState state, Adopt adoption) {
     if (adoption.instance() == null
         || adoption.worker() == null
         || adoption.tasks() == null
-        || !adoption.tasks().stream().allMatch(PermitFold::isWhole)) {
+        || !adoption.tasks().stream().allMatch(PermitFold::isComplete)) {
       return result(state, Verdict.INVALID, "an adoption needs a holder, a worker and tasks");
     }
     Holder to = new Holder(adoption.instance(), adoption.incarnation());
@@ -166,15 +166,15 @@
     if (before.isSuperseded(adoption.token(), to)) {
       return result(next, Verdict.CONFLICT, "the worker has a later controller");
     }
-    WorkerAdoptions after = before.spokenBy(adoption.token(), to, state.offset());
+    WorkerAdoptions after = before.withController(adoption.token(), to, state.offset());
     for (AdoptedTasks tasks : adoption.tasks()) {
       Holder owner = new Holder(tasks.ownerInstance(), tasks.ownerIncarnation());
       // A holder that is not fenced off may be alive, though some do not see it. It would use the
       // permit of an adopted task again once that has ended, before it reads of the adoption.
       Holder from = before.holderOf(owner);
       if (state.isFenced(from)) {
-        next = move(next, tasks, from, to);
-        after = after.adoptedBy(to, owner);
+        next = transferPermits(next, tasks, from, to);
+        after = after.withAdopter(to, owner);
       }
     }
     return result(
@@ -184,7 +184,8 @@
   // The adopted tasks already run. Their permits move with them, so the sum stays as it is, and
   // nobody can take them in between. They may have moved before, to an adopter that is gone now
   // too; the state knows to whom.
-  private static PermitState move(PermitState state, AdoptedTasks tasks, Holder from, Holder to) {
+  private static PermitState transferPermits(
+      PermitState state, AdoptedTasks tasks, Holder from, Holder to) {
     TeamPermits team = state.team(tasks.team());
     int held = team.heldBy(from);
     int moved = Math.min(tasks.count(), held);
@@ -194,14 +195,14 @@
             .withHold(to, team.heldBy(to) + moved, state.offset()));
   }
 
-  private static boolean isWhole(AdoptedTasks tasks) {
+  private static boolean isComplete(AdoptedTasks tasks) {
     return tasks != null
         && tasks.team() != null
         && tasks.ownerInstance() != null
         && tasks.count() >= 0;
   }
 
-  private static FoldResult<PermitState> fence(PermitState state, Fence fence) {
+  private static FoldResult<PermitState> applyFence(PermitState state, Fence fence) {
     if (fence.instance() == null) {
       return result(state, Verdict.INVALID, "a fence needs a holder");
     }
@@ -214,7 +215,7 @@
     return result(state.withFence(holder), Verdict.APPLIED, holder + " is fenced off");
   }
 
-  private static FoldResult<PermitState> retire(PermitState state, Retire retirement) {
+  private static FoldResult<PermitState> applyRetirement(PermitState state, Retire retirement) {
     if (retirement.instance() == null) {
       return result(state, Verdict.INVALID, "a retirement needs a holder");
     }
--- a/core/src/main/java/org/hickorypier/core/permits/PermitPlan.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitPlan.java
@@ -8,7 +8,7 @@
  * <p>Immutable.
  *
  * @param cap how many of the permits it holds it uses, those granted later too
- * @param ask the number of permits to ask for in the log, if any
- * @param idle whether more permits are idle than are kept in reserve
+ * @param request the number of permits to ask for in the log, if any
+ * @param hasIdleExcess whether more permits are idle than are kept in reserve
  */
-public record PermitPlan(int cap, OptionalInt ask, boolean idle) {}
+public record PermitPlan(int cap, OptionalInt request, boolean hasIdleExcess) {}
--- a/core/src/main/java/org/hickorypier/core/permits/PermitPlanner.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitPlanner.java
@@ -29,13 +29,13 @@
    * For how long permits must lie idle before they are given up though nobody lacks them. Bursts of
    * callers come some seconds apart; a shorter time would give permits up between two of them.
    */
-  private static final long IDLE_MILLIS = 5_000;
+  private static final long IDLE_RELEASE_MILLIS = 5_000;
 
   /**
    * While the limit is scarce a hold falls only by at least one in so many of it. A hold of 8 or
    * more follows each small change of others' digests otherwise, at a record each.
    */
-  private static final int FALL_DIVISOR = 8;
+  private static final int MIN_DECREASE_DIVISOR = 8;
 
   private static final int NO_CAP = Integer.MAX_VALUE;
 
@@ -57,7 +57,7 @@
     }
     Map<Holder, PermitDemand> demands = new HashMap<>(view.others());
     demands.put(view.self(), view.own());
-    int splittable = team.limit() - heldByTheGone(team, demands);
+    int splittable = team.limit() - heldByAbsentHolders(team, demands);
     long wanted = demands.values().stream().mapToLong(PermitDemand::total).sum();
     if (wanted > splittable) {
       int share = PermitSplit.split(splittable, demands, team).getOrDefault(view.self(), 0);
@@ -65,19 +65,19 @@
     }
     int reserve = (view.own().total() + RESERVE_DIVISOR - 1) / RESERVE_DIVISOR;
     boolean idle = held > view.own().total() + 2 * reserve;
-    return plan(view, NO_CAP, plentiful(view, held, reserve, idle), idle);
+    return plan(view, NO_CAP, targetBelowLimit(view, held, reserve, idle), idle);
   }
 
   private static PermitPlan plan(PermitView view, int cap, int target, boolean idle) {
     int held = view.team().heldBy(view.self());
     // Asking for more than is free would bring a record and no permit.
     int reachable = Math.min(target, held + view.team().free());
-    boolean ask = view.asked().isEmpty() && reachable != held;
+    boolean ask = view.pendingRequest().isEmpty() && reachable != held;
     return new PermitPlan(cap, ask ? OptionalInt.of(reachable) : OptionalInt.empty(), idle);
   }
 
   // An instance that is gone keeps its permits until its tasks have been adopted: they may run.
-  private static int heldByTheGone(TeamPermits team, Map<Holder, PermitDemand> demands) {
+  private static int heldByAbsentHolders(TeamPermits team, Map<Holder, PermitDemand> demands) {
     int held = 0;
     for (Map.Entry<Holder, HeldPermits> entry : team.holds().entrySet()) {
       held += demands.containsKey(entry.getKey()) ? 0 : entry.getValue().count();
@@ -88,7 +88,7 @@
   private static PermitPlan planScarce(PermitView view, int share) {
     int held = view.team().heldBy(view.self());
     int fall = held - share;
-    if (fall > 0 && fall < held / FALL_DIVISOR && !somebodyHasNothing(view)) {
+    if (fall > 0 && fall < held / MIN_DECREASE_DIVISOR && !isAnyInstanceStarved(view)) {
       return plan(view, NO_CAP, held, false);
     }
     // What runs is not killed for the sake of the split. It ends, is not replaced, and its permits
@@ -97,13 +97,13 @@
     return plan(view, share, target, false);
   }
 
-  private static boolean somebodyHasNothing(PermitView view) {
+  private static boolean isAnyInstanceStarved(PermitView view) {
     return view.others().entrySet().stream()
         .anyMatch(
             entry -> entry.getValue().waiting() > 0 && view.team().heldBy(entry.getKey()) == 0);
   }
 
-  private static int plentiful(PermitView view, int held, int reserve, boolean idle) {
+  private static int targetBelowLimit(PermitView view, int held, int reserve, boolean idle) {
     int demand = view.own().total();
     if (demand > held) {
       return demand + reserve;
@@ -111,7 +111,7 @@
     if (othersLackPermits(view)) {
       return demand;
     }
-    return idle && view.idleMillis() >= IDLE_MILLIS ? demand + reserve : held;
+    return idle && view.idleMillis() >= IDLE_RELEASE_MILLIS ? demand + reserve : held;
   }
 
   private static boolean othersLackPermits(PermitView view) {
--- a/core/src/main/java/org/hickorypier/core/permits/PermitSnapshots.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitSnapshots.java
@@ -86,22 +86,22 @@
         adoptions);
   }
 
-  private static HolderEntry holderEntry(Holder holder, HolderMark mark) {
+  private static HolderEntry holderEntry(Holder holder, NumberAtOffset mark) {
     return new HolderEntry(holder.instance(), holder.incarnation(), mark.number(), mark.offset());
   }
 
-  static boolean isWhole(Snapshot snapshot) {
+  static boolean isComplete(Snapshot snapshot) {
     return snapshot.teams() != null
         && snapshot.holders() != null
         && snapshot.fenced() != null
         && snapshot.workers() != null
-        && snapshot.teams().stream().allMatch(PermitSnapshots::isWhole)
-        && snapshot.holders().stream().allMatch(PermitSnapshots::isWhole)
-        && snapshot.fenced().stream().allMatch(PermitSnapshots::isWhole)
-        && snapshot.workers().stream().allMatch(PermitSnapshots::isWhole);
+        && snapshot.teams().stream().allMatch(PermitSnapshots::isComplete)
+        && snapshot.holders().stream().allMatch(PermitSnapshots::isComplete)
+        && snapshot.fenced().stream().allMatch(PermitSnapshots::isComplete)
+        && snapshot.workers().stream().allMatch(PermitSnapshots::isComplete);
   }
 
-  private static boolean isWhole(WorkerEntry entry) {
+  private static boolean isComplete(WorkerEntry entry) {
     return entry != null
         && entry.worker() != null
         && entry.instance() != null
@@ -114,7 +114,7 @@
                         && adoption.adopterInstance() != null);
   }
 
-  private static boolean isWhole(TeamEntry entry) {
+  private static boolean isComplete(TeamEntry entry) {
     return entry != null
         && entry.team() != null
         && entry.holds() != null
@@ -122,7 +122,7 @@
             .allMatch(hold -> hold != null && hold.instance() != null && hold.count() >= 0);
   }
 
-  private static boolean isWhole(HolderEntry entry) {
+  private static boolean isComplete(HolderEntry entry) {
     return Objects.nonNull(entry) && entry.instance() != null;
   }
 
@@ -138,15 +138,15 @@
       int sum = holds.values().stream().mapToInt(HeldPermits::count).sum();
       teams.put(entry.team(), new TeamPermits(entry.revision(), entry.limit(), holds, sum));
     }
-    Map<Holder, HolderMark> sequences = new HashMap<>();
+    Map<Holder, NumberAtOffset> sequences = new HashMap<>();
     for (HolderEntry entry : snapshot.holders()) {
       sequences.put(
           new Holder(entry.instance(), entry.incarnation()),
-          new HolderMark(entry.sequence(), entry.offset()));
+          new NumberAtOffset(entry.sequence(), entry.offset()));
     }
-    Map<String, HolderMark> fenced = new HashMap<>();
+    Map<String, NumberAtOffset> fenced = new HashMap<>();
     for (HolderEntry entry : snapshot.fenced()) {
-      fenced.put(entry.instance(), new HolderMark(entry.incarnation(), entry.offset()));
+      fenced.put(entry.instance(), new NumberAtOffset(entry.incarnation(), entry.offset()));
     }
     return new PermitState(
         snapshot.upTo(), teams, sequences, fenced, readWorkers(snapshot.workers()));
--- a/core/src/main/java/org/hickorypier/core/permits/PermitSplit.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitSplit.java
@@ -41,12 +41,12 @@
   static Map<Holder, Integer> split(
       int permits, Map<Holder, PermitDemand> demands, TeamPermits team) {
     PermitSplit split = new PermitSplit(demands, team);
-    int left = split.give(Math.max(0, permits), PermitDemand::urgent);
-    split.give(left, demand -> demand.total() - demand.urgent());
+    int left = split.allocate(Math.max(0, permits), PermitDemand::urgent);
+    split.allocate(left, demand -> demand.total() - demand.urgent());
     return split.shares;
   }
 
-  private int give(int permits, ToIntFunction<PermitDemand> need) {
+  private int allocate(int permits, ToIntFunction<PermitDemand> need) {
     List<Holder> needy = new ArrayList<>();
     long sum = 0;
     for (Map.Entry<Holder, PermitDemand> entry : demands.entrySet()) {
@@ -57,29 +57,29 @@
       }
     }
     if (sum <= permits) {
-      needy.forEach(holder -> add(holder, need.applyAsInt(demands.get(holder))));
+      needy.forEach(holder -> addShare(holder, need.applyAsInt(demands.get(holder))));
       return permits - (int) sum;
     }
     needy.sort(Comparator.comparingLong(this::raisedAt).thenComparing(holder -> holder));
     if (permits < needy.size()) {
-      needy.subList(0, permits).forEach(holder -> add(holder, 1));
+      needy.subList(0, permits).forEach(holder -> addShare(holder, 1));
       return 0;
     }
-    needy.forEach(holder -> add(holder, 1));
-    giveByProportion(permits - needy.size(), needy, sum - needy.size(), need);
+    needy.forEach(holder -> addShare(holder, 1));
+    allocateProportionally(permits - needy.size(), needy, sum - needy.size(), need);
     return 0;
   }
 
   // Largest remainder: everybody gets the whole part of a proportional share, and what rounding
   // leaves over goes to those who lost most by it.
-  private void giveByProportion(
+  private void allocateProportionally(
       int permits, List<Holder> needy, long sum, ToIntFunction<PermitDemand> need) {
     Map<Holder, Long> remainders = new HashMap<>();
     int left = permits;
     for (Holder holder : needy) {
       long product = (long) permits * (need.applyAsInt(demands.get(holder)) - 1);
       int whole = (int) (product / sum);
-      add(holder, whole);
+      addShare(holder, whole);
       left -= whole;
       remainders.put(holder, product % sum);
     }
@@ -87,7 +87,7 @@
     byRemainder.sort(
         Comparator.comparingLong((Holder holder) -> -remainders.get(holder))
             .thenComparing(holder -> holder));
-    byRemainder.subList(0, left).forEach(holder -> add(holder, 1));
+    byRemainder.subList(0, left).forEach(holder -> addShare(holder, 1));
   }
 
   private long raisedAt(Holder holder) {
@@ -95,7 +95,7 @@
     return held == null ? -1 : held.raisedAt();
   }
 
-  private void add(Holder holder, int permits) {
+  private void addShare(Holder holder, int permits) {
     shares.merge(holder, permits, Integer::sum);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/permits/PermitState.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitState.java
@@ -20,15 +20,15 @@
 public record PermitState(
     long offset,
     Map<String, TeamPermits> teams,
-    Map<Holder, HolderMark> sequences,
-    Map<String, HolderMark> fenced,
+    Map<Holder, NumberAtOffset> sequences,
+    Map<String, NumberAtOffset> fenced,
     Map<String, WorkerAdoptions> workers) {
 
   /**
    * For how many offsets a holder that holds nothing, or an incarnation fenced off, is remembered.
    * Forgetting one too early costs at most a hold that nobody uses, which is freed again.
    */
-  static final long REMEMBERED_OFFSETS = 65_536;
+  static final long RETENTION_OFFSETS = 65_536;
 
   /** The state before the first record. */
   public static final PermitState EMPTY =
@@ -69,7 +69,7 @@
    * @return the number, 0 if none
    */
   public long sequenceOf(Holder holder) {
-    HolderMark mark = sequences.get(holder);
+    NumberAtOffset mark = sequences.get(holder);
     return mark == null ? 0 : mark.number();
   }
 
@@ -80,7 +80,7 @@
    * @return true if it gets no more permits and starts nothing any more
    */
   public boolean isFenced(Holder holder) {
-    HolderMark mark = fenced.get(holder.instance());
+    NumberAtOffset mark = fenced.get(holder.instance());
     return mark != null && holder.incarnation() <= mark.number();
   }
 
@@ -101,13 +101,13 @@
    * @param isLive whether an incarnation looks live
    * @return false also if one was fenced off that is remembered here
    */
-  public boolean isFirstGeneration(Predicate<Holder> isLive) {
+  public boolean hasOnlyLiveHolders(Predicate<Holder> isLive) {
     return fenced.isEmpty()
         && sequences.keySet().stream().allMatch(isLive)
         && holders().stream().allMatch(isLive);
   }
 
-  PermitState foldedAt(long newOffset) {
+  PermitState withOffset(long newOffset) {
     return new PermitState(newOffset, teams, sequences, fenced, workers);
   }
 
@@ -124,22 +124,22 @@
   }
 
   PermitState withSequence(Holder holder, long sequence) {
-    Map<Holder, HolderMark> next = new HashMap<>(sequences);
-    if (next.put(holder, new HolderMark(sequence, offset)) == null) {
+    Map<Holder, NumberAtOffset> next = new HashMap<>(sequences);
+    if (next.put(holder, new NumberAtOffset(sequence, offset)) == null) {
       // A new holder is the moment to forget old ones, so the map stays as small as the fleet.
       Set<Holder> holding = holders();
       next.entrySet()
-          .removeIf(entry -> isForgotten(entry.getValue()) && !holding.contains(entry.getKey()));
+          .removeIf(entry -> isExpired(entry.getValue()) && !holding.contains(entry.getKey()));
     }
     return new PermitState(offset, teams, next, fenced, workers);
   }
 
   PermitState withFence(Holder holder) {
-    Map<String, HolderMark> next = new HashMap<>(fenced);
-    next.values().removeIf(this::isForgotten);
+    Map<String, NumberAtOffset> next = new HashMap<>(fenced);
+    next.values().removeIf(this::isExpired);
     next.merge(
         holder.instance(),
-        new HolderMark(holder.incarnation(), offset),
+        new NumberAtOffset(holder.incarnation(), offset),
         (old, added) -> old.number() > added.number() ? old : added);
     return new PermitState(offset, teams, sequences, next, workers);
   }
@@ -147,7 +147,7 @@
   PermitState withoutHolder(Holder holder) {
     Map<String, TeamPermits> nextTeams = new HashMap<>();
     teams.forEach((name, team) -> nextTeams.put(name, team.withoutHolder(holder)));
-    Map<Holder, HolderMark> nextSequences = new HashMap<>(sequences);
+    Map<Holder, NumberAtOffset> nextSequences = new HashMap<>(sequences);
     nextSequences.remove(holder);
     return new PermitState(offset, nextTeams, nextSequences, fenced, workersWithout(holder));
   }
@@ -158,11 +158,11 @@
     // Workers that were replaced long ago.
     next.values()
         .removeIf(
-            worker -> worker.adopters().isEmpty() && worker.offset() < offset - REMEMBERED_OFFSETS);
+            worker -> worker.adopters().isEmpty() && worker.offset() < offset - RETENTION_OFFSETS);
     return next;
   }
 
-  private boolean isForgotten(HolderMark mark) {
-    return mark.offset() < offset - REMEMBERED_OFFSETS;
+  private boolean isExpired(NumberAtOffset mark) {
+    return mark.offset() < offset - RETENTION_OFFSETS;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/permits/PermitView.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitView.java
@@ -12,7 +12,7 @@
  * @param team the team's permits as folded
  * @param own this instance's demand
  * @param others the demand of the other live instances, from their digests
- * @param asked the number last asked for and not yet read back
+ * @param pendingRequest the number last asked for and not yet read back
  * @param idleMillis for how long more permits have been idle than are kept in reserve
  */
 public record PermitView(
@@ -20,7 +20,7 @@
     TeamPermits team,
     PermitDemand own,
     Map<Holder, PermitDemand> others,
-    OptionalInt asked,
+    OptionalInt pendingRequest,
     long idleMillis) {
 
   /** Copies the map. */
--- a/core/src/main/java/org/hickorypier/core/permits/RetirementRule.java
+++ b/core/src/main/java/org/hickorypier/core/permits/RetirementRule.java
@@ -28,7 +28,7 @@
    * @param sightings what each worker said
    * @return true if it controls none of them
    */
-  public static boolean mayFence(Holder gone, Collection<WorkerSighting> sightings) {
+  public static boolean mayFence(Holder gone, Collection<WorkerObservation> sightings) {
     return sightings.stream()
         .noneMatch(sighting -> sighting.controller().filter(gone::equals).isPresent());
   }
@@ -45,12 +45,12 @@
    * @return true if its permits cover no task
    */
   public static boolean mayRetire(
-      PermitState state, Holder gone, Collection<WorkerSighting> sightings) {
+      PermitState state, Holder gone, Collection<WorkerObservation> sightings) {
     return state.isFenced(gone)
         && sightings.stream().noneMatch(sighting -> covers(state, gone, sighting));
   }
 
-  private static boolean covers(PermitState state, Holder gone, WorkerSighting sighting) {
+  private static boolean covers(PermitState state, Holder gone, WorkerObservation sighting) {
     WorkerAdoptions worker = state.worker(sighting.worker());
     return sighting.owners().stream().anyMatch(owner -> worker.holderOf(owner).equals(gone));
   }
--- a/core/src/main/java/org/hickorypier/core/permits/WorkerAdoptions.java
+++ b/core/src/main/java/org/hickorypier/core/permits/WorkerAdoptions.java
@@ -39,11 +39,11 @@
     return otherToken < token || otherToken == token && !other.equals(controller);
   }
 
-  WorkerAdoptions spokenBy(long newToken, Holder newController, long newOffset) {
+  WorkerAdoptions withController(long newToken, Holder newController, long newOffset) {
     return new WorkerAdoptions(newToken, newController, newOffset, adopters);
   }
 
-  WorkerAdoptions adoptedBy(Holder adopter, Holder owner) {
+  WorkerAdoptions withAdopter(Holder adopter, Holder owner) {
     Map<Holder, Holder> next = new HashMap<>(adopters);
     next.put(owner, adopter);
     return new WorkerAdoptions(token, controller, offset, next);
--- a/core/src/main/java/org/hickorypier/core/permits/WorkerSighting.java
+++ b/core/src/main/java/org/hickorypier/core/permits/WorkerObservation.java
@@ -12,10 +12,10 @@
  * @param controller who controls it, if anybody
  * @param owners who started the tasks that run on it
  */
-public record WorkerSighting(String worker, Optional<Holder> controller, Set<Holder> owners) {
+public record WorkerObservation(String worker, Optional<Holder> controller, Set<Holder> owners) {
 
   /** Copies the set. */
-  public WorkerSighting {
+  public WorkerObservation {
     owners = Set.copyOf(owners);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/cluster/ClusterConfigurationTest.java
+++ b/core/src/test/java/org/hickorypier/core/cluster/ClusterConfigurationTest.java
@@ -34,14 +34,14 @@
   }
 
   @Test
-  void eachKeyFindsItsCustomer() {
+  void findsCustomerByKey() {
     assertThat(CONFIGURATION.customerOf("key-2")).contains(CUSTOMER);
     assertThat(CONFIGURATION.customerOf("key-3")).isEmpty();
   }
 
   /** Whoever logs a customer must not log its keys. */
   @Test
-  void textFormHoldsNoKey() {
+  void toStringOmitsKeys() {
     assertThat(ACCESS.toString()).doesNotContain("key-1").contains("2 keys");
   }
 }
--- a/core/src/test/java/org/hickorypier/core/configuration/ConfigurationFoldTest.java
+++ b/core/src/test/java/org/hickorypier/core/configuration/ConfigurationFoldTest.java
@@ -107,7 +107,7 @@
 
     FoldResult<Configuration> result = ConfigurationFold.apply(state, before.size(), last);
 
-    assertThat(result.verdict()).as(result.sentence()).isEqualTo(verdict);
+    assertThat(result.verdict()).as(result.reason()).isEqualTo(verdict);
     if (verdict != Verdict.APPLIED) {
       assertThat(result.state().teams()).isEqualTo(state.teams());
       assertThat(result.state().keys()).isEqualTo(state.keys());
--- a/core/src/test/java/org/hickorypier/core/fold/SnapshotRulesTest.java
+++ b/core/src/test/java/org/hickorypier/core/fold/SnapshotRulesTest.java
@@ -41,9 +41,9 @@
     "log is down and another peer knows more, 9, 0, false, 12, false",
     "a moment behind a peer, 9, 10, true, 12, true",
   })
-  void stateIsWhole(
+  void instanceIsReady(
       String name, long folded, long next, boolean caughtUp, long readyPeer, boolean ready) {
-    assertThat(ReadinessRule.obstacle(folded, next, caughtUp, readyPeer).isEmpty())
+    assertThat(ReadinessRule.notReadyReason(folded, next, caughtUp, readyPeer).isEmpty())
         .isEqualTo(ready);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/permits/PermitFleet.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitFleet.java
@@ -71,11 +71,11 @@
     return member != null && member.self.equals(holder) && !member.paused;
   }
 
-  List<WorkerSighting> sightings() {
+  List<WorkerObservation> sightings() {
     return workers.values().stream()
         .map(
             worker ->
-                new WorkerSighting(
+                new WorkerObservation(
                     worker.name, Optional.ofNullable(worker.controller), worker.tasks.keySet()))
         .toList();
   }
@@ -92,7 +92,7 @@
       this.name = name;
     }
 
-    long grant(Holder to) {
+    long grantControl(Holder to) {
       controller = to;
       return ++token;
     }
--- a/core/src/test/java/org/hickorypier/core/permits/PermitFleetMember.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitFleetMember.java
@@ -19,8 +19,8 @@
   final PermitFleet fleet;
   final Holder self;
   final LocalPermits permits;
-  final Deque<PermitRecord> sending = new ArrayDeque<>();
-  final Map<String, Long> control = new TreeMap<>();
+  final Deque<PermitRecord> outbox = new ArrayDeque<>();
+  final Map<String, Long> controlTokens = new TreeMap<>();
 
   boolean paused;
   int waiting;
@@ -64,7 +64,7 @@
         others.put(other.self, other.demand());
       }
     }
-    sending.addAll(permits.plan(TEAM, demand(), others, fleet.now).records());
+    outbox.addAll(permits.plan(TEAM, demand(), others, fleet.now).records());
   }
 
   PermitDemand demand() {
@@ -73,13 +73,13 @@
 
   /** Sends the oldest record; if the answer is lost, it will be sent again. */
   void send(boolean answerLost) {
-    if (!sending.isEmpty()) {
-      fleet.append(answerLost ? sending.peek() : sending.poll());
+    if (!outbox.isEmpty()) {
+      fleet.append(answerLost ? outbox.peek() : outbox.poll());
     }
   }
 
   void sendAll() {
-    while (!sending.isEmpty()) {
+    while (!outbox.isEmpty()) {
       send(false);
     }
   }
@@ -89,7 +89,7 @@
     if (waiting == 0 || running() >= permits.usable(TEAM)) {
       return false;
     }
-    for (Map.Entry<String, Long> held : control.entrySet()) {
+    for (Map.Entry<String, Long> held : controlTokens.entrySet()) {
       Worker worker = fleet.workers.get(held.getKey());
       if (permits.mayStartOn(worker.name, held.getValue()) && worker.start(held.getValue(), self)) {
         waiting--;
@@ -110,13 +110,13 @@
   }
 
   void claim(Worker worker) {
-    control.put(worker.name, worker.grant(self));
+    controlTokens.put(worker.name, worker.grantControl(self));
     adoptOn(worker, true);
   }
 
   /** Adopts the tasks of holders that are fenced off, and speaks for the worker. */
   void adoptOn(Worker worker, boolean speakAnyway) {
-    long token = control.getOrDefault(worker.name, -1L);
+    long token = controlTokens.getOrDefault(worker.name, -1L);
     if (token != worker.token) {
       return;
     }
@@ -129,7 +129,7 @@
           }
         });
     if (speakAnyway || !adopted.isEmpty()) {
-      sending.add(permits.adoption(worker.name, token, adopted));
+      outbox.add(permits.createAdoption(worker.name, token, adopted));
     }
   }
 
@@ -139,13 +139,13 @@
 
   void fence(Holder gone) {
     if (RetirementRule.mayFence(gone, fleet.sightings())) {
-      sending.add(permits.fence(gone));
+      outbox.add(permits.createFence(gone));
     }
   }
 
   void retire(Holder gone) {
     if (RetirementRule.mayRetire(permits.state(), gone, fleet.sightings())) {
-      sending.add(new Retire(gone.instance(), gone.incarnation()));
+      outbox.add(new Retire(gone.instance(), gone.incarnation()));
     }
   }
 }
--- a/core/src/test/java/org/hickorypier/core/permits/PermitFleetTest.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitFleetTest.java
@@ -61,7 +61,7 @@
   // moment, none knowing of the others' requests. Whatever each asked for, no more than the limit
   // is held, and each gets its part.
   @Test
-  void allInstancesAdmitAtOnce() {
+  void simultaneousRequestsStayWithinLimit() {
     List<PermitFleetMember> members = joinAll(8, 40);
     members.forEach(member -> member.waiting = 100);
     members.forEach(PermitFleetMember::plan);
@@ -78,7 +78,7 @@
   // fewer than 10 run. Without the rule, instances would refill each permit that comes free and
   // stay at 40 for as long as work waits.
   @Test
-  void loweredUnderLoad() {
+  void loweredLimitStartsNothingUntilEnoughTasksEnd() {
     List<PermitFleetMember> members = joinAll(4, 40);
     members.forEach(member -> member.waiting = 100);
     settle();
@@ -102,7 +102,7 @@
   // The operator's change has reached this instance before it has reached the permits stream. From
   // then on the instance starts nothing above the new limit.
   @Test
-  void loweredLimitCountsFromTheMomentItIsKnown() {
+  void loweredLimitAppliesBeforeItsRecordIsFolded() {
     PermitFleetMember member = joinAll(1, 10).get(0);
     member.waiting = 4;
     settle();
@@ -116,7 +116,7 @@
   // An instance dies with 20 running tasks and 10 idle permits. Its permits stay parked while its
   // tasks may run. The adopter of its tasks gets the 20; the others get the 10 once it is retired.
   @Test
-  void deathWithPermitsOut() {
+  void deadInstanceKeepsPermitsUntilTakeover() {
     List<PermitFleetMember> members = joinAll(3, 30);
     PermitFleetMember dead = members.get(0);
     dead.waiting = 30;
@@ -141,7 +141,7 @@
   // The dead one was only paused. It wakes with 10 permits in its view that others use by now. Its
   // workers refuse its orders, and once it has read the log it has nothing and gets nothing.
   @Test
-  void pausedHolderWakesWithPermitsThatAreGone() {
+  void resumedHolderCannotUseReassignedPermits() {
     List<PermitFleetMember> members = joinAll(2, 10);
     PermitFleetMember paused = members.get(0);
     paused.waiting = 10;
@@ -175,7 +175,7 @@
   // another. Each permit that comes free would be refilled where it is, and that caller would wait
   // until morning. The split takes one from the large holder.
   @Test
-  void lateComerIsNotStarvedByTheHolderOfAll() {
+  void newRequestIsNotStarvedByHolderOfAllPermits() {
     List<PermitFleetMember> members = joinAll(2, 16);
     members.get(0).waiting = 1_000;
     settle();
@@ -193,7 +193,7 @@
   // One permit in all and three instances with work. Each gets its turn, in the order in which they
   // have gone without.
   @Test
-  void singlePermitGoesRound() {
+  void singlePermitRotatesAmongInstances() {
     List<PermitFleetMember> members = joinAll(3, 1);
     members.forEach(member -> member.waiting = 10);
     for (int turn = 0; turn < 9; turn++) {
@@ -210,7 +210,7 @@
   // The team is at its limit and an urgent task enters where no permit is. The next task that ends
   // anywhere makes room for it, before a hundred that have waited longer.
   @Test
-  void urgentDemandGoesFirst() {
+  void urgentDemandIsServedFirst() {
     List<PermitFleetMember> members = joinAll(3, 4);
     members.get(0).waiting = 100;
     members.get(1).waiting = 100;
@@ -230,7 +230,7 @@
   // record
   // each, and must be given back in the end.
   @Test
-  void holdsRiseInStepsAndFallLate() {
+  void holdsGrowInStepsAndShrinkAfterDelay() {
     PermitFleetMember member = joinAll(2, 1_000).get(0);
     int before = fleet.log.size();
     for (int index = 0; index < 100; index++) {
@@ -256,7 +256,7 @@
   // raised the holds took them over the limit; what really runs has its permits; and no start took
   // the team over every limit that was in force since the starter last read the log.
   @Property(tries = 300, seed = "11")
-  void neverAboveTheLimit(@ForAll Random random) {
+  void randomOperationsStayWithinLimit(@ForAll Random random) {
     PermitFleet chaos = new PermitFleet(6);
     chaos.configure(10);
     for (int index = 0; index < 4; index++) {
@@ -277,7 +277,7 @@
   // A new instance starts after the first records have expired, from a snapshot and the records
   // after it. It must grant as all others do, or two of them would count on the same permit.
   @Property(tries = 200, seed = "12")
-  void snapshotAndTailReachTheSameState(@ForAll Random random) throws Exception {
+  void snapshotAndLaterRecordsReachTheSameState(@ForAll Random random) throws Exception {
     PermitFleet chaos = new PermitFleet(6);
     chaos.configure(10);
     for (int index = 0; index < 4; index++) {
--- a/core/src/test/java/org/hickorypier/core/permits/PermitFoldTest.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitFoldTest.java
@@ -208,12 +208,12 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("cases")
-  void holdsAfterTheLastRecord(
+  void foldsLastRecord(
       String name, List<PermitRecord> before, PermitRecord last, Verdict verdict, int a, int b) {
     FoldResult<PermitState> result = PermitFold.apply(fold(before), before.size(), last);
 
     TeamPermits team = result.state().team(TEAM);
-    assertThat(result.verdict()).as(result.sentence()).isEqualTo(verdict);
+    assertThat(result.verdict()).as(result.reason()).isEqualTo(verdict);
     assertThat(team.heldBy(A)).isEqualTo(a);
     assertThat(team.heldBy(B)).isEqualTo(b);
     assertThat(team.sum()).isEqualTo(a + b + team.heldBy(C));
@@ -222,7 +222,7 @@
   // A peer hands on records from the future, or the log has lost some to expiry. Folding over the
   // hole could grant permits that a missing record has given to somebody else.
   @Test
-  void recordAfterMissingOnesGrantsNothing() {
+  void recordAfterGapGrantsNothing() {
     FoldResult<PermitState> result =
         PermitFold.apply(fold(List.of(limit(1, 10))), 2, hold(A, 1, 5));
 
--- a/core/src/test/java/org/hickorypier/core/permits/PermitPlannerTest.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitPlannerTest.java
@@ -40,7 +40,7 @@
     "over the limit, 10, 12, 3, 0, 7, 9, 3, 0, 7",
     "over the limit and all running, 10, 12, 3, 0, 12, 9, 3, 0, -1",
   })
-  void asks(
+  void plansRequest(
       String name,
       int limit,
       int me,
@@ -60,15 +60,15 @@
             OptionalInt.empty(),
             0);
 
-    assertThat(PermitPlanner.plan(view).ask().orElse(-1)).isEqualTo(asked);
+    assertThat(PermitPlanner.plan(view).request().orElse(-1)).isEqualTo(asked);
   }
 
   @Test
-  void oneRequestAtTheTime() {
+  void plansNoSecondRequestWhileOneIsPending() {
     PermitView view =
         new PermitView(
             ME, team(100, 0, 0, 0), new PermitDemand(0, 50, 0), Map.of(), OptionalInt.of(10), 0);
 
-    assertThat(PermitPlanner.plan(view).ask()).isEmpty();
+    assertThat(PermitPlanner.plan(view).request()).isEmpty();
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
@@ -405,7 +405,7 @@
 
   private boolean isFirstToServe() {
     return keeper.permitObstacle().isEmpty()
-        && permits.state().isFirstGeneration(holder -> cluster.isLive(holder.toString()));
+        && permits.state().hasOnlyLiveHolders(holder -> cluster.isLive(holder.toString()));
   }
 
   private void sendDigest() {
--- a/daemon/src/main/java/org/hickorypier/daemon/SnapshotKeeper.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/SnapshotKeeper.java
@@ -65,7 +65,7 @@
   }
 
   Optional<String> configurationObstacle() {
-    return ReadinessRule.obstacle(
+    return ReadinessRule.notReadyReason(
         configuration.current().offset(),
         configurationLog.nextOffset(),
         configurationLog.isCaughtUp(),
@@ -73,7 +73,7 @@
   }
 
   Optional<String> permitObstacle() {
-    return ReadinessRule.obstacle(
+    return ReadinessRule.notReadyReason(
         permits.state().offset(), permitLog.nextOffset(), permitLog.isCaughtUp(), -1);
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerSightings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerSightings.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.hickorypier.core.permits.Holder;
-import org.hickorypier.core.permits.WorkerSighting;
+import org.hickorypier.core.permits.WorkerObservation;
 import org.hickorypier.daemon.permit.Holders;
 import org.hickorypier.daemon.worker.WorkerFleet;
 import org.hickorypier.platform.worker.TaskState;
@@ -26,8 +26,8 @@
    * @param fleet the workers
    * @param answer is given all words, or nothing if one worker did not answer
    */
-  public static void askAll(WorkerFleet fleet, Consumer<Optional<List<WorkerSighting>>> answer) {
-    List<Uni<WorkerSighting>> questions = new ArrayList<>();
+  public static void askAll(WorkerFleet fleet, Consumer<Optional<List<WorkerObservation>>> answer) {
+    List<Uni<WorkerObservation>> questions = new ArrayList<>();
     fleet
         .listed()
         .forEach((name, service) -> questions.add(service.status().map(WorkerSightings::sighting)));
@@ -44,13 +44,13 @@
             error -> answer.accept(Optional.empty()));
   }
 
-  private static WorkerSighting sighting(WorkerStatus status) {
+  private static WorkerObservation sighting(WorkerStatus status) {
     Set<Holder> owners = new HashSet<>();
     for (TaskStatus task : status.tasks()) {
       if (task.state() == TaskState.RUNNING) {
         Holders.of(task.owner()).ifPresent(owners::add);
       }
     }
-    return new WorkerSighting(status.name(), Holders.of(status.controller()), owners);
+    return new WorkerObservation(status.name(), Holders.of(status.controller()), owners);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/configuration/ConfigurationService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/configuration/ConfigurationService.java
@@ -106,7 +106,7 @@
   public void onRecord(long offset, ConfigurationRecord change) {
     FoldResult<Configuration> result = ConfigurationFold.apply(current, offset, change);
     if (result.verdict() == Verdict.CONFLICT || result.verdict() == Verdict.GAP) {
-      LOGGER.log(Level.INFO, "configuration: offset {0}: {1}", offset, result.sentence());
+      LOGGER.log(Level.INFO, "configuration: offset {0}: {1}", offset, result.reason());
     }
     if (result.state().offset() == offset) {
       keep(new ConfigurationPush(offset, CODEC.encode(change)));
--- a/daemon/src/main/java/org/hickorypier/daemon/permit/HolderRetirement.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/permit/HolderRetirement.java
@@ -14,7 +14,7 @@
 import org.hickorypier.core.permits.Holder;
 import org.hickorypier.core.permits.PermitState;
 import org.hickorypier.core.permits.RetirementRule;
-import org.hickorypier.core.permits.WorkerSighting;
+import org.hickorypier.core.permits.WorkerObservation;
 import org.hickorypier.daemon.time.TimerService;
 import org.hickorypier.wire.record.PermitRecord.Retire;
 
@@ -37,7 +37,7 @@
   private final Executor control;
   private final Predicate<Holder> isLive;
   private final Predicate<Holder> isMine;
-  private final Consumer<Consumer<Optional<List<WorkerSighting>>>> askAll;
+  private final Consumer<Consumer<Optional<List<WorkerObservation>>>> askAll;
   private boolean roundOpen;
 
   /**
@@ -56,7 +56,7 @@
       Executor control,
       Predicate<Holder> isLive,
       Predicate<Holder> isMine,
-      Consumer<Consumer<Optional<List<WorkerSighting>>>> askAll) {
+      Consumer<Consumer<Optional<List<WorkerObservation>>>> askAll) {
     this.permits = permits;
     this.timers = timers;
     this.control = control;
@@ -91,7 +91,7 @@
                 }));
   }
 
-  private void decide(PermitState before, Holder gone, List<WorkerSighting> sightings) {
+  private void decide(PermitState before, Holder gone, List<WorkerObservation> sightings) {
     if (!before.isFenced(gone)) {
       boolean unchanged = permits.state().sequenceOf(gone) == before.sequenceOf(gone);
       if (unchanged && RetirementRule.mayFence(gone, sightings)) {
--- a/daemon/src/main/java/org/hickorypier/daemon/permit/PermitService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/permit/PermitService.java
@@ -188,7 +188,7 @@
       return;
     }
     pendingWords.put(worker, token);
-    append(local.adoption(worker, token, adopted));
+    append(local.createAdoption(worker, token, adopted));
   }
 
   /**
@@ -197,7 +197,7 @@
    * @param gone the holder
    */
   public void fence(Holder gone) {
-    append(local.fence(gone));
+    append(local.createFence(gone));
   }
 
   /**
@@ -227,7 +227,7 @@
   public void onRecord(long offset, PermitRecord record) {
     FoldResult<PermitState> result = local.fold(offset, record);
     if (result.verdict() == Verdict.CONFLICT || result.verdict() == Verdict.GAP) {
-      LOGGER.log(Level.INFO, "permits: offset {0}: {1}", offset, result.sentence());
+      LOGGER.log(Level.INFO, "permits: offset {0}: {1}", offset, result.reason());
     }
     if (record instanceof PermitRecord.Snapshot && result.verdict() == Verdict.APPLIED) {
       seek.accept(local.state().offset() + 1);
@@ -248,7 +248,7 @@
   @Override
   public void onUnreadable(long offset, byte[] data, UndecodableException reason) {
     LOGGER.log(Level.WARNING, "permits: offset {0} cannot be read, passed over", offset);
-    local.passOver(offset);
+    local.skipRecord(offset);
   }
 
   private void noteFence() {
@@ -275,7 +275,7 @@
         error instanceof LogAppendException known
             && known.fate() == LogAppendException.Fate.NOT_APPENDED;
     if (neverSent) {
-      local.notAppended(record);
+      local.onRecordNotAppended(record);
     }
     if (record instanceof PermitRecord.Adopt word) {
       pendingWords.remove(word.worker());
--- a/daemon/src/test/java/org/hickorypier/daemon/log/SnapshotPublisherTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/log/SnapshotPublisherTest.java
@@ -56,7 +56,7 @@
     }
 
     boolean isWhole() {
-      return ReadinessRule.obstacle(
+      return ReadinessRule.notReadyReason(
               state.offset(), stream.follower().nextOffset(), stream.follower().isCaughtUp(), -1)
           .isEmpty();
     }
