--- a/core/src/main/java/org/hickorypier/core/permits/HeldPermits.java
+++ b/core/src/main/java/org/hickorypier/core/permits/HeldPermits.java
@@ -1,11 +1,11 @@
 package org.hickorypier.core.permits;
 
 /**
- * What one holder holds of one team.
+ * The permits of one team that one holder has.
  *
  * <p>Immutable.
  *
  * @param count the number of permits
- * @param raisedAt the offset of the record that last raised it
+ * @param raisedAt the offset of the record that last raised the count
  */
 public record HeldPermits(int count, long raisedAt) {}
--- a/core/src/main/java/org/hickorypier/core/permits/Holder.java
+++ b/core/src/main/java/org/hickorypier/core/permits/Holder.java
@@ -3,12 +3,12 @@
 import java.util.Comparator;
 
 /**
- * One run of an instance: its name and incarnation.
+ * One incarnation of an instance, which can hold permits.
  *
  * <p>Immutable.
  *
  * @param instance the instance's name
- * @param incarnation its incarnation, higher after each restart
+ * @param incarnation the incarnation number, which increases with each restart
  */
 public record Holder(String instance, long incarnation) implements Comparable<Holder> {
 
--- a/core/src/main/java/org/hickorypier/core/permits/LocalPermits.java
+++ b/core/src/main/java/org/hickorypier/core/permits/LocalPermits.java
@@ -16,17 +16,20 @@
 import org.hickorypier.wire.record.PermitRecord.Snapshot;
 
 /**
- * One instance's side of the permits: the state as folded, and its own requests under way.
+ * The permits of all teams as one instance sees them, and its own pending requests.
  *
- * <p>Invariant: {@link #usable} never exceeds what is held as read back, what was last asked for,
- * nor 0 while the holds exceed the limit. Not thread safe: it belongs to the control thread. Time
- * is passed in, as milliseconds of a monotonic clock.
+ * <p>Invariant: {@link #usable} never exceeds the permits held according to the folded log, nor the
+ * number last requested, and is 0 while the holds exceed the limit.
+ *
+ * <p>Confined to the control thread. Times are milliseconds of a monotonic clock that the caller
+ * passes in.
  */
 public final class LocalPermits {
 
   /**
-   * How much later each instance in the order of names says a new limit, if none before it has. One
-   * record for a change is enough; without the order each instance would append one at once.
+   * The additional delay for each instance, in the order of their names, before it publishes a new
+   * limit that no earlier instance has published. One record for a change is enough; without the
+   * delay every instance would append one at the same time.
    */
   private static final long LIMIT_PUBLICATION_STAGGER_MILLIS = 300;
 
@@ -37,7 +40,7 @@
   private long adoptionSequence;
 
   /**
-   * Creates the instance's side.
+   * Creates the permits of an instance with an empty state.
    *
    * @param self this instance with its incarnation
    */
@@ -46,7 +49,7 @@
   }
 
   /**
-   * Returns the permits of all as folded.
+   * Returns the permits of all holders as folded from the log.
    *
    * @return the state
    */
@@ -57,9 +60,9 @@
   /**
    * Folds a record of the permits stream.
    *
-   * @param offset its offset
+   * @param offset the offset of the record
    * @param change the record
-   * @return the state after and what became of the record
+   * @return the state after the record and the outcome for the record
    */
   public FoldResult<PermitState> fold(long offset, PermitRecord change) {
     FoldResult<PermitState> result = PermitFold.apply(state, offset, change);
@@ -68,16 +71,16 @@
   }
 
   /**
-   * Passes over a record that cannot be read here.
+   * Skips a record that this version cannot decode.
    *
-   * @param offset its offset
+   * @param offset the offset of the record
    */
   public void skipRecord(long offset) {
     replaceState(PermitFold.skipRecord(state, offset));
   }
 
   /**
-   * Takes a peer's snapshot if it is newer.
+   * Replaces the state by a peer's snapshot if the snapshot is newer.
    *
    * @param snapshot the snapshot
    */
@@ -86,47 +89,47 @@
   }
 
   /**
-   * Takes in a team's limit from the configuration.
+   * Sets a team's limit from the configuration, unless its revision is already known.
    *
    * @param name the team
    * @param revision the team's revision
-   * @param limit its upper limit
-   * @param now the time
+   * @param limit the team's upper limit
+   * @param nowMillis the current time in milliseconds
    */
-  public void putTeam(String name, long revision, int limit, long now) {
+  public void putTeam(String name, long revision, int limit, long nowMillis) {
     LocalTeam team = team(name);
     if (revision > team.revision) {
       team.revision = revision;
       team.limit = limit;
-      team.limitChangedAt = now;
+      team.limitChangedAt = nowMillis;
     }
   }
 
   /**
-   * Plans one team's permits. To be called for each team about once a second, and when its work or
-   * its permits have changed.
+   * Plans one team's permits. The caller invokes it for each team about once a second, and whenever
+   * the team's work or permits change.
    *
    * @param name the team
    * @param own this instance's demand
-   * @param others the demand of the other live instances, from their digests
-   * @param now the time
-   * @return what may run, and what to append
+   * @param others the demand of each other live instance, from its digest
+   * @param nowMillis the current time in milliseconds
+   * @return the number of tasks that may run and the records to append
    */
   public PlannedPermits plan(
-      String name, PermitDemand own, Map<Holder, PermitDemand> others, long now) {
+      String name, PermitDemand own, Map<Holder, PermitDemand> others, long nowMillis) {
     LocalTeam team = team(name);
     List<PermitRecord> records = new ArrayList<>();
-    if (isLimitPublicationDue(name, team, others, now)) {
+    if (isLimitPublicationDue(name, team, others, nowMillis)) {
       team.publishedRevision = team.revision;
       records.add(new Limit(name, team.revision, team.limit));
     }
-    long idleMillis = team.hasIdleExcess ? now - team.idleSince : 0;
+    long idleMillis = team.hasIdleExcess ? nowMillis - team.idleSince : 0;
     PermitPlan plan =
         PermitPlanner.plan(
             new PermitView(
                 self, effectivePermits(name, team), own, others, team.pendingRequest, idleMillis));
     if (plan.hasIdleExcess() && !team.hasIdleExcess) {
-      team.idleSince = now;
+      team.idleSince = nowMillis;
     }
     team.hasIdleExcess = plan.hasIdleExcess();
     team.cap = plan.cap();
@@ -140,11 +143,11 @@
   }
 
   /**
-   * Returns how many tasks of a team may run here now. It changes with each record folded and with
-   * each call of {@link #plan}.
+   * Returns the number of tasks of a team that may run at this instance. The number changes with
+   * each folded record and each call of {@link #plan}.
    *
    * @param name the team
-   * @return the number; if more run, nothing may start
+   * @return the number; no task may start while at least as many run
    */
   public int usable(String name) {
     LocalTeam team = team(name);
@@ -152,20 +155,20 @@
     if (permits.isOverLimit()) {
       return 0;
     }
-    // A request for fewer may be in force already: from the moment of asking, no more than that is
-    // used. A request for more counts only once it has been read back.
+    // A request for fewer permits may already be in the log, so it limits the usable permits from
+    // the moment it is made. A request for more counts only once it has been folded.
     int held = permits.heldBy(self);
     return Math.min(team.cap, Math.min(held, team.pendingRequest.orElse(held)));
   }
 
   /**
-   * Makes the record that speaks for a worker. To be appended after each grant of control, also
-   * with no tasks, and again when the owner of tasks there goes later.
+   * Creates the record that announces control of a worker and adopts tasks on it. The caller
+   * appends one after each grant of control, even without tasks, and another when an owner of tasks
+   * on the worker fails later.
    *
    * @param worker the worker
    * @param token the control token that the worker granted
-   * @param tasks the running tasks of owners that are gone, as the worker named them after the
-   *     grant
+   * @param tasks the running tasks of failed owners, as the worker reported them after the grant
    * @return the record
    */
   public Adopt createAdoption(String worker, long token, List<AdoptedTasks> tasks) {
@@ -174,67 +177,68 @@
         self.instance(), self.incarnation(), adoptionSequence, worker, token, List.copyOf(tasks));
   }
 
-  // Until the adopted tasks' permits have come, the hold seen here is lower than it will be. A
-  // request planned on it would arrive as one for fewer than what runs, and the fold would give the
-  // rest to others: more would run than the limit allows.
+  // Until the adoption record is folded, the hold in the state lacks the permits of the adopted
+  // tasks. A request that is planned from it would take effect as a request for fewer permits than
+  // there are running tasks; the fold would grant the rest to others and exceed the limit.
   private boolean isAdoptionPending() {
     return adoptionSequence > state.sequenceOf(self);
   }
 
   /**
-   * Tells whether tasks may start on a worker under a control token: whether this instance's word
-   * for it has been read back.
+   * Returns whether tasks may start on a worker under a control token, which requires that this
+   * instance's adoption record for the token has been folded.
    *
-   * <p>An instance that was paused may have been fenced off meanwhile and not know it: it still
-   * counts on permits that others use by now. Its old workers refuse it, but it may claim one anew.
-   * Its word is refused if the fence came first; and after its word the fold refuses to fence it
-   * off on older evidence.
+   * <p>An instance that resumes after a pause may have been fenced without knowing it and still
+   * count on permits that other instances now use. The workers that it controlled before reject it,
+   * but it can claim a worker again. The fold rejects its adoption record if the fence precedes it;
+   * once the adoption record is folded, the fold rejects a fence that is based on an earlier state.
    *
    * @param worker the worker
    * @param token the control token that the worker granted
-   * @return true if so
+   * @return whether tasks may start
    */
   public boolean mayStartOn(String worker, long token) {
-    WorkerAdoptions word = state.worker(worker);
-    return word.token() == token && word.controller().equals(self);
+    WorkerAdoptions adoption = state.worker(worker);
+    return adoption.token() == token && adoption.controller().equals(self);
   }
 
   /**
-   * Tells whether this instance was fenced off. It then never gets a permit again, nor may it start
-   * tasks on any worker: only a new incarnation can.
+   * Returns whether this incarnation is fenced. A fenced incarnation never receives a permit again
+   * and may not start tasks on any worker; only a new incarnation can.
    *
-   * @return true if so
+   * @return whether this incarnation is fenced
    */
   public boolean isFenced() {
     return state.isFenced(self);
   }
 
   /**
-   * Tells whether the tasks of an owner on a worker are covered by this instance's permits, and so
-   * count as running in its demand.
+   * Returns whether this instance's permits cover the tasks of an owner on a worker. Covered tasks
+   * count as running in the instance's demand.
    *
    * @param worker the worker
-   * @param owner who started them
-   * @return true if so
+   * @param owner the holder that started the tasks
+   * @return whether this instance's permits cover the tasks
    */
   public boolean covers(String worker, Holder owner) {
     return state.worker(worker).holderOf(owner).equals(self);
   }
 
   /**
-   * Makes the record that fences a holder off. Only after {@link RetirementRule#mayFence}; this
-   * state must be one from before the workers were asked.
+   * Creates the record that fences a holder. The caller checks {@link RetirementRule#mayFence}
+   * first. The state must date from before the workers were queried, so that the fold rejects the
+   * fence if the holder has appended a record since.
    *
-   * @param gone the holder that looks gone
+   * @param holder the holder that appears to have failed
    * @return the record
    */
-  public Fence createFence(Holder gone) {
-    return new Fence(gone.instance(), gone.incarnation(), state.sequenceOf(gone));
+  public Fence createFence(Holder holder) {
+    return new Fence(holder.instance(), holder.incarnation(), state.sequenceOf(holder));
   }
 
   /**
-   * Takes note that a record made here was never sent to the log. A word for a worker has to be
-   * made anew.
+   * Discards the pending state of a record that was never sent to the log. An adoption record has
+   * to be created again.
    *
    * @param change the record
    */
@@ -257,16 +261,17 @@
     state = next;
     long folded = state.sequenceOf(self);
     for (LocalTeam team : teams.values()) {
-      // A later record of this holder was folded, so the earlier one can no longer take effect,
-      // even if it was lost on the way.
+      // Once a record with the same or a later sequence number is folded, the request can no longer
+      // take effect, even if its record was lost.
       if (team.requestSequence <= folded) {
         team.pendingRequest = OptionalInt.empty();
       }
     }
   }
 
-  // The configuration may be ahead of the permits stream. A lowered limit counts from the moment it
-  // is known here; a raised one from the moment all have it in the same order.
+  // The configuration may be ahead of the permits stream. A lowered limit applies as soon as this
+  // instance knows it; a raised limit applies once its record is folded in the order of the log,
+  // which is the same for all instances.
   private TeamPermits effectivePermits(String name, LocalTeam team) {
     TeamPermits permits = state.team(name);
     if (team.revision > permits.revision() && team.limit < permits.limit()) {
@@ -276,13 +281,13 @@
   }
 
   private boolean isLimitPublicationDue(
-      String name, LocalTeam team, Map<Holder, PermitDemand> others, long now) {
+      String name, LocalTeam team, Map<Holder, PermitDemand> others, long nowMillis) {
     if (team.revision <= Math.max(team.publishedRevision, state.team(name).revision())) {
       return false;
     }
-    TreeSet<Holder> before = new TreeSet<>(others.keySet());
-    int turn = before.headSet(self).size();
-    return now - team.limitChangedAt >= turn * LIMIT_PUBLICATION_STAGGER_MILLIS;
+    TreeSet<Holder> sortedOthers = new TreeSet<>(others.keySet());
+    int rank = sortedOthers.headSet(self).size();
+    return nowMillis - team.limitChangedAt >= rank * LIMIT_PUBLICATION_STAGGER_MILLIS;
   }
 
   private LocalTeam team(String name) {
--- a/core/src/main/java/org/hickorypier/core/permits/PermitFold.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitFold.java
@@ -14,17 +14,17 @@
 /**
  * Folds the permits stream.
  *
- * <p>A pure function, so thread safe: the same records at the same offsets give the same state
- * everywhere. Invariant: a record that raises the sum of a team's holds leaves it at or below the
- * team's limit.
+ * <p>Stateless and thread-safe: the same records at the same offsets produce the same state at
+ * every instance. Invariant: a record that raises the sum of a team's holds leaves it at or below
+ * the team's limit.
  *
- * <p>Load: instances that all ask at once when a peak begins, while others die or an operator
- * lowers the limit. Harm prevented: two instances that both believe to hold the last permit. The
- * order of the log decides; whoever comes later gets what is left.
+ * <p>All instances may request permits at once when a load peak begins, while others fail or an
+ * operator lowers the limit. To keep two instances from both believing that they hold the last
+ * permit, the order of the log decides: a later request gets the permits that remain.
  *
- * <p>The limit that the fold uses comes from this stream and not from the configuration stream.
- * There is no order between two streams: instances would apply a lowered limit before different
- * holds and would no longer agree on who holds what.
+ * <p>The limit comes from this stream and not from the configuration stream. Two streams have no
+ * common order, so instances would apply a lowered limit before different holds and would disagree
+ * on the permits of each holder.
  */
 public final class PermitFold {
 
@@ -36,12 +36,12 @@
    * @param state the state before
    * @param offset the record's offset
    * @param change the record
-   * @return the state after; for a snapshot taken into use, its offset is that of the snapshot's
-   *     contents, and folding goes on at the offset after that
+   * @return the state after the record and the outcome; an applied snapshot sets the state's offset
+   *     to the last one that the snapshot contains, and folding continues at the next offset
    */
   public static FoldResult<PermitState> apply(PermitState state, long offset, PermitRecord change) {
     if (offset <= state.offset()) {
-      return result(state, Verdict.DUPLICATE, "the offset was folded before");
+      return result(state, Verdict.DUPLICATE, "the offset was already folded");
     }
     if (change instanceof Snapshot snapshot
         && snapshot.upTo() > state.offset()
@@ -49,7 +49,7 @@
       return applySnapshot(state, snapshot);
     }
     if (offset > state.offset() + 1) {
-      return result(state, Verdict.GAP, "records before it are missing");
+      return result(state, Verdict.GAP, "earlier records are missing");
     }
     PermitState next = state.withOffset(offset);
     if (change instanceof Limit limit) {
@@ -67,46 +67,50 @@
     if (change instanceof Retire retirement) {
       return applyRetirement(next, retirement);
     }
-    return result(next, Verdict.DUPLICATE, "the snapshot says nothing new here");
+    return result(next, Verdict.DUPLICATE, "the snapshot adds nothing to the state");
   }
 
   /**
-   * Passes over a record that this program cannot read. Nothing else changes.
+   * Skips a record that this version cannot decode. Only the offset of the state changes.
    *
    * @param state the state before
    * @param offset the record's offset
-   * @return the state after
+   * @return the state after the record
    */
   public static PermitState skipRecord(PermitState state, long offset) {
     return offset == state.offset() + 1 ? state.withOffset(offset) : state;
   }
 
   /**
-   * Takes a snapshot, from the log or from a peer, if it is newer than the state.
+   * Replaces the state by a snapshot, from the log or from a peer, if the snapshot is newer.
    *
    * @param state the state before
    * @param snapshot the snapshot
-   * @return the state of the snapshot, or the state before if that is as new
+   * @return the state of the snapshot, or the state before if that is at least as new or the
+   *     snapshot is incomplete
    */
   public static FoldResult<PermitState> applySnapshot(PermitState state, Snapshot snapshot) {
     if (snapshot.upTo() <= state.offset()) {
-      return result(state, Verdict.DUPLICATE, "the state here is as new");
+      return result(state, Verdict.DUPLICATE, "the state is at least as new as the snapshot");
     }
     if (!PermitSnapshots.isComplete(snapshot)) {
-      return result(state, Verdict.INVALID, "the snapshot is not whole");
+      return result(state, Verdict.INVALID, "the snapshot is incomplete");
     }
-    return result(PermitSnapshots.read(snapshot), Verdict.APPLIED, "the state is the snapshot's");
+    return result(
+        PermitSnapshots.read(snapshot), Verdict.APPLIED, "the state was replaced by the snapshot");
   }
 
   private static FoldResult<PermitState> applyLimit(PermitState state, Limit limit) {
     if (limit.team() == null || limit.limit() < 0) {
-      return result(state, Verdict.INVALID, "a limit needs a team and is not negative");
+      return result(
+          state, Verdict.INVALID, "a limit record needs a team and a limit of at least 0");
     }
     TeamPermits team = state.team(limit.team());
-    // Every instance may say the limit it has folded. The highest revision is the newest, so an
-    // instance that lags behind cannot bring an old limit back.
+    // Every instance may publish the limit of the configuration that it has folded. Only a higher
+    // revision applies, so an instance that lags behind cannot restore an old limit.
     if (limit.revision() <= team.revision()) {
-      return result(state, Verdict.DUPLICATE, "the limit is known as new or newer");
+      return result(
+          state, Verdict.DUPLICATE, "the same or a newer revision of the limit was already folded");
     }
     return result(
         state.withTeam(limit.team(), team.withLimit(limit.revision(), limit.limit())),
@@ -116,35 +120,39 @@
 
   private static FoldResult<PermitState> applyHold(PermitState state, Hold hold) {
     if (hold.instance() == null || hold.team() == null || hold.count() < 0) {
-      return result(state, Verdict.INVALID, "a hold needs a holder, a team and a count");
+      return result(
+          state, Verdict.INVALID, "a hold record needs a holder, a team and a count of at least 0");
     }
     Holder holder = new Holder(hold.instance(), hold.incarnation());
     if (hold.sequence() <= state.sequenceOf(holder)) {
-      return result(state, Verdict.DUPLICATE, "a later record of the holder was folded");
+      return result(
+          state,
+          Verdict.DUPLICATE,
+          "a record of the holder with this or a later sequence number was already folded");
     }
     TeamPermits team = state.team(hold.team());
     int before = team.heldBy(holder);
-    // An instance that was paused, taken over and resumed would hold permits that nobody frees
-    // again. Giving back stays open to it.
+    // An instance that resumes after a pause in which it was taken over would receive permits that
+    // nothing frees again. A fenced holder may still return permits.
     if (state.isFenced(holder) && hold.count() > before) {
-      return result(state, Verdict.CONFLICT, holder + " is fenced off");
+      return result(state, Verdict.CONFLICT, holder + " is fenced");
     }
     PermitState next = state.withSequence(holder, hold.sequence());
     if (team.revision() == 0) {
-      return result(next, Verdict.CONFLICT, "no limit is known for " + hold.team());
+      return result(next, Verdict.CONFLICT, "no limit is known for team " + hold.team());
     }
     int granted = grantedCount(team, before, hold.count());
     return result(
         next.withTeam(hold.team(), team.withHold(holder, granted, state.offset())),
         Verdict.APPLIED,
-        "holds " + granted + " of " + hold.count() + " asked for");
+        "holds " + granted + " of " + hold.count() + " requested permits");
   }
 
-  private static int grantedCount(TeamPermits team, int before, int asked) {
-    if (asked <= before) {
-      return asked;
+  private static int grantedCount(TeamPermits team, int before, int requested) {
+    if (requested <= before) {
+      return requested;
     }
-    return Math.min(asked, before + team.free());
+    return Math.min(requested, before + team.free());
   }
 
   private static FoldResult<PermitState> applyAdoption(PermitState state, Adopt adoption) {
@@ -152,38 +160,44 @@
         || adoption.worker() == null
         || adoption.tasks() == null
         || !adoption.tasks().stream().allMatch(PermitFold::isComplete)) {
-      return result(state, Verdict.INVALID, "an adoption needs a holder, a worker and tasks");
+      return result(
+          state, Verdict.INVALID, "an adoption record needs a holder, a worker and tasks");
     }
-    Holder to = new Holder(adoption.instance(), adoption.incarnation());
-    if (adoption.sequence() <= state.sequenceOf(to)) {
-      return result(state, Verdict.DUPLICATE, "a later record of the adopter was folded");
+    Holder adopter = new Holder(adoption.instance(), adoption.incarnation());
+    if (adoption.sequence() <= state.sequenceOf(adopter)) {
+      return result(
+          state,
+          Verdict.DUPLICATE,
+          "a record of the adopter with this or a later sequence number was already folded");
     }
-    if (state.isFenced(to)) {
-      return result(state, Verdict.CONFLICT, to + " is fenced off");
+    if (state.isFenced(adopter)) {
+      return result(state, Verdict.CONFLICT, adopter + " is fenced");
     }
     WorkerAdoptions before = state.worker(adoption.worker());
-    PermitState next = state.withSequence(to, adoption.sequence());
-    if (before.isSuperseded(adoption.token(), to)) {
-      return result(next, Verdict.CONFLICT, "the worker has a later controller");
+    PermitState next = state.withSequence(adopter, adoption.sequence());
+    if (before.isSuperseded(adoption.token(), adopter)) {
+      return result(next, Verdict.CONFLICT, "the worker has a newer controller");
     }
-    WorkerAdoptions after = before.withController(adoption.token(), to, state.offset());
+    WorkerAdoptions after = before.withController(adoption.token(), adopter, state.offset());
     for (AdoptedTasks tasks : adoption.tasks()) {
       Holder owner = new Holder(tasks.ownerInstance(), tasks.ownerIncarnation());
-      // A holder that is not fenced off may be alive, though some do not see it. It would use the
-      // permit of an adopted task again once that has ended, before it reads of the adoption.
-      Holder from = before.holderOf(owner);
-      if (state.isFenced(from)) {
-        next = transferPermits(next, tasks, from, to);
-        after = after.withAdopter(to, owner);
+      // A holder that is not fenced may be alive although some instances cannot reach it. Once an
+      // adopted task ends, it would reuse the task's permit before it folds the adoption record.
+      Holder currentHolder = before.holderOf(owner);
+      if (state.isFenced(currentHolder)) {
+        next = transferPermits(next, tasks, currentHolder, adopter);
+        after = after.withAdopter(adopter, owner);
       }
     }
     return result(
-        next.withWorker(adoption.worker(), after), Verdict.APPLIED, to + " speaks for the worker");
+        next.withWorker(adoption.worker(), after),
+        Verdict.APPLIED,
+        adopter + " controls the worker");
   }
 
-  // The adopted tasks already run. Their permits move with them, so the sum stays as it is, and
-  // nobody can take them in between. They may have moved before, to an adopter that is gone now
-  // too; the state knows to whom.
+  // The adopted tasks are already running. Their permits move with them, so the sum of the holds
+  // does not change and no other holder can get the permits in between. If an earlier adopter has
+  // failed as well, the permits move from that adopter, which the state records.
   private static PermitState transferPermits(
       PermitState state, AdoptedTasks tasks, Holder from, Holder to) {
     TeamPermits team = state.team(tasks.team());
@@ -204,30 +218,33 @@
 
   private static FoldResult<PermitState> applyFence(PermitState state, Fence fence) {
     if (fence.instance() == null) {
-      return result(state, Verdict.INVALID, "a fence needs a holder");
+      return result(state, Verdict.INVALID, "a fence record needs a holder");
     }
     Holder holder = new Holder(fence.instance(), fence.incarnation());
-    // A holder that was only paused may have spoken for a worker since the sender looked, and may
-    // start tasks there by the permits that it still knows of.
+    // A holder that was only paused may have appended an adoption record for a worker since the
+    // sender's observation, and may start tasks there with the permits in its own state.
     if (fence.sequence() != state.sequenceOf(holder)) {
-      return result(state, Verdict.CONFLICT, holder + " has spoken since");
+      return result(
+          state,
+          Verdict.CONFLICT,
+          holder + " has appended a record since the sender's observation");
     }
-    return result(state.withFence(holder), Verdict.APPLIED, holder + " is fenced off");
+    return result(state.withFence(holder), Verdict.APPLIED, holder + " is fenced");
   }
 
   private static FoldResult<PermitState> applyRetirement(PermitState state, Retire retirement) {
     if (retirement.instance() == null) {
-      return result(state, Verdict.INVALID, "a retirement needs a holder");
+      return result(state, Verdict.INVALID, "a retirement record needs a holder");
     }
     Holder holder = new Holder(retirement.instance(), retirement.incarnation());
     if (!state.isFenced(holder)) {
-      return result(state, Verdict.CONFLICT, holder + " is not fenced off");
+      return result(state, Verdict.CONFLICT, holder + " is not fenced");
     }
-    return result(state.withoutHolder(holder), Verdict.APPLIED, holder + " holds nothing now");
+    return result(
+        state.withoutHolder(holder), Verdict.APPLIED, holder + " no longer holds any permits");
   }
 
-  private static FoldResult<PermitState> result(
-      PermitState state, Verdict verdict, String sentence) {
-    return new FoldResult<>(state, verdict, sentence);
+  private static FoldResult<PermitState> result(PermitState state, Verdict verdict, String reason) {
+    return new FoldResult<>(state, verdict, reason);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/permits/PermitPlan.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitPlan.java
@@ -3,12 +3,13 @@
 import java.util.OptionalInt;
 
 /**
- * What one instance does with its permits of one team now.
+ * The decision of one instance about its permits of one team.
  *
  * <p>Immutable.
  *
- * @param cap how many of the permits it holds it uses, those granted later too
- * @param request the number of permits to ask for in the log, if any
- * @param hasIdleExcess whether more permits are idle than are kept in reserve
+ * @param cap the maximum number of held permits that the instance uses, including permits granted
+ *     later
+ * @param request the number of permits to request in the log, or empty to request nothing
+ * @param hasIdleExcess whether more permits are idle than the reserve needs
  */
 public record PermitPlan(int cap, OptionalInt request, boolean hasIdleExcess) {}
--- a/core/src/main/java/org/hickorypier/core/permits/PermitPlanner.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitPlanner.java
@@ -5,35 +5,38 @@
 import java.util.OptionalInt;
 
 /**
- * Decides how many permits of a team an instance asks for, and how many it uses.
+ * Decides how many permits of a team an instance requests and how many it uses.
  *
- * <p>A pure function, so thread safe. Invariants: nothing starts while the holds exceed the limit;
- * one request is under way at a time.
+ * <p>Stateless and thread-safe. Invariants: nothing starts while the holds exceed the limit; at
+ * most one request is pending at a time.
  *
- * <p>Load: thousands of starts a second at a peak, over a log that takes several hundred appends a
- * second for everything, and 2 KB a second of control for each daemon. Harms prevented: a record
- * for each start (so holds rise in steps and fall late), permits that lie idle at one instance
- * while work waits at another (so idle ones are given up at once when somebody lacks them), and
- * holds that swing to and fro (so a fall needs more than the reserve, for a time).
+ * <p>At a peak there are thousands of starts a second, while the log accepts several hundred
+ * appends a second for all purposes and each daemon may use 2 KB a second for control. Holds
+ * therefore grow in steps and shrink late, instead of costing a record for each start. Idle permits
+ * are released at once when another instance lacks permits, so that work does not wait at one
+ * instance while permits are idle at another. Otherwise a hold shrinks only when more than the
+ * reserve has been idle for some time, so that holds do not oscillate.
  */
 public final class PermitPlanner {
 
   /**
-   * The part of the demand that is kept in reserve, one in so many. A quarter lets demand grow by a
-   * quarter before the next record; more would keep permits from others, less would bring a record
-   * for each wave of requests.
+   * The reserve is the demand divided by this number. A quarter lets demand grow by a quarter
+   * before the next record; a larger reserve would withhold permits from other instances, a smaller
+   * one would cost a record for each burst of requests.
    */
   private static final int RESERVE_DIVISOR = 4;
 
   /**
-   * For how long permits must lie idle before they are given up though nobody lacks them. Bursts of
-   * callers come some seconds apart; a shorter time would give permits up between two of them.
+   * The time for which permits must be idle before they are released although no instance lacks
+   * them. Bursts of requests arrive some seconds apart; a shorter time would release permits
+   * between two bursts.
    */
   private static final long IDLE_RELEASE_MILLIS = 5_000;
 
   /**
-   * While the limit is scarce a hold falls only by at least one in so many of it. A hold of 8 or
-   * more follows each small change of others' digests otherwise, at a record each.
+   * While permits are scarce, a hold decreases only by at least the hold divided by this number.
+   * Otherwise a hold of 8 or more would follow each small change in the digests of other instances,
+   * at the cost of a record each.
    */
   private static final int MIN_DECREASE_DIVISOR = 8;
 
@@ -42,41 +45,42 @@
   private PermitPlanner() {}
 
   /**
-   * Plans.
+   * Plans the permits of one team.
    *
-   * @param view what the instance knows
-   * @return what it does
+   * @param view the state and the demand to plan from
+   * @return the permits to use and to request
    */
   public static PermitPlan plan(PermitView view) {
     TeamPermits team = view.team();
     int held = team.heldBy(view.self());
     if (team.isOverLimit()) {
-      // After the limit was lowered nothing starts until enough has ended, and every idle permit
-      // goes back, at all instances alike. Running tasks are left to end by themselves.
+      // After the limit was lowered, nothing starts until enough tasks have ended, and every
+      // instance returns all its idle permits. Running tasks are not killed.
       return plan(view, 0, Math.min(held, view.own().running()), false);
     }
     Map<Holder, PermitDemand> demands = new HashMap<>(view.others());
     demands.put(view.self(), view.own());
-    int splittable = team.limit() - heldByAbsentHolders(team, demands);
+    int available = team.limit() - heldByAbsentHolders(team, demands);
     long wanted = demands.values().stream().mapToLong(PermitDemand::total).sum();
-    if (wanted > splittable) {
-      int share = PermitSplit.split(splittable, demands, team).getOrDefault(view.self(), 0);
+    if (wanted > available) {
+      int share = PermitSplit.split(available, demands, team).getOrDefault(view.self(), 0);
       return planScarce(view, share);
     }
     int reserve = (view.own().total() + RESERVE_DIVISOR - 1) / RESERVE_DIVISOR;
-    boolean idle = held > view.own().total() + 2 * reserve;
-    return plan(view, NO_CAP, targetBelowLimit(view, held, reserve, idle), idle);
+    boolean hasIdleExcess = held > view.own().total() + 2 * reserve;
+    return plan(view, NO_CAP, targetBelowLimit(view, held, reserve, hasIdleExcess), hasIdleExcess);
   }
 
-  private static PermitPlan plan(PermitView view, int cap, int target, boolean idle) {
+  private static PermitPlan plan(PermitView view, int cap, int target, boolean hasIdleExcess) {
     int held = view.team().heldBy(view.self());
-    // Asking for more than is free would bring a record and no permit.
+    // A request for more than the free permits would cost a record without a grant.
     int reachable = Math.min(target, held + view.team().free());
-    boolean ask = view.pendingRequest().isEmpty() && reachable != held;
-    return new PermitPlan(cap, ask ? OptionalInt.of(reachable) : OptionalInt.empty(), idle);
+    boolean needsRequest = view.pendingRequest().isEmpty() && reachable != held;
+    return new PermitPlan(
+        cap, needsRequest ? OptionalInt.of(reachable) : OptionalInt.empty(), hasIdleExcess);
   }
 
-  // An instance that is gone keeps its permits until its tasks have been adopted: they may run.
+  // A failed instance keeps its permits until its tasks are adopted, since they may still run.
   private static int heldByAbsentHolders(TeamPermits team, Map<Holder, PermitDemand> demands) {
     int held = 0;
     for (Map.Entry<Holder, HeldPermits> entry : team.holds().entrySet()) {
@@ -87,12 +91,12 @@
 
   private static PermitPlan planScarce(PermitView view, int share) {
     int held = view.team().heldBy(view.self());
-    int fall = held - share;
-    if (fall > 0 && fall < held / MIN_DECREASE_DIVISOR && !isAnyInstanceStarved(view)) {
+    int decrease = held - share;
+    if (decrease > 0 && decrease < held / MIN_DECREASE_DIVISOR && !isAnyInstanceStarved(view)) {
       return plan(view, NO_CAP, held, false);
     }
-    // What runs is not killed for the sake of the split. It ends, is not replaced, and its permits
-    // go back.
+    // Running tasks above the share are not killed. When they end, they are not replaced, and their
+    // permits are returned.
     int target = Math.max(share, Math.min(held, view.own().running()));
     return plan(view, share, target, false);
   }
@@ -103,7 +107,8 @@
             entry -> entry.getValue().waiting() > 0 && view.team().heldBy(entry.getKey()) == 0);
   }
 
-  private static int targetBelowLimit(PermitView view, int held, int reserve, boolean idle) {
+  private static int targetBelowLimit(
+      PermitView view, int held, int reserve, boolean hasIdleExcess) {
     int demand = view.own().total();
     if (demand > held) {
       return demand + reserve;
@@ -111,7 +116,7 @@
     if (othersLackPermits(view)) {
       return demand;
     }
-    return idle && view.idleMillis() >= IDLE_RELEASE_MILLIS ? demand + reserve : held;
+    return hasIdleExcess && view.idleMillis() >= IDLE_RELEASE_MILLIS ? demand + reserve : held;
   }
 
   private static boolean othersLackPermits(PermitView view) {
--- a/core/src/main/java/org/hickorypier/core/permits/PermitSnapshots.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitSnapshots.java
@@ -11,17 +11,17 @@
 import org.hickorypier.wire.record.PermitRecord.TeamEntry;
 import org.hickorypier.wire.record.PermitRecord.WorkerEntry;
 
-/** Turns a state of the permits into a snapshot record and back. Thread safe: it has no state. */
+/** Converts between permit states and snapshot records. Stateless and thread-safe. */
 public final class PermitSnapshots {
 
   private PermitSnapshots() {}
 
   /**
-   * Writes a snapshot.
+   * Converts a state into a snapshot record.
    *
    * @param id the id of the record
    * @param state the state
-   * @return the record
+   * @return the snapshot record
    */
   public static Snapshot write(String id, PermitState state) {
     List<TeamEntry> teams =
@@ -86,8 +86,9 @@
         adoptions);
   }
 
-  private static HolderEntry holderEntry(Holder holder, NumberAtOffset mark) {
-    return new HolderEntry(holder.instance(), holder.incarnation(), mark.number(), mark.offset());
+  private static HolderEntry holderEntry(Holder holder, NumberAtOffset sequence) {
+    return new HolderEntry(
+        holder.instance(), holder.incarnation(), sequence.number(), sequence.offset());
   }
 
   static boolean isComplete(Snapshot snapshot) {
--- a/core/src/main/java/org/hickorypier/core/permits/PermitSplit.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitSplit.java
@@ -8,16 +8,17 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Splits a scarce limit between instances by their demand.
+ * Divides the permits of a team among instances by their demand when permits are scarce.
  *
- * <p>A pure function, so thread safe.
+ * <p>Confined to one call of {@link #split}, which is a pure function and thread-safe.
  *
- * <p>Load: a team at its limit with work waiting at several instances, because the balancer spreads
- * its callers unevenly. Harm prevented: an instance that holds all permits refills each one that
- * comes free from its own queue, and callers who entered elsewhere wait for ever. By demand, every
- * waiting task has the same chance wherever it entered. Urgent work comes first. One permit for
- * each instance with demand comes before proportion, since a proportion below one rounds to
- * nothing; with fewer permits than instances, those go first that have gone longest without a rise.
+ * <p>When a team is at its limit, work waits at several instances because the load balancer spreads
+ * the team's requests unevenly. Without a split, an instance that holds all permits would reuse
+ * each freed permit for its own queue, and requests that arrived at other instances would starve. A
+ * split by demand gives every waiting task the same chance wherever it arrived. Urgent work is
+ * served first. Each instance with demand gets one permit before the rest is divided in proportion,
+ * since a proportional share below one rounds to zero. With fewer permits than instances, those
+ * whose hold has not increased for the longest time are served first.
  */
 final class PermitSplit {
 
@@ -31,63 +32,63 @@
   }
 
   /**
-   * Splits.
+   * Divides permits by demand.
    *
-   * @param permits the number to split
+   * @param permits the number of permits to divide
    * @param demands the demand of each instance
-   * @param team the holds, for who has gone longest without a rise
-   * @return the share of each instance, its demand at the most
+   * @param team the holds, which show when the hold of each instance last increased
+   * @return the share of each instance that gets permits, which never exceeds its demand
    */
   static Map<Holder, Integer> split(
       int permits, Map<Holder, PermitDemand> demands, TeamPermits team) {
     PermitSplit split = new PermitSplit(demands, team);
-    int left = split.allocate(Math.max(0, permits), PermitDemand::urgent);
-    split.allocate(left, demand -> demand.total() - demand.urgent());
+    int remaining = split.allocate(Math.max(0, permits), PermitDemand::urgent);
+    split.allocate(remaining, demand -> demand.total() - demand.urgent());
     return split.shares;
   }
 
-  private int allocate(int permits, ToIntFunction<PermitDemand> need) {
-    List<Holder> needy = new ArrayList<>();
+  private int allocate(int permits, ToIntFunction<PermitDemand> demandOf) {
+    List<Holder> claimants = new ArrayList<>();
     long sum = 0;
     for (Map.Entry<Holder, PermitDemand> entry : demands.entrySet()) {
-      int wanted = need.applyAsInt(entry.getValue());
+      int wanted = demandOf.applyAsInt(entry.getValue());
       if (wanted > 0) {
-        needy.add(entry.getKey());
+        claimants.add(entry.getKey());
         sum += wanted;
       }
     }
     if (sum <= permits) {
-      needy.forEach(holder -> addShare(holder, need.applyAsInt(demands.get(holder))));
+      claimants.forEach(holder -> addShare(holder, demandOf.applyAsInt(demands.get(holder))));
       return permits - (int) sum;
     }
-    needy.sort(Comparator.comparingLong(this::raisedAt).thenComparing(holder -> holder));
-    if (permits < needy.size()) {
-      needy.subList(0, permits).forEach(holder -> addShare(holder, 1));
+    claimants.sort(Comparator.comparingLong(this::raisedAt).thenComparing(holder -> holder));
+    if (permits < claimants.size()) {
+      claimants.subList(0, permits).forEach(holder -> addShare(holder, 1));
       return 0;
     }
-    needy.forEach(holder -> addShare(holder, 1));
-    allocateProportionally(permits - needy.size(), needy, sum - needy.size(), need);
+    claimants.forEach(holder -> addShare(holder, 1));
+    allocateProportionally(permits - claimants.size(), claimants, sum - claimants.size(), demandOf);
     return 0;
   }
 
-  // Largest remainder: everybody gets the whole part of a proportional share, and what rounding
-  // leaves over goes to those who lost most by it.
+  // The largest remainder method: each instance gets the integral part of its proportional share,
+  // and the permits left over by rounding go to the instances with the largest remainders.
   private void allocateProportionally(
-      int permits, List<Holder> needy, long sum, ToIntFunction<PermitDemand> need) {
+      int permits, List<Holder> claimants, long sum, ToIntFunction<PermitDemand> demandOf) {
     Map<Holder, Long> remainders = new HashMap<>();
-    int left = permits;
-    for (Holder holder : needy) {
-      long product = (long) permits * (need.applyAsInt(demands.get(holder)) - 1);
-      int whole = (int) (product / sum);
-      addShare(holder, whole);
-      left -= whole;
+    int remaining = permits;
+    for (Holder holder : claimants) {
+      long product = (long) permits * (demandOf.applyAsInt(demands.get(holder)) - 1);
+      int integralShare = (int) (product / sum);
+      addShare(holder, integralShare);
+      remaining -= integralShare;
       remainders.put(holder, product % sum);
     }
-    List<Holder> byRemainder = new ArrayList<>(needy);
+    List<Holder> byRemainder = new ArrayList<>(claimants);
     byRemainder.sort(
         Comparator.comparingLong((Holder holder) -> -remainders.get(holder))
             .thenComparing(holder -> holder));
-    byRemainder.subList(0, left).forEach(holder -> addShare(holder, 1));
+    byRemainder.subList(0, remaining).forEach(holder -> addShare(holder, 1));
   }
 
   private long raisedAt(Holder holder) {
--- a/core/src/main/java/org/hickorypier/core/permits/PermitState.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitState.java
@@ -7,15 +7,15 @@
 import java.util.function.Predicate;
 
 /**
- * The permits of all teams as folded up to an offset.
+ * The permits of all teams as folded from the log up to an offset.
  *
- * <p>Immutable and thread safe. Two instances that folded up to the same offset hold equal states.
+ * <p>Immutable and thread-safe. Instances that have folded up to the same offset have equal states.
  *
- * @param offset the last offset folded, -1 if none
- * @param teams the teams by name
+ * @param offset the last folded offset, -1 if there is none
+ * @param teams the permits of each team, by team name
  * @param sequences the last sequence number of each holder
- * @param fenced the highest incarnation fenced off, by instance
- * @param workers who spoke for each worker last, and who adopted what there
+ * @param fenced the highest fenced incarnation, by instance
+ * @param workers the last folded controller and the adoptions of each worker, by worker name
  */
 public record PermitState(
     long offset,
@@ -25,8 +25,8 @@
     Map<String, WorkerAdoptions> workers) {
 
   /**
-   * For how many offsets a holder that holds nothing, or an incarnation fenced off, is remembered.
-   * Forgetting one too early costs at most a hold that nobody uses, which is freed again.
+   * The number of offsets for which a holder without permits, or a fenced incarnation, is retained.
+   * Removing one too early costs at most a hold that nobody uses, which is freed again.
    */
   static final long RETENTION_OFFSETS = 65_536;
 
@@ -34,7 +34,7 @@
   public static final PermitState EMPTY =
       new PermitState(-1, Map.of(), Map.of(), Map.of(), Map.of());
 
-  /** Copies the maps. */
+  /** Copies the maps, so that the record stays immutable. */
   public PermitState {
     teams = Map.copyOf(teams);
     sequences = Map.copyOf(sequences);
@@ -46,48 +46,48 @@
    * Returns a team's permits.
    *
    * @param team the team
-   * @return its permits; limit 0 if the team is unknown
+   * @return the permits, with a limit of 0 if the team is unknown
    */
   public TeamPermits team(String team) {
     return teams.getOrDefault(team, TeamPermits.NONE);
   }
 
   /**
-   * Returns what was said of a worker.
+   * Returns the controller and the adoptions of a worker.
    *
    * @param worker the worker
-   * @return who spoke last, and the adoptions; token 0 if nobody spoke
+   * @return the last folded controller and the adoptions, with a token of 0 if there are none
    */
   public WorkerAdoptions worker(String worker) {
     return workers.getOrDefault(worker, WorkerAdoptions.NONE);
   }
 
   /**
-   * Returns the last sequence number folded of a holder.
+   * Returns the last folded sequence number of a holder.
    *
    * @param holder the holder
-   * @return the number, 0 if none
+   * @return the number, 0 if there is none
    */
   public long sequenceOf(Holder holder) {
-    NumberAtOffset mark = sequences.get(holder);
-    return mark == null ? 0 : mark.number();
+    NumberAtOffset latest = sequences.get(holder);
+    return latest == null ? 0 : latest.number();
   }
 
   /**
-   * Tells whether an incarnation, or one after it of the same instance, was fenced off.
+   * Returns whether an incarnation, or a later one of the same instance, was fenced.
    *
    * @param holder the incarnation
-   * @return true if it gets no more permits and starts nothing any more
+   * @return whether the incarnation may neither receive permits nor start tasks
    */
   public boolean isFenced(Holder holder) {
-    NumberAtOffset mark = fenced.get(holder.instance());
-    return mark != null && holder.incarnation() <= mark.number();
+    NumberAtOffset latest = fenced.get(holder.instance());
+    return latest != null && holder.incarnation() <= latest.number();
   }
 
   /**
-   * Returns all that hold permits or have held some and are not fenced, dead ones too.
+   * Returns all holders that have or had permits and are not retired, including failed ones.
    *
-   * @return the holders in order
+   * @return the holders in ascending order
    */
   public Set<Holder> holders() {
     Set<Holder> holders = new TreeSet<>();
@@ -96,10 +96,10 @@
   }
 
   /**
-   * Tells whether no incarnation that ever held permits is gone.
+   * Returns whether every incarnation that ever held permits is live.
    *
-   * @param isLive whether an incarnation looks live
-   * @return false also if one was fenced off that is remembered here
+   * @param isLive whether an incarnation appears to be live
+   * @return whether all are live; false if the state retains a fenced incarnation
    */
   public boolean hasOnlyLiveHolders(Predicate<Holder> isLive) {
     return fenced.isEmpty()
@@ -126,7 +126,7 @@
   PermitState withSequence(Holder holder, long sequence) {
     Map<Holder, NumberAtOffset> next = new HashMap<>(sequences);
     if (next.put(holder, new NumberAtOffset(sequence, offset)) == null) {
-      // A new holder is the moment to forget old ones, so the map stays as small as the fleet.
+      // Each new holder triggers the removal of old ones, so the map stays as small as the fleet.
       Set<Holder> holding = holders();
       next.entrySet()
           .removeIf(entry -> isExpired(entry.getValue()) && !holding.contains(entry.getKey()));
@@ -155,14 +155,14 @@
   private Map<String, WorkerAdoptions> workersWithout(Holder holder) {
     Map<String, WorkerAdoptions> next = new HashMap<>();
     workers.forEach((name, worker) -> next.put(name, worker.withoutAdopter(holder)));
-    // Workers that were replaced long ago.
+    // Removes workers that were replaced long ago.
     next.values()
         .removeIf(
             worker -> worker.adopters().isEmpty() && worker.offset() < offset - RETENTION_OFFSETS);
     return next;
   }
 
-  private boolean isExpired(NumberAtOffset mark) {
-    return mark.offset() < offset - RETENTION_OFFSETS;
+  private boolean isExpired(NumberAtOffset number) {
+    return number.offset() < offset - RETENTION_OFFSETS;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/permits/PermitView.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitView.java
@@ -4,16 +4,18 @@
 import java.util.OptionalInt;
 
 /**
- * What one instance knows of one team when it plans its permits.
+ * The input for planning the permits of one team at one instance.
  *
  * <p>Immutable.
  *
  * @param self this instance
- * @param team the team's permits as folded
+ * @param team the team's permits as folded from the log
  * @param own this instance's demand
- * @param others the demand of the other live instances, from their digests
- * @param pendingRequest the number last asked for and not yet read back
- * @param idleMillis for how long more permits have been idle than are kept in reserve
+ * @param others the demand of each other live instance, from its digest
+ * @param pendingRequest the number of permits last requested, or empty if no request is pending in
+ *     the log
+ * @param idleMillis the time in milliseconds for which more permits have been idle than the reserve
+ *     needs
  */
 public record PermitView(
     Holder self,
@@ -23,7 +25,7 @@
     OptionalInt pendingRequest,
     long idleMillis) {
 
-  /** Copies the map. */
+  /** Copies the map, so that the record stays immutable. */
   public PermitView {
     others = Map.copyOf(others);
   }
--- a/core/src/main/java/org/hickorypier/core/permits/PlannedPermits.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PlannedPermits.java
@@ -8,12 +8,12 @@
  *
  * <p>Immutable.
  *
- * @param usable how many tasks the instance may have running now
- * @param records what to append to the permits stream, in this order
+ * @param usable the number of tasks that the instance may run now
+ * @param records the records to append to the permits stream, in this order
  */
 public record PlannedPermits(int usable, List<PermitRecord> records) {
 
-  /** Copies the list. */
+  /** Copies the list, so that the record stays immutable. */
   public PlannedPermits {
     records = List.copyOf(records);
   }
--- a/core/src/main/java/org/hickorypier/core/permits/RetirementRule.java
+++ b/core/src/main/java/org/hickorypier/core/permits/RetirementRule.java
@@ -3,55 +3,56 @@
 import java.util.Collection;
 
 /**
- * Decides when an instance that looks gone may be fenced off, and when its permits may be freed.
+ * Decides when an apparently failed instance may be fenced and when its permits may be freed.
  *
- * <p>A pure function, so thread safe. Both decisions need a sighting of each and every worker of
- * the fleet; with one missing, do not ask.
+ * <p>Stateless and thread-safe. Both decisions require an observation of every worker of the fleet
+ * and must not be requested while one is missing.
  *
- * <p>Load: 47 instances fail on an ordinary day, and each leaves running tasks behind on many
- * workers. Harm prevented: permits freed while a task that they cover still runs, or while their
- * holder, which was only paused, still counts on them; others would start in its place, and the
- * team would be over its limit. Permits freed late cost no more than room below the limit.
+ * <p>47 instances fail on an ordinary day, and each leaves running tasks behind on many workers.
+ * Permits that are freed while a task that they cover still runs, or while their paused holder
+ * still counts on them, let other instances start tasks beyond the team's limit. Permits that are
+ * freed late only leave capacity below the limit unused.
  */
 public final class RetirementRule {
 
   private RetirementRule() {}
 
   /**
-   * Decides whether a holder may be fenced off.
+   * Returns whether a holder may be fenced.
    *
-   * <p>Why it is enough: it controls no worker, so it can start nothing unless it claims one anew.
-   * Then it has to speak for that worker first. If its word is folded before the fence, the fence
-   * is refused; if after, its word is refused, and it starts nothing.
+   * <p>A holder that controls no worker has to claim one and append an adoption record for it
+   * before it can start a task. If the adoption record is folded before the fence, the fold rejects
+   * the fence. If it is folded after the fence, the fold rejects the adoption record, and the
+   * holder starts nothing.
    *
-   * @param gone the holder
-   * @param sightings what each worker said
-   * @return true if it controls none of them
+   * @param holder the holder
+   * @param observations the observation of each worker
+   * @return whether the holder controls none of the workers
    */
-  public static boolean mayFence(Holder gone, Collection<WorkerObservation> sightings) {
-    return sightings.stream()
-        .noneMatch(sighting -> sighting.controller().filter(gone::equals).isPresent());
+  public static boolean mayFence(Holder holder, Collection<WorkerObservation> observations) {
+    return observations.stream()
+        .noneMatch(observation -> observation.controller().filter(holder::equals).isPresent());
   }
 
   /**
-   * Decides whether the permits of a holder may be freed.
+   * Returns whether the permits of a holder may be freed.
    *
-   * <p>Why it is enough: it starts nothing any more, and every task found is covered by permits
-   * elsewhere. The fold lets nobody bring a task back under its permits.
+   * <p>A fenced holder starts no tasks, and every observed task is covered by the permits of
+   * another holder. The fold never moves a task back under the permits of a fenced holder.
    *
-   * @param state the permits as folded
-   * @param gone the holder
-   * @param sightings what each worker said after the fence was folded
-   * @return true if its permits cover no task
+   * @param state the permits as folded from the log
+   * @param holder the holder
+   * @param observations the observation of each worker, made after the fence was folded
+   * @return whether the holder is fenced and its permits cover no task
    */
   public static boolean mayRetire(
-      PermitState state, Holder gone, Collection<WorkerObservation> sightings) {
-    return state.isFenced(gone)
-        && sightings.stream().noneMatch(sighting -> covers(state, gone, sighting));
+      PermitState state, Holder holder, Collection<WorkerObservation> observations) {
+    return state.isFenced(holder)
+        && observations.stream().noneMatch(observation -> covers(state, holder, observation));
   }
 
-  private static boolean covers(PermitState state, Holder gone, WorkerObservation sighting) {
-    WorkerAdoptions worker = state.worker(sighting.worker());
-    return sighting.owners().stream().anyMatch(owner -> worker.holderOf(owner).equals(gone));
+  private static boolean covers(PermitState state, Holder holder, WorkerObservation observation) {
+    WorkerAdoptions worker = state.worker(observation.worker());
+    return observation.owners().stream().anyMatch(owner -> worker.holderOf(owner).equals(holder));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/permits/TeamPermits.java
+++ b/core/src/main/java/org/hickorypier/core/permits/TeamPermits.java
@@ -4,30 +4,31 @@
 import java.util.Map;
 
 /**
- * The limit of one team and who holds how much of it.
+ * The limit of one team and the permits that each holder has.
  *
- * <p>Immutable. The sum of the holds exceeds the limit only after the limit was lowered, and then
- * it only falls.
+ * <p>Immutable. The sum of the holds exceeds the limit only after the limit was lowered, and until
+ * it is back within the limit it only decreases.
  *
  * @param revision the team's revision in the configuration
- * @param limit its upper limit
- * @param holds the holds; one that was given back whole stays at 0, for the order of turns
+ * @param limit the team's upper limit
+ * @param holds the permits by holder; a holder that returned all of them stays with a count of 0,
+ *     since the offset of its last increase determines its priority when permits are scarce
  * @param sum the sum of the holds
  */
 public record TeamPermits(long revision, int limit, Map<Holder, HeldPermits> holds, int sum) {
 
   static final TeamPermits NONE = new TeamPermits(0, 0, Map.of(), 0);
 
-  /** Copies the map. */
+  /** Copies the map, so that the record stays immutable. */
   public TeamPermits {
     holds = Map.copyOf(holds);
   }
 
   /**
-   * Returns how many permits a holder holds.
+   * Returns the number of permits of a holder.
    *
    * @param holder the holder
-   * @return the number
+   * @return the number, 0 for an unknown holder
    */
   public int heldBy(Holder holder) {
     HeldPermits held = holds.get(holder);
@@ -35,7 +36,7 @@
   }
 
   /**
-   * Returns how many permits nobody holds.
+   * Returns the number of permits that no holder has.
    *
    * @return the number, never negative
    */
@@ -44,9 +45,9 @@
   }
 
   /**
-   * Tells whether more is held than the limit allows, after it was lowered.
+   * Returns whether the holds exceed the limit, which happens after the limit was lowered.
    *
-   * @return true if so
+   * @return whether the sum of the holds exceeds the limit
    */
   public boolean isOverLimit() {
     return sum > limit;
--- a/core/src/main/java/org/hickorypier/core/permits/WorkerAdoptions.java
+++ b/core/src/main/java/org/hickorypier/core/permits/WorkerAdoptions.java
@@ -4,37 +4,37 @@
 import java.util.Map;
 
 /**
- * Who spoke last for a worker, and who holds the permits of the adopted tasks on it.
+ * The last controller of a worker that was folded, and the holders that adopted tasks on it.
  *
  * <p>Immutable.
  *
- * @param token the highest control token spoken under
- * @param controller who spoke
- * @param offset the offset of its record
- * @param adopters the adopter of the tasks of each owner that is gone
+ * @param token the highest control token of a folded adoption record, 0 if there is none
+ * @param controller the holder that appended that record
+ * @param offset the offset of that record
+ * @param adopters the adopter of the tasks of each failed owner
  */
 public record WorkerAdoptions(
     long token, Holder controller, long offset, Map<Holder, Holder> adopters) {
 
   static final WorkerAdoptions NONE = new WorkerAdoptions(0, new Holder("", 0), -1, Map.of());
 
-  /** Copies the map. */
+  /** Copies the map, so that the record stays immutable. */
   public WorkerAdoptions {
     adopters = Map.copyOf(adopters);
   }
 
   /**
-   * Returns who holds the permits of an owner's tasks on this worker.
+   * Returns the holder whose permits cover an owner's tasks on this worker.
    *
-   * @param owner who started them
+   * @param owner the holder that started the tasks
    * @return the adopter, or the owner itself
    */
   public Holder holderOf(Holder owner) {
     return adopters.getOrDefault(owner, owner);
   }
 
-  // A controller that was paused before it could say what it had adopted speaks too late when the
-  // worker has granted a higher token since: the tasks are another's by now.
+  // A controller that was paused before it appended its adoption record is superseded if the worker
+  // has granted a higher token since: the tasks now belong to another controller.
   boolean isSuperseded(long otherToken, Holder other) {
     return otherToken < token || otherToken == token && !other.equals(controller);
   }
--- a/core/src/main/java/org/hickorypier/core/permits/package-info.java
+++ b/core/src/main/java/org/hickorypier/core/permits/package-info.java
@@ -1,2 +1,2 @@
-/** Upper limits across the fleet: the fold of the permits stream and the planning of holds. */
+/** Enforces team limits across the fleet: folds the permits stream and plans permit requests. */
 package org.hickorypier.core.permits;
--- a/core/src/test/java/org/hickorypier/core/permits/PermitFleet.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitFleet.java
@@ -8,8 +8,9 @@
 import org.hickorypier.wire.record.PermitRecord;
 
 /**
- * Instances that share one log, each reading it at its own pace, with workers that know which
- * instance controls them. What really runs is kept by the workers, apart from what instances think.
+ * A simulated fleet: instances that share one log and read it at their own pace, and workers that
+ * know which instance controls them. The workers keep the tasks that actually run, independently of
+ * the state of the instances.
  */
 final class PermitFleet {
 
@@ -52,12 +53,12 @@
     limits.add(head.team(TEAM).limit());
   }
 
-  /** What runs, by the workers' own record. */
+  /** Returns the number of running tasks according to the workers. */
   int running() {
     return workers.values().stream().mapToInt(Worker::running).sum();
   }
 
-  /** The largest limit in force from an offset to the end of the log. */
+  /** Returns the largest limit in force between an offset and the end of the log. */
   int largestLimitSince(long offset) {
     int largest = 0;
     for (int at = (int) Math.max(0, offset); at < limits.size(); at++) {
@@ -71,7 +72,7 @@
     return member != null && member.self.equals(holder) && !member.paused;
   }
 
-  List<WorkerObservation> sightings() {
+  List<WorkerObservation> observations() {
     return workers.values().stream()
         .map(
             worker ->
@@ -80,7 +81,7 @@
         .toList();
   }
 
-  /** A worker: it refuses orders under any token but its last one. */
+  /** A worker that rejects orders under any control token other than the last one it granted. */
   static final class Worker {
 
     final String name;
@@ -92,8 +93,8 @@
       this.name = name;
     }
 
-    long grantControl(Holder to) {
-      controller = to;
+    long grantControl(Holder newController) {
+      controller = newController;
       return ++token;
     }
 
--- a/core/src/test/java/org/hickorypier/core/permits/PermitFleetMember.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitFleetMember.java
@@ -11,7 +11,7 @@
 import org.hickorypier.wire.record.PermitRecord.AdoptedTasks;
 import org.hickorypier.wire.record.PermitRecord.Retire;
 
-/** One instance of the fleet in the tests. */
+/** An instance of the simulated fleet. */
 final class PermitFleetMember {
 
   private static final String TEAM = PermitFleet.TEAM;
@@ -71,7 +71,7 @@
     return new PermitDemand(running(), waiting, Math.min(urgent, waiting));
   }
 
-  /** Sends the oldest record; if the answer is lost, it will be sent again. */
+  /** Sends the oldest record, which stays in the outbox for a retry if the answer is lost. */
   void send(boolean answerLost) {
     if (!outbox.isEmpty()) {
       fleet.append(answerLost ? outbox.peek() : outbox.poll());
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Starts one task if the permits allow, and a worker does. */
+  /** Starts one task if the permits allow it and a worker accepts it. */
   boolean start() {
     if (waiting == 0 || running() >= permits.usable(TEAM)) {
       return false;
@@ -114,8 +114,8 @@
     adoptOn(worker, true);
   }
 
-  /** Adopts the tasks of holders that are fenced off, and speaks for the worker. */
-  void adoptOn(Worker worker, boolean speakAnyway) {
+  /** Adopts the tasks of fenced holders on a worker, by a record that also announces control. */
+  void adoptOn(Worker worker, boolean evenWithoutTasks) {
     long token = controlTokens.getOrDefault(worker.name, -1L);
     if (token != worker.token) {
       return;
@@ -128,7 +128,7 @@
             adopted.add(new AdoptedTasks(TEAM, owner.instance(), owner.incarnation(), count));
           }
         });
-    if (speakAnyway || !adopted.isEmpty()) {
+    if (evenWithoutTasks || !adopted.isEmpty()) {
       outbox.add(permits.createAdoption(worker.name, token, adopted));
     }
   }
@@ -137,15 +137,15 @@
     fleet.workers.values().forEach(worker -> adoptOn(worker, false));
   }
 
-  void fence(Holder gone) {
-    if (RetirementRule.mayFence(gone, fleet.sightings())) {
-      outbox.add(permits.createFence(gone));
+  void fence(Holder holder) {
+    if (RetirementRule.mayFence(holder, fleet.observations())) {
+      outbox.add(permits.createFence(holder));
     }
   }
 
-  void retire(Holder gone) {
-    if (RetirementRule.mayRetire(permits.state(), gone, fleet.sightings())) {
-      outbox.add(new Retire(gone.instance(), gone.incarnation()));
+  void retire(Holder holder) {
+    if (RetirementRule.mayRetire(permits.state(), holder, fleet.observations())) {
+      outbox.add(new Retire(holder.instance(), holder.incarnation()));
     }
   }
 }
--- a/core/src/test/java/org/hickorypier/core/permits/PermitFleetTest.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitFleetTest.java
@@ -33,7 +33,10 @@
     return members;
   }
 
-  /** Lets every instance plan, send, read and start until nothing changes any more. */
+  /**
+   * Runs 20 rounds, after which the fleet is stable: live instances plan, all instances send their
+   * records, and live instances read the log and start tasks.
+   */
   private void settle() {
     for (int round = 0; round < 20; round++) {
       fleet.now += 1_000;
@@ -57,9 +60,9 @@
     return fleet.head.team(TEAM);
   }
 
-  // A peak begins: all eight instances have more waiting than the whole limit and ask in the same
-  // moment, none knowing of the others' requests. Whatever each asked for, no more than the limit
-  // is held, and each gets its part.
+  // Guards against exceeding the limit when a load peak begins: eight instances, each with more
+  // waiting work than the whole limit, request permits at once without knowing of the other
+  // requests. The holds stay within the limit, and every instance gets a share.
   @Test
   void simultaneousRequestsStayWithinLimit() {
     List<PermitFleetMember> members = joinAll(8, 40);
@@ -74,9 +77,9 @@
     assertThat(members).allMatch(member -> member.running() >= 4);
   }
 
-  // An operator lowers a limit of 40 to 10 while 40 run. Nothing is killed and nothing starts until
-  // fewer than 10 run. Without the rule, instances would refill each permit that comes free and
-  // stay at 40 for as long as work waits.
+  // An operator lowers a limit of 40 to 10 while 40 tasks run. No task is killed, and none starts
+  // until fewer than 10 run. Otherwise instances would reuse each freed permit and stay at 40 for
+  // as long as work waits.
   @Test
   void loweredLimitStartsNothingUntilEnoughTasksEnd() {
     List<PermitFleetMember> members = joinAll(4, 40);
@@ -99,8 +102,8 @@
     assertThat(head().sum()).isEqualTo(10);
   }
 
-  // The operator's change has reached this instance before it has reached the permits stream. From
-  // then on the instance starts nothing above the new limit.
+  // The lowered limit reaches the instance by the configuration before it is in the permits stream.
+  // From then on the instance starts nothing above the new limit.
   @Test
   void loweredLimitAppliesBeforeItsRecordIsFolded() {
     PermitFleetMember member = joinAll(1, 10).get(0);
@@ -113,33 +116,34 @@
     assertThat(member.start()).isFalse();
   }
 
-  // An instance dies with 20 running tasks and 10 idle permits. Its permits stay parked while its
-  // tasks may run. The adopter of its tasks gets the 20; the others get the 10 once it is retired.
+  // An instance fails with 20 running tasks and 10 idle permits. It keeps all its permits while its
+  // tasks may run. The adopter of its tasks gets 20; the other 10 are freed once it is retired.
   @Test
   void deadInstanceKeepsPermitsUntilTakeover() {
     List<PermitFleetMember> members = joinAll(3, 30);
-    PermitFleetMember dead = members.get(0);
-    dead.waiting = 30;
+    PermitFleetMember failed = members.get(0);
+    failed.waiting = 30;
     settle();
     for (int ended = 0; ended < 10; ended++) {
-      dead.endOne();
+      failed.endOne();
     }
-    dead.paused = true;
+    failed.paused = true;
     members.get(1).waiting = 50;
     members.get(2).waiting = 50;
     settle();
-    assertThat(head().heldBy(dead.self)).isEqualTo(30);
+    assertThat(head().heldBy(failed.self)).isEqualTo(30);
     assertThat(fleet.running()).isEqualTo(20);
 
-    takeOver(members.get(1), dead);
+    takeOver(members.get(1), failed);
 
     assertThat(fleet.running()).isEqualTo(30);
-    assertThat(head().heldBy(dead.self)).isZero();
+    assertThat(head().heldBy(failed.self)).isZero();
     assertThat(members.get(1).running()).isGreaterThanOrEqualTo(20);
   }
 
-  // The dead one was only paused. It wakes with 10 permits in its view that others use by now. Its
-  // workers refuse its orders, and once it has read the log it has nothing and gets nothing.
+  // An instance is taken over while it is paused and resumes with 10 permits in its state that
+  // others now use. Workers reject its orders, and once it has read the log it has no permits and
+  // gets none.
   @Test
   void resumedHolderCannotUseReassignedPermits() {
     List<PermitFleetMember> members = joinAll(2, 10);
@@ -171,9 +175,9 @@
     assertThat(head().heldBy(paused.self)).isZero();
   }
 
-  // One instance holds all permits and has work waiting without end; a single request enters at
-  // another. Each permit that comes free would be refilled where it is, and that caller would wait
-  // until morning. The split takes one from the large holder.
+  // Guards against starvation: one instance holds all permits and has a long queue, and a single
+  // request arrives at another. If the holder reused each freed permit, that request would never
+  // start. The split takes one permit from the large holder.
   @Test
   void newRequestIsNotStarvedByHolderOfAllPermits() {
     List<PermitFleetMember> members = joinAll(2, 16);
@@ -190,8 +194,8 @@
     assertThat(members.get(1).running()).isEqualTo(1);
   }
 
-  // One permit in all and three instances with work. Each gets its turn, in the order in which they
-  // have gone without.
+  // Three instances with work share a single permit. Each gets it in turn; the instance that has
+  // been without a permit for the longest time comes first.
   @Test
   void singlePermitRotatesAmongInstances() {
     List<PermitFleetMember> members = joinAll(3, 1);
@@ -207,8 +211,9 @@
     assertThat(members).allMatch(member -> member.started >= 3);
   }
 
-  // The team is at its limit and an urgent task enters where no permit is. The next task that ends
-  // anywhere makes room for it, before a hundred that have waited longer.
+  // The team is at its limit, and an urgent task arrives at an instance without permits. It gets
+  // the permit of the next task that ends at any instance, ahead of a hundred tasks that waited
+  // longer.
   @Test
   void urgentDemandIsServedFirst() {
     List<PermitFleetMember> members = joinAll(3, 4);
@@ -226,9 +231,8 @@
     assertThat(members.get(2).running()).isEqualTo(1);
   }
 
-  // Bursts come and go below the limit. A hold must not follow each of them up and down, at a
-  // record
-  // each, and must be given back in the end.
+  // Demand changes in bursts below the limit. A hold must not follow each change, which would cost
+  // a record each time, and must be returned in the end.
   @Test
   void holdsGrowInStepsAndShrinkAfterDelay() {
     PermitFleetMember member = joinAll(2, 1_000).get(0);
@@ -251,114 +255,117 @@
     assertThat(head().sum()).isZero();
   }
 
-  // Everything at once, in random order: requests that race, answers that are lost, limits that
-  // move, instances that pause, are taken over, wake, restart. After each step: no record that
-  // raised the holds took them over the limit; what really runs has its permits; and no start took
-  // the team over every limit that was in force since the starter last read the log.
+  // Combines failures in random order: concurrent requests, lost answers, changing limits, and
+  // instances that pause, are taken over, resume and restart. After each step, no record that
+  // raised the holds took them over the limit, and the holds cover all running tasks. No start
+  // exceeds the largest limit in force since the starting instance last read the log.
   @Property(tries = 300, seed = "11")
   void randomOperationsStayWithinLimit(@ForAll Random random) {
-    PermitFleet chaos = new PermitFleet(6);
-    chaos.configure(10);
+    PermitFleet randomFleet = new PermitFleet(6);
+    randomFleet.configure(10);
     for (int index = 0; index < 4; index++) {
-      chaos.join("i" + index);
+      randomFleet.join("i" + index);
     }
     for (int step = 0; step < 1_500; step++) {
-      int sumBefore = chaos.head.team(TEAM).sum();
-      step(chaos, random);
-      TeamPermits team = chaos.head.team(TEAM);
+      int sumBefore = randomFleet.head.team(TEAM).sum();
+      step(randomFleet, random);
+      TeamPermits team = randomFleet.head.team(TEAM);
       if (team.sum() > sumBefore) {
         assertThat(team.sum()).isLessThanOrEqualTo(team.limit());
       }
-      assertThat(chaos.running()).isLessThanOrEqualTo(team.sum());
+      assertThat(randomFleet.running()).isLessThanOrEqualTo(team.sum());
     }
-    assertThat(chaos.log).isNotEmpty();
+    assertThat(randomFleet.log).isNotEmpty();
   }
 
-  // A new instance starts after the first records have expired, from a snapshot and the records
-  // after it. It must grant as all others do, or two of them would count on the same permit.
+  // A new instance starts from a snapshot and the records after it, because the first records have
+  // expired. It must reach the same state as the others, or two instances would use the same
+  // permit.
   @Property(tries = 200, seed = "12")
   void snapshotAndLaterRecordsReachTheSameState(@ForAll Random random) throws Exception {
-    PermitFleet chaos = new PermitFleet(6);
-    chaos.configure(10);
+    PermitFleet randomFleet = new PermitFleet(6);
+    randomFleet.configure(10);
     for (int index = 0; index < 4; index++) {
-      chaos.join("i" + index);
+      randomFleet.join("i" + index);
     }
-    PermitState atCut = PermitState.EMPTY;
+    PermitState stateAtCut = PermitState.EMPTY;
     int cut = 100 + random.nextInt(300);
     for (int step = 0; step < 500; step++) {
-      step(chaos, random);
+      step(randomFleet, random);
       if (step == cut) {
-        atCut = chaos.head;
+        stateAtCut = randomFleet.head;
       }
     }
     MessagePackCodec<PermitRecord> codec = new MessagePackCodec<>(PermitRecord.class);
-    PermitRecord snapshot = codec.decode(codec.encode(PermitSnapshots.write("s", atCut)));
+    PermitRecord snapshot = codec.decode(codec.encode(PermitSnapshots.write("s", stateAtCut)));
 
-    PermitState late = PermitFold.apply(PermitState.EMPTY, chaos.log.size(), snapshot).state();
-    for (int offset = (int) late.offset() + 1; offset < chaos.log.size(); offset++) {
-      late = PermitFold.apply(late, offset, chaos.log.get(offset)).state();
+    PermitState restored =
+        PermitFold.apply(PermitState.EMPTY, randomFleet.log.size(), snapshot).state();
+    for (int offset = (int) restored.offset() + 1; offset < randomFleet.log.size(); offset++) {
+      restored = PermitFold.apply(restored, offset, randomFleet.log.get(offset)).state();
     }
 
-    assertThat(late).isEqualTo(chaos.head);
+    assertThat(restored).isEqualTo(randomFleet.head);
   }
 
-  private void takeOver(PermitFleetMember adopter, PermitFleetMember gone) {
+  private void takeOver(PermitFleetMember adopter, PermitFleetMember failed) {
     for (PermitFleet.Worker worker : fleet.workers.values()) {
-      if (gone.self.equals(worker.controller)) {
+      if (failed.self.equals(worker.controller)) {
         adopter.claim(worker);
       }
     }
     settle();
-    adopter.fence(gone.self);
+    adopter.fence(failed.self);
     settle();
     adopter.adoptAll();
     settle();
-    adopter.retire(gone.self);
+    adopter.retire(failed.self);
     settle();
   }
 
-  private static void step(PermitFleet chaos, Random random) {
-    chaos.now += random.nextInt(500);
-    PermitFleetMember member = pick(chaos.members.values(), random);
-    PermitFleet.Worker worker = pick(chaos.workers.values(), random);
-    int dice = random.nextInt(100);
-    if (dice < 2) {
+  private static void step(PermitFleet randomFleet, Random random) {
+    randomFleet.now += random.nextInt(500);
+    PermitFleetMember member = pick(randomFleet.members.values(), random);
+    PermitFleet.Worker worker = pick(randomFleet.workers.values(), random);
+    int choice = random.nextInt(100);
+    if (choice < 2) {
       if (random.nextInt(4) == 0) {
-        chaos.configure(random.nextInt(25));
+        randomFleet.configure(random.nextInt(25));
       }
-    } else if (dice < 5) {
+    } else if (choice < 5) {
       member.paused = !member.paused && random.nextInt(5) == 0;
-    } else if (dice < 8 && (member.paused || chaos.head.isFenced(member.self))) {
-      chaos.join(member.self.instance());
-    } else if (dice < 10 && !chaos.log.isEmpty()) {
-      // An append that was given up arrives after all, long after its repeat.
-      chaos.append(chaos.log.get(random.nextInt(chaos.log.size())));
-    } else if (dice < 13) {
+    } else if (choice < 8 && (member.paused || randomFleet.head.isFenced(member.self))) {
+      randomFleet.join(member.self.instance());
+    } else if (choice < 10 && !randomFleet.log.isEmpty()) {
+      // An append that timed out takes effect long after its retry.
+      randomFleet.append(randomFleet.log.get(random.nextInt(randomFleet.log.size())));
+    } else if (choice < 13) {
       worker.tasks.keySet().stream().findFirst().ifPresent(worker::end);
-    } else if (dice < 26) {
+    } else if (choice < 26) {
       member.waiting += random.nextInt(6);
     } else if (!member.paused) {
-      act(chaos, member, worker, random);
+      act(randomFleet, member, worker, random);
     }
   }
 
   private static void act(
-      PermitFleet chaos, PermitFleetMember member, PermitFleet.Worker worker, Random random) {
-    // Views of who is gone are wrong now and then.
-    Predicate<Holder> isGone =
-        holder -> !holder.equals(member.self) && chaos.isLive(holder) == (random.nextInt(60) == 0);
+      PermitFleet randomFleet, PermitFleetMember member, PermitFleet.Worker worker, Random random) {
+    // Failure detection is occasionally wrong.
+    Predicate<Holder> isSuspected =
+        holder ->
+            !holder.equals(member.self) && randomFleet.isLive(holder) == (random.nextInt(60) == 0);
     switch (random.nextInt(10)) {
       case 0 -> {
         if (worker.controller == null
-            || isGone.test(worker.controller)
+            || isSuspected.test(worker.controller)
             || member.permits.state().isFenced(worker.controller)) {
           member.claim(worker);
         }
       }
       case 1 -> member.adoptAll();
       case 2 -> {
-        Holder other = pick(chaos.members.values(), random).self;
-        if (isGone.test(other) && !member.permits.state().isFenced(other)) {
+        Holder other = pick(randomFleet.members.values(), random).self;
+        if (isSuspected.test(other) && !member.permits.state().isFenced(other)) {
           member.fence(other);
         }
         member.permits.state().holders().stream()
@@ -372,7 +379,8 @@
       default -> {
         long view = member.permits.state().offset();
         while (member.start()) {
-          assertThat(chaos.running()).isLessThanOrEqualTo(chaos.largestLimitSince(view));
+          assertThat(randomFleet.running())
+              .isLessThanOrEqualTo(randomFleet.largestLimitSince(view));
         }
       }
     }
--- a/core/src/test/java/org/hickorypier/core/permits/PermitFoldTest.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitFoldTest.java
@@ -41,10 +41,10 @@
     return new Hold(holder.instance(), holder.incarnation(), sequence, TEAM, count);
   }
 
-  private static Adopt adopt(Holder to, long sequence, long token, Holder owner, int count) {
+  private static Adopt adopt(Holder adopter, long sequence, long token, Holder owner, int count) {
     return new Adopt(
-        to.instance(),
-        to.incarnation(),
+        adopter.instance(),
+        adopter.incarnation(),
         sequence,
         "worker-1",
         token,
@@ -61,38 +61,44 @@
 
   static Stream<Arguments> cases() {
     return Stream.of(
-        Arguments.of("no limit known", List.of(), hold(A, 1, 4), Verdict.CONFLICT, 0, 0),
-        Arguments.of("all of it", List.of(limit(1, 10)), hold(A, 1, 10), Verdict.APPLIED, 10, 0),
+        Arguments.of("hold before any limit", List.of(), hold(A, 1, 4), Verdict.CONFLICT, 0, 0),
         Arguments.of(
-            "what is left",
+            "hold of the whole limit",
+            List.of(limit(1, 10)),
+            hold(A, 1, 10),
+            Verdict.APPLIED,
+            10,
+            0),
+        Arguments.of(
+            "hold reduced to the free permits",
             List.of(limit(1, 10), hold(B, 1, 7)),
             hold(A, 1, 8),
             Verdict.APPLIED,
             3,
             7),
         Arguments.of(
-            "nothing left",
+            "hold without free permits",
             List.of(limit(1, 10), hold(B, 1, 10)),
             hold(A, 1, 1),
             Verdict.APPLIED,
             0,
             10),
         Arguments.of(
-            "given back",
+            "permits returned",
             List.of(limit(1, 10), hold(A, 1, 9)),
             hold(A, 2, 2),
             Verdict.APPLIED,
             2,
             0),
         Arguments.of(
-            "rise after the limit fell",
+            "larger hold above a lowered limit",
             List.of(limit(1, 10), hold(A, 1, 6), limit(2, 4)),
             hold(A, 2, 8),
             Verdict.APPLIED,
             6,
             0),
         Arguments.of(
-            "old limit",
+            "limit of an older revision",
             List.of(limit(2, 4), hold(A, 1, 9)),
             limit(1, 10),
             Verdict.DUPLICATE,
@@ -106,104 +112,105 @@
             2,
             0),
         Arguments.of(
-            "adopted",
+            "tasks of a fenced owner adopted",
             List.of(limit(1, 10), hold(A, 1, 2), hold(B, 1, 8), fence(B, 1)),
             adopt(A, 2, 1, B, 5),
             Verdict.APPLIED,
             7,
             3),
         Arguments.of(
-            "adopted from a live one",
+            "tasks of a live owner not adopted",
             List.of(limit(1, 10), hold(A, 1, 2), hold(B, 1, 8)),
             adopt(A, 2, 1, B, 5),
             Verdict.APPLIED,
             2,
             8),
         Arguments.of(
-            "adopted twice",
+            "repeated adoption record",
             List.of(limit(1, 10), hold(B, 1, 8), fence(B, 1), adopt(A, 2, 1, B, 5)),
             adopt(A, 2, 1, B, 5),
             Verdict.DUPLICATE,
             5,
             3),
         Arguments.of(
-            "adopted again",
+            "second adoption of the same tasks",
             List.of(limit(1, 10), hold(B, 1, 8), fence(B, 1), adopt(A, 2, 1, B, 5)),
             adopt(A, 3, 1, B, 5),
             Verdict.APPLIED,
             5,
             3),
         Arguments.of(
-            "more adopted than held",
+            "more tasks adopted than permits held",
             List.of(limit(1, 10), hold(B, 1, 2), fence(B, 1)),
             adopt(A, 2, 1, B, 5),
             Verdict.APPLIED,
             2,
             0),
         Arguments.of(
-            "adopted from the adopter",
+            "tasks adopted from a failed adopter",
             List.of(limit(1, 10), hold(C, 1, 4), fence(C, 1), adopt(B, 1, 1, C, 4), fence(B, 1)),
             adopt(A, 1, 2, C, 3),
             Verdict.APPLIED,
             3,
             1),
         Arguments.of(
-            "word of a former controller",
+            "adoption by a former controller",
             List.of(limit(1, 10), hold(B, 1, 4), fence(B, 1), adopt(C, 1, 2, C, 0)),
             adopt(A, 1, 1, B, 3),
             Verdict.CONFLICT,
             0,
             4),
         Arguments.of(
-            "word of a fenced one",
+            "adoption by a fenced holder",
             List.of(limit(1, 10), hold(B, 1, 4), fence(B, 1), fence(A, 0)),
             adopt(A, 1, 1, B, 3),
             Verdict.CONFLICT,
             0,
             4),
         Arguments.of(
-            "retired",
+            "fenced holder retired",
             List.of(limit(1, 10), hold(A, 1, 2), fence(A, 1)),
             retire(A),
             Verdict.APPLIED,
             0,
             0),
         Arguments.of(
-            "retired but not fenced",
+            "retirement without a fence",
             List.of(limit(1, 10), hold(A, 1, 2)),
             retire(A),
             Verdict.CONFLICT,
             2,
             0),
         Arguments.of(
-            "has spoken since",
+            "fence rejected after a newer record",
             List.of(limit(1, 10), hold(A, 1, 2), hold(A, 2, 3), fence(A, 1)),
             retire(A),
             Verdict.CONFLICT,
             3,
             0),
         Arguments.of(
-            "rise behind the fence",
+            "larger hold after the fence",
             List.of(limit(1, 10), fence(A, 0)),
             hold(A, 1, 2),
             Verdict.CONFLICT,
             0,
             0),
         Arguments.of(
-            "fall behind the fence",
+            "smaller hold after the fence",
             List.of(limit(1, 10), hold(A, 1, 5), fence(A, 1)),
             hold(A, 2, 2),
             Verdict.APPLIED,
             2,
             0),
         Arguments.of(
-            "next incarnation",
+            "incarnation after the fenced one",
             List.of(limit(1, 10), fence(new Holder("a", 0), 0)),
             hold(A, 1, 2),
             Verdict.APPLIED,
             2,
             0),
-        Arguments.of("negative", List.of(limit(1, 10)), hold(A, 1, -2), Verdict.INVALID, 0, 0));
+        Arguments.of(
+            "negative count", List.of(limit(1, 10)), hold(A, 1, -2), Verdict.INVALID, 0, 0));
   }
 
   @ParameterizedTest(name = "{0}")
@@ -219,8 +226,8 @@
     assertThat(team.sum()).isEqualTo(a + b + team.heldBy(C));
   }
 
-  // A peer hands on records from the future, or the log has lost some to expiry. Folding over the
-  // hole could grant permits that a missing record has given to somebody else.
+  // A peer forwards records that are ahead of the state, or records have expired from the log.
+  // Folding across the gap could grant permits that a missing record has granted to another holder.
   @Test
   void recordAfterGapGrantsNothing() {
     FoldResult<PermitState> result =
