--- a/core/src/main/java/org/hickorypier/core/fold/FoldedId.java
+++ b/core/src/main/java/org/hickorypier/core/fold/FoldedId.java
@@ -1,12 +1,12 @@
 package org.hickorypier.core.fold;
 
 /**
- * What became of the record that first carried an id.
+ * The outcome of the first record that carried an id.
  *
  * <p>Immutable.
  *
- * @param id the id
- * @param offset the offset at which it was folded
- * @param verdict what became of it
+ * @param id the id of the record
+ * @param offset the offset at which the record was folded
+ * @param verdict the outcome for the record
  */
 public record FoldedId(String id, long offset, Verdict verdict) {}
--- a/core/src/main/java/org/hickorypier/core/fold/RecentIds.java
+++ b/core/src/main/java/org/hickorypier/core/fold/RecentIds.java
@@ -8,64 +8,64 @@
 import java.util.Optional;
 
 /**
- * The ids folded of late, oldest first.
+ * The recently folded record ids, oldest first, which detect duplicate records.
  *
- * <p>Immutable and thread safe. Ids are forgotten by distance in offsets and not by time, so that
- * all instances forget the same ones at the same record.
+ * <p>Immutable and thread-safe. Ids expire by distance in offsets and not by time, so that all
+ * instances remove the same ids at the same record.
  *
- * <p>An append whose answer was lost is repeated under the same id. Without this memory the repeat
- * of an old change would undo the newer one after it. An appender repeats within seconds of an
- * outage's end, and nobody appends during the outage; so the distance covers every repeat as long
- * as it exceeds what all instances append in that time.
+ * <p>An append whose answer was lost is retried under the same id. Without duplicate detection, the
+ * retry of an old change would undo a newer one. Appenders retry within seconds of the end of an
+ * outage, and no instance appends during the outage, so the retained offsets cover every retry as
+ * long as they exceed the number of records that all instances append in that time.
  */
 public final class RecentIds {
 
   private final long retainedOffsets;
   private final Map<String, FoldedId> ids;
 
-  private RecentIds(long distance, Map<String, FoldedId> ids) {
-    this.retainedOffsets = distance;
+  private RecentIds(long retainedOffsets, Map<String, FoldedId> ids) {
+    this.retainedOffsets = retainedOffsets;
     this.ids = ids;
   }
 
   /**
-   * Creates an empty memory.
+   * Creates an empty set of recent ids.
    *
-   * @param distance for how many offsets an id is remembered
-   * @return the memory
+   * @param retainedOffsets the number of offsets for which an id is retained
+   * @return the set
    */
-  public static RecentIds empty(long distance) {
-    return new RecentIds(distance, Map.of());
+  public static RecentIds empty(long retainedOffsets) {
+    return new RecentIds(retainedOffsets, Map.of());
   }
 
   /**
-   * Creates a memory from the entries of a snapshot.
+   * Creates a set of recent ids from the entries of a snapshot.
    *
-   * @param distance for how many offsets an id is remembered
+   * @param retainedOffsets the number of offsets for which an id is retained
    * @param entries the entries, oldest first
-   * @return the memory
+   * @return the set
    */
-  public static RecentIds of(long distance, Collection<FoldedId> entries) {
+  public static RecentIds of(long retainedOffsets, Collection<FoldedId> entries) {
     Map<String, FoldedId> ids = new LinkedHashMap<>();
     entries.forEach(entry -> ids.putIfAbsent(entry.id(), entry));
-    return new RecentIds(distance, ids);
+    return new RecentIds(retainedOffsets, ids);
   }
 
   /**
-   * Looks an id up.
+   * Finds the entry of an id.
    *
    * @param id the id
-   * @return what became of it, or empty if it was never folded or is forgotten
+   * @return the entry, or empty if the id was never folded or has expired
    */
   public Optional<FoldedId> find(String id) {
     return Optional.ofNullable(ids.get(id));
   }
 
   /**
-   * Returns a memory that also holds the entry and has forgotten what is too far behind it.
+   * Returns a copy with an added entry and without the entries that expire at its offset.
    *
-   * @param entry the entry, with the highest offset so far
-   * @return the new memory
+   * @param entry the entry, whose offset is the highest so far
+   * @return the copy
    */
   public RecentIds plus(FoldedId entry) {
     Map<String, FoldedId> next = new LinkedHashMap<>(ids.size() * 2);
--- a/core/src/main/java/org/hickorypier/core/fold/Verdict.java
+++ b/core/src/main/java/org/hickorypier/core/fold/Verdict.java
@@ -1,15 +1,15 @@
 package org.hickorypier.core.fold;
 
-/** What became of a record when it was folded. The same at every instance. */
+/** The outcome of folding a record, which is the same at every instance. */
 public enum Verdict {
-  /** The state is now as the record asks. */
+  /** The change of the record was applied to the state. */
   APPLIED,
-  /** The offset or the id was folded before; nothing changed. */
+  /** The offset, the id or a newer record was already folded; nothing changed. */
   DUPLICATE,
-  /** The record rests on something that is no longer so; nothing changed. */
+  /** A precondition of the record no longer holds; nothing changed. */
   CONFLICT,
-  /** The record makes no sense whatever the state; nothing changed. */
+  /** The record is invalid in any state; nothing changed. */
   INVALID,
-  /** Records before this one are missing here; nothing changed and the offset is not folded. */
+  /** Earlier records are missing; nothing changed, and the offset is not folded. */
   GAP
 }
--- a/core/src/main/java/org/hickorypier/core/fold/package-info.java
+++ b/core/src/main/java/org/hickorypier/core/fold/package-info.java
@@ -1,2 +1,2 @@
-/** What the folds of all streams share: verdicts, results and the memory of ids. */
+/** Shared parts of the stream folds: outcomes, duplicate detection, readiness and snapshots. */
 package org.hickorypier.core.fold;
