--- a/core/src/main/java/org/hickorypier/core/cluster/ClusterConfiguration.java
+++ b/core/src/main/java/org/hickorypier/core/cluster/ClusterConfiguration.java
@@ -8,9 +8,9 @@
 import org.hickorypier.core.cell.CustomerTerms;
 
 /**
- * One version of the operator's configuration, indexed for the judgement of requests.
+ * One version of the operator's configuration, indexed for routing and authenticating requests.
  *
- * <p>Immutable and thread safe.
+ * <p>Immutable and thread-safe.
  */
 public final class ClusterConfiguration {
 
@@ -20,10 +20,10 @@
   private final Map<String, CustomerTerms> customersByKey = new HashMap<>();
 
   /**
-   * Indexes a version.
+   * Creates an indexed version.
    *
-   * @param version its number
-   * @param routes all routes
+   * @param version the version's number
+   * @param routes the routes of all queues
    * @param access all customers with their keys
    */
   public ClusterConfiguration(long version, List<QueueRoute> routes, List<CustomerAccess> access) {
@@ -60,17 +60,17 @@
   }
 
   /**
-   * Finds the route of a request: the longest prefix that its path begins with.
+   * Finds the route of a request, which is the one with the longest matching path prefix.
    *
-   * @param host the host that the caller named, without a port
-   * @param path the path
-   * @return the route, if there is one
+   * @param host the host name that the caller requested, without a port
+   * @param path the path of the request
+   * @return the route, or empty if there is none
    */
   public Optional<QueueRoute> route(String host, String path) {
     QueueRoute best = null;
     for (QueueRoute route : routesByHost.getOrDefault(host, List.of())) {
-      boolean longer = best == null || route.prefix().length() > best.prefix().length();
-      if (longer && path.startsWith(route.prefix())) {
+      boolean isLonger = best == null || route.prefix().length() > best.prefix().length();
+      if (isLonger && path.startsWith(route.prefix())) {
         best = route;
       }
     }
@@ -80,8 +80,8 @@
   /**
    * Finds the customer of a key.
    *
-   * @param key the key that came with a request
-   * @return the customer, if the key is in force
+   * @param key the key of the request
+   * @return the customer, or empty if the key is not in force
    */
   public Optional<CustomerTerms> customerOf(String key) {
     return Optional.ofNullable(customersByKey.get(key));
--- a/core/src/main/java/org/hickorypier/core/cluster/CustomerAccess.java
+++ b/core/src/main/java/org/hickorypier/core/cluster/CustomerAccess.java
@@ -4,16 +4,16 @@
 import org.hickorypier.core.cell.CustomerTerms;
 
 /**
- * A customer with the keys that its callers present.
+ * A customer and the keys that authenticate its callers.
  *
- * <p>Immutable. Its text form leaves out the keys, so that none gets into a log.
+ * <p>Immutable. {@link #toString} omits the keys, so that none is written to a log.
  *
- * @param terms what scheduling needs to know of the customer
+ * @param terms the customer's parameters for scheduling
  * @param keys the keys in force
  */
 public record CustomerAccess(CustomerTerms terms, Set<String> keys) {
 
-  /** Copies the set, so that the record stays as it is. */
+  /** Copies the set, so that the record stays immutable. */
   public CustomerAccess {
     keys = Set.copyOf(keys);
   }
--- a/core/src/main/java/org/hickorypier/core/cluster/QueueRoute.java
+++ b/core/src/main/java/org/hickorypier/core/cluster/QueueRoute.java
@@ -3,13 +3,13 @@
 import org.hickorypier.core.submission.QueueTerms;
 
 /**
- * Where callers reach a queue.
+ * The host and path prefix at which callers reach a queue.
  *
  * <p>Immutable.
  *
- * @param host the host that callers name
- * @param prefix the path that its requests begin with
+ * @param host the host name that callers request
+ * @param prefix the path prefix of the queue's requests
  * @param open whether callers need no key
- * @param terms what scheduling needs to know of the queue
+ * @param terms the queue's parameters for scheduling
  */
 public record QueueRoute(String host, String prefix, boolean open, QueueTerms terms) {}
--- a/core/src/main/java/org/hickorypier/core/cluster/package-info.java
+++ b/core/src/main/java/org/hickorypier/core/cluster/package-info.java
@@ -1,2 +1,2 @@
-/** What the operator configures for the whole cluster, as immutable data. */
+/** The operator's configuration of the whole cluster, as immutable data. */
 package org.hickorypier.core.cluster;
--- a/core/src/test/java/org/hickorypier/core/cluster/ClusterConfigurationTest.java
+++ b/core/src/test/java/org/hickorypier/core/cluster/ClusterConfigurationTest.java
@@ -39,7 +39,7 @@
     assertThat(CONFIGURATION.customerOf("key-3")).isEmpty();
   }
 
-  /** Whoever logs a customer must not log its keys. */
+  // Guards against keys in a log, which would get there if a customer is logged.
   @Test
   void toStringOmitsKeys() {
     assertThat(ACCESS.toString()).doesNotContain("key-1").contains("2 keys");
