--- a/core/src/main/java/org/hickorypier/core/permits/PermitSnapshots.java
+++ b/core/src/main/java/org/hickorypier/core/permits/PermitSnapshots.java
@@ -11,17 +11,17 @@
 import org.hickorypier.wire.record.PermitRecord.TeamEntry;
 import org.hickorypier.wire.record.PermitRecord.WorkerEntry;
 
-/** Turns a state of the permits into a snapshot record and back. Thread safe: it has no state. */
+/** Converts between permit states and snapshot records. Stateless and thread-safe. */
 public final class PermitSnapshots {
 
   private PermitSnapshots() {}
 
   /**
-   * Writes a snapshot.
+   * Converts a state into a snapshot record.
    *
    * @param id the id of the record
    * @param state the state
-   * @return the record
+   * @return the snapshot record
    */
   public static Snapshot write(String id, PermitState state) {
     List<TeamEntry> teams =
@@ -86,22 +86,23 @@
         adoptions);
   }
 
-  private static HolderEntry holderEntry(Holder holder, HolderMark mark) {
-    return new HolderEntry(holder.instance(), holder.incarnation(), mark.number(), mark.offset());
+  private static HolderEntry holderEntry(Holder holder, NumberAtOffset sequence) {
+    return new HolderEntry(
+        holder.instance(), holder.incarnation(), sequence.number(), sequence.offset());
   }
 
-  static boolean isWhole(Snapshot snapshot) {
+  static boolean isComplete(Snapshot snapshot) {
     return snapshot.teams() != null
         && snapshot.holders() != null
         && snapshot.fenced() != null
         && snapshot.workers() != null
-        && snapshot.teams().stream().allMatch(PermitSnapshots::isWhole)
-        && snapshot.holders().stream().allMatch(PermitSnapshots::isWhole)
-        && snapshot.fenced().stream().allMatch(PermitSnapshots::isWhole)
-        && snapshot.workers().stream().allMatch(PermitSnapshots::isWhole);
+        && snapshot.teams().stream().allMatch(PermitSnapshots::isComplete)
+        && snapshot.holders().stream().allMatch(PermitSnapshots::isComplete)
+        && snapshot.fenced().stream().allMatch(PermitSnapshots::isComplete)
+        && snapshot.workers().stream().allMatch(PermitSnapshots::isComplete);
   }
 
-  private static boolean isWhole(WorkerEntry entry) {
+  private static boolean isComplete(WorkerEntry entry) {
     return entry != null
         && entry.worker() != null
         && entry.instance() != null
@@ -114,7 +115,7 @@
                         && adoption.adopterInstance() != null);
   }
 
-  private static boolean isWhole(TeamEntry entry) {
+  private static boolean isComplete(TeamEntry entry) {
     return entry != null
         && entry.team() != null
         && entry.holds() != null
@@ -122,7 +123,7 @@
             .allMatch(hold -> hold != null && hold.instance() != null && hold.count() >= 0);
   }
 
-  private static boolean isWhole(HolderEntry entry) {
+  private static boolean isComplete(HolderEntry entry) {
     return Objects.nonNull(entry) && entry.instance() != null;
   }
 
@@ -138,15 +139,15 @@
       int sum = holds.values().stream().mapToInt(HeldPermits::count).sum();
       teams.put(entry.team(), new TeamPermits(entry.revision(), entry.limit(), holds, sum));
     }
-    Map<Holder, HolderMark> sequences = new HashMap<>();
+    Map<Holder, NumberAtOffset> sequences = new HashMap<>();
     for (HolderEntry entry : snapshot.holders()) {
       sequences.put(
           new Holder(entry.instance(), entry.incarnation()),
-          new HolderMark(entry.sequence(), entry.offset()));
+          new NumberAtOffset(entry.sequence(), entry.offset()));
     }
-    Map<String, HolderMark> fenced = new HashMap<>();
+    Map<String, NumberAtOffset> fenced = new HashMap<>();
     for (HolderEntry entry : snapshot.fenced()) {
-      fenced.put(entry.instance(), new HolderMark(entry.incarnation(), entry.offset()));
+      fenced.put(entry.instance(), new NumberAtOffset(entry.incarnation(), entry.offset()));
     }
     return new PermitState(
         snapshot.upTo(), teams, sequences, fenced, readWorkers(snapshot.workers()));
--- a/core/src/test/java/org/hickorypier/core/permits/PermitFleetMember.java
+++ b/core/src/test/java/org/hickorypier/core/permits/PermitFleetMember.java
@@ -11,7 +11,7 @@
 import org.hickorypier.wire.record.PermitRecord.AdoptedTasks;
 import org.hickorypier.wire.record.PermitRecord.Retire;
 
-/** One instance of the fleet in the tests. */
+/** An instance of the simulated fleet. */
 final class PermitFleetMember {
 
   private static final String TEAM = PermitFleet.TEAM;
@@ -19,8 +19,8 @@
   final PermitFleet fleet;
   final Holder self;
   final LocalPermits permits;
-  final Deque<PermitRecord> sending = new ArrayDeque<>();
-  final Map<String, Long> control = new TreeMap<>();
+  final Deque<PermitRecord> outbox = new ArrayDeque<>();
+  final Map<String, Long> controlTokens = new TreeMap<>();
 
   boolean paused;
   int waiting;
@@ -64,32 +64,32 @@
         others.put(other.self, other.demand());
       }
     }
-    sending.addAll(permits.plan(TEAM, demand(), others, fleet.now).records());
+    outbox.addAll(permits.plan(TEAM, demand(), others, fleet.now).records());
   }
 
   PermitDemand demand() {
     return new PermitDemand(running(), waiting, Math.min(urgent, waiting));
   }
 
-  /** Sends the oldest record; if the answer is lost, it will be sent again. */
+  /** Sends the oldest record, which stays in the outbox for a retry if the answer is lost. */
   void send(boolean answerLost) {
-    if (!sending.isEmpty()) {
-      fleet.append(answerLost ? sending.peek() : sending.poll());
+    if (!outbox.isEmpty()) {
+      fleet.append(answerLost ? outbox.peek() : outbox.poll());
     }
   }
 
   void sendAll() {
-    while (!sending.isEmpty()) {
+    while (!outbox.isEmpty()) {
       send(false);
     }
   }
 
-  /** Starts one task if the permits allow, and a worker does. */
+  /** Starts one task if the permits allow it and a worker accepts it. */
   boolean start() {
     if (waiting == 0 || running() >= permits.usable(TEAM)) {
       return false;
     }
-    for (Map.Entry<String, Long> held : control.entrySet()) {
+    for (Map.Entry<String, Long> held : controlTokens.entrySet()) {
       Worker worker = fleet.workers.get(held.getKey());
       if (permits.mayStartOn(worker.name, held.getValue()) && worker.start(held.getValue(), self)) {
         waiting--;
@@ -110,13 +110,13 @@
   }
 
   void claim(Worker worker) {
-    control.put(worker.name, worker.grant(self));
+    controlTokens.put(worker.name, worker.grantControl(self));
     adoptOn(worker, true);
   }
 
-  /** Adopts the tasks of holders that are fenced off, and speaks for the worker. */
-  void adoptOn(Worker worker, boolean speakAnyway) {
-    long token = control.getOrDefault(worker.name, -1L);
+  /** Adopts the tasks of fenced holders on a worker, by a record that also announces control. */
+  void adoptOn(Worker worker, boolean evenWithoutTasks) {
+    long token = controlTokens.getOrDefault(worker.name, -1L);
     if (token != worker.token) {
       return;
     }
@@ -128,8 +128,8 @@
             adopted.add(new AdoptedTasks(TEAM, owner.instance(), owner.incarnation(), count));
           }
         });
-    if (speakAnyway || !adopted.isEmpty()) {
-      sending.add(permits.adoption(worker.name, token, adopted));
+    if (evenWithoutTasks || !adopted.isEmpty()) {
+      outbox.add(permits.createAdoption(worker.name, token, adopted));
     }
   }
 
@@ -137,15 +137,15 @@
     fleet.workers.values().forEach(worker -> adoptOn(worker, false));
   }
 
-  void fence(Holder gone) {
-    if (RetirementRule.mayFence(gone, fleet.sightings())) {
-      sending.add(permits.fence(gone));
+  void fence(Holder holder) {
+    if (RetirementRule.mayFence(holder, fleet.observations())) {
+      outbox.add(permits.createFence(holder));
     }
   }
 
-  void retire(Holder gone) {
-    if (RetirementRule.mayRetire(permits.state(), gone, fleet.sightings())) {
-      sending.add(new Retire(gone.instance(), gone.incarnation()));
+  void retire(Holder holder) {
+    if (RetirementRule.mayRetire(permits.state(), holder, fleet.observations())) {
+      outbox.add(new Retire(holder.instance(), holder.incarnation()));
     }
   }
 }
