--- a/core/src/main/java/org/hickorypier/core/scheduling/Admission.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Admission.java
@@ -18,13 +18,13 @@
 final class Admission {
 
   /** Below it, a caller that comes back costs more than it gains. */
-  private static final long LEAST_RETRY_MILLIS = 200;
+  private static final long MIN_RETRY_AFTER_MILLIS = 200;
 
   /** Above it, an estimate says nothing any more, and a caller should look again. */
-  private static final long MOST_RETRY_MILLIS = 60_000;
+  private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
 
   /** What is waited in vain for room elsewhere must leave most of the time until the deadline. */
-  private static final int PATIENCE_PART = 8;
+  private static final int PATIENCE_DEADLINE_DIVISOR = 8;
 
   private final SchedulerSettings settings;
   private final Capacities capacities;
@@ -43,7 +43,7 @@
   }
 
   /** Returns why the item is refused, or empty if it may be queued. */
-  Optional<Refusal> refuse(WorkItem item, TeamState team, long now) {
+  Optional<Refusal> refusalFor(WorkItem item, TeamState team, long now) {
     Optional<String> neverFits = capacities.whyNeverFits(item);
     if (neverFits.isPresent()) {
       return refusal(RefusalReason.NEVER_FITS, neverFits.get(), 0);
@@ -55,10 +55,10 @@
     if (remaining < 0) {
       return refusal(RefusalReason.DEADLINE_PASSED, "The deadline has passed already.", 0);
     }
-    long wait = waitEstimate.millis(item, team, now);
+    long wait = waitEstimate.estimateMillis(item, team, now);
     if (team.queue(item.workClass()).size() >= settings.queueLimit()) {
       String detail = "The team has " + settings.queueLimit() + " items waiting in this class.";
-      return refusal(RefusalReason.QUEUE_FULL, detail, retryAfter(wait / 2));
+      return refusal(RefusalReason.QUEUE_FULL, detail, boundedRetryAfterMillis(wait / 2));
     }
     long safeWait = (long) (wait * settings.waitMargin());
     if (safeWait > remaining && !mayFindRoomElsewhere(item, team, now)) {
@@ -70,7 +70,8 @@
               + " ms, the deadline in "
               + remaining
               + " ms.";
-      return refusal(RefusalReason.DEADLINE_TOO_NEAR, detail, retryAfter(safeWait - remaining));
+      return refusal(
+          RefusalReason.DEADLINE_TOO_NEAR, detail, boundedRetryAfterMillis(safeWait - remaining));
     }
     return Optional.empty();
   }
@@ -83,21 +84,22 @@
     QueuedItem head = team.queue(item.workClass()).head();
     long waited = head == null ? 0 : now - head.item().firstTriedMillis();
     long remaining = item.deadlineMillis() - now;
-    return waited < Math.min(settings.shiftPatienceMillis(), remaining / PATIENCE_PART);
+    return waited < Math.min(settings.shiftPatienceMillis(), remaining / PATIENCE_DEADLINE_DIVISOR);
   }
 
   /** Tells whether work has failed on so many workers that it is at fault itself. */
   boolean failsEverywhere(WorkKey key) {
-    return history.failedOn(key).size() >= settings.failedWorkersLimit();
+    return history.failedWorkers(key).size() >= settings.failedWorkersLimit();
   }
 
   Refusal failsEverywhereRefusal(WorkKey key) {
-    String detail = "Its tasks failed on " + history.failedOn(key).size() + " different workers.";
+    String detail =
+        "Its tasks failed on " + history.failedWorkers(key).size() + " different workers.";
     return new Refusal(RefusalReason.FAILS_EVERYWHERE, detail, 0);
   }
 
-  private static long retryAfter(long millis) {
-    return Math.max(LEAST_RETRY_MILLIS, Math.min(MOST_RETRY_MILLIS, millis));
+  private static long boundedRetryAfterMillis(long millis) {
+    return Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, millis));
   }
 
   private static Optional<Refusal> refusal(RefusalReason reason, String detail, long retryAfter) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/ClassQueue.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ClassQueue.java
@@ -19,18 +19,18 @@
   private static final double RATE_WINDOW_MILLIS = 5_000;
 
   /** The weight of a new run time; some fifty tasks, so that the mean of unlike runs is steady. */
-  private static final double RUN_WEIGHT = 0.02;
+  private static final double RUN_TIME_SMOOTHING = 0.02;
 
   /** The weight of a new wait; some ten starts, so that a single large item says little. */
-  private static final double WAIT_WEIGHT = 0.1;
+  private static final double WAIT_SMOOTHING = 0.1;
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  private static final Comparator<QueuedItem> FIRST_TRIED_FIRST =
+  private static final Comparator<QueuedItem> BY_FIRST_TRY =
       Comparator.comparingLong((QueuedItem queued) -> queued.item().firstTriedMillis())
-          .thenComparingLong(QueuedItem::arrival);
+          .thenComparingLong(QueuedItem::arrivalNumber);
 
-  private final TreeSet<QueuedItem> items = new TreeSet<>(FIRST_TRIED_FIRST);
+  private final TreeSet<QueuedItem> items = new TreeSet<>(BY_FIRST_TRY);
   private final DecayedRate starts = new DecayedRate(RATE_WINDOW_MILLIS);
   private int waitingTasks;
   private int runningTasks;
@@ -46,9 +46,9 @@
     return items.isEmpty() ? null : items.first();
   }
 
-  boolean headWasTriedInVain(long now) {
+  boolean hasHeadFailedPlacement(long now) {
     QueuedItem head = head();
-    return head != null && head.inVainSinceMillis() <= now;
+    return head != null && head.firstFailedPlacementMillis() <= now;
   }
 
   int size() {
@@ -60,7 +60,7 @@
   }
 
   /** Returns how many tasks wait for callers who first asked at a time or before. */
-  int waitingTasksUntil(long firstTriedMillis) {
+  int waitingTasksFirstTriedBy(long firstTriedMillis) {
     if (items.isEmpty() || items.last().item().firstTriedMillis() <= firstTriedMillis) {
       return waitingTasks;
     }
@@ -95,12 +95,12 @@
    *     fleet gets to this queue, and not how fast an empty one is filled
    * @param now the time
    */
-  void taskStarted(long waitedMillis, boolean inVain, long now) {
+  void recordStart(long waitedMillis, boolean inVain, long now) {
     waitingTasks--;
     if (inVain) {
       starts.count(now);
     }
-    recentWaitMillis += WAIT_WEIGHT * (waitedMillis - recentWaitMillis);
+    recentWaitMillis += WAIT_SMOOTHING * (waitedMillis - recentWaitMillis);
   }
 
   /** Returns the mean wait of the items that started last. */
@@ -108,24 +108,25 @@
     return recentWaitMillis;
   }
 
-  void taskRuns() {
+  void incrementRunning() {
     runningTasks++;
   }
 
-  void taskEnded() {
+  void decrementRunning() {
     runningTasks--;
   }
 
-  void taskCompleted(long runMillis) {
+  void recordCompletion(long runMillis) {
     completedTasks++;
-    meanRunMillis += Math.max(RUN_WEIGHT, 1.0 / completedTasks) * (runMillis - meanRunMillis);
+    meanRunMillis +=
+        Math.max(RUN_TIME_SMOOTHING, 1.0 / completedTasks) * (runMillis - meanRunMillis);
   }
 
   /**
    * Returns the tasks a second that this queue gets started: what it got lately, or what its
    * running tasks will free, if that is more.
    */
-  double drainPerSecond(long now) {
+  double drainRatePerSecond(long now) {
     double freed = runningTasks / Math.max(1, meanRunMillis) * MILLIS_PER_SECOND;
     return Math.max(starts.perSecond(now), freed);
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/ClassTurns.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ClassRotation.java
@@ -11,9 +11,9 @@
  * to a service, a gang or a batch, each first in turn, if one waits that fits. A quarter of the
  * places keeps jobs going and adds little to the wait of requests. Not thread safe.
  */
-final class ClassTurns {
+final class ClassRotation {
 
-  private static final int REQUESTS_IN_ROW = 3;
+  private static final int MAX_CONSECUTIVE_REQUESTS = 3;
 
   private static final List<WorkClass> REQUESTS_FIRST =
       List.of(WorkClass.REQUEST, WorkClass.GANG, WorkClass.SERVICE, WorkClass.BATCH);
@@ -24,21 +24,21 @@
           List.of(WorkClass.SERVICE, WorkClass.BATCH, WorkClass.GANG, WorkClass.REQUEST),
           List.of(WorkClass.BATCH, WorkClass.GANG, WorkClass.SERVICE, WorkClass.REQUEST));
 
-  private int requestsInRow;
-  private int jobTurns;
+  private int consecutiveRequests;
+  private int jobStarts;
 
   List<WorkClass> order() {
-    return requestsInRow < REQUESTS_IN_ROW
+    return consecutiveRequests < MAX_CONSECUTIVE_REQUESTS
         ? REQUESTS_FIRST
-        : JOBS_FIRST.get(jobTurns % JOBS_FIRST.size());
+        : JOBS_FIRST.get(jobStarts % JOBS_FIRST.size());
   }
 
-  void started(WorkClass workClass) {
+  void recordStart(WorkClass workClass) {
     if (workClass == WorkClass.REQUEST) {
-      requestsInRow++;
+      consecutiveRequests++;
     } else if (!workClass.isSynchronous()) {
-      requestsInRow = 0;
-      jobTurns++;
+      consecutiveRequests = 0;
+      jobStarts++;
     }
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/DecayedQuantile.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/DecayedQuantile.java
@@ -14,35 +14,35 @@
   private static final double QUANTILE = 0.95;
   private static final int STEPS_PER_DOUBLING = 8;
   private static final int BUCKETS = 30 * STEPS_PER_DOUBLING;
-  private static final double FADE = 0.96;
-  private static final double LEAST_WEIGHT = 1e-3;
+  private static final double DECAY_FACTOR = 0.96;
+  private static final double MIN_WEIGHT = 1e-3;
 
   /** Keeps an exact power of two in its own bucket, whatever the logarithm's last digit. */
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final float[] weights = new float[BUCKETS];
-  private int highest;
+  private int highestBucket;
 
   void add(long amount) {
     int top = 0;
-    for (int i = 0; i <= highest; i++) {
-      weights[i] *= (float) FADE;
-      if (weights[i] > LEAST_WEIGHT) {
+    for (int i = 0; i <= highestBucket; i++) {
+      weights[i] *= (float) DECAY_FACTOR;
+      if (weights[i] > MIN_WEIGHT) {
         top = i;
       }
     }
-    int bucket = bucket(amount);
+    int bucket = bucketOf(amount);
     weights[bucket]++;
-    highest = Math.max(top, bucket);
+    highestBucket = Math.max(top, bucket);
   }
 
   long value() {
     double total = 0;
-    for (int i = 0; i <= highest; i++) {
+    for (int i = 0; i <= highestBucket; i++) {
       total += weights[i];
     }
     double above = total * (1 - QUANTILE);
-    int bucket = highest;
+    int bucket = highestBucket;
     while (bucket > 0 && weights[bucket] <= above) {
       above -= weights[bucket];
       bucket--;
@@ -50,12 +50,12 @@
     return upperBound(bucket);
   }
 
-  private static int bucket(long amount) {
+  private static int bucketOf(long amount) {
     if (amount <= 1) {
       return 0;
     }
     double doublings = Math.log(amount) / Math.log(2);
-    int step = (int) Math.ceil(doublings * STEPS_PER_DOUBLING - ROUNDING);
+    int step = (int) Math.ceil(doublings * STEPS_PER_DOUBLING - ROUNDING_TOLERANCE);
     return Math.min(BUCKETS - 1, step);
   }
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/DecayedRate.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/DecayedRate.java
@@ -10,16 +10,16 @@
   private static final double MILLIS_PER_SECOND = 1_000;
 
   /** A few events in the first millisecond are no rate. */
-  private static final double LEAST_SEEN_MILLIS = 1_000;
+  private static final double MIN_OBSERVED_MILLIS = 1_000;
 
   /** Below this, what is left of old events says nothing of the present. */
-  private static final double LEAST_WEIGHT = 0.5;
+  private static final double MIN_WEIGHT = 0.5;
 
   private final double windowMillis;
   private double weight;
-  private long firstMillis;
-  private long latestMillis;
-  private boolean any;
+  private long firstEventMillis;
+  private long latestEventMillis;
+  private boolean hasEvents;
 
   /**
    * Creates a rate without events.
@@ -31,13 +31,13 @@
   }
 
   void count(long now) {
-    if (!any) {
-      any = true;
-      firstMillis = now;
-      latestMillis = now;
+    if (!hasEvents) {
+      hasEvents = true;
+      firstEventMillis = now;
+      latestEventMillis = now;
     }
-    weight = decayed(now) + 1;
-    latestMillis = now;
+    weight = decayedWeight(now) + 1;
+    latestEventMillis = now;
   }
 
   /**
@@ -47,15 +47,15 @@
    * for the present one, estimated a wait of an hour, and refused work beside idle workers.
    */
   double perSecond(long now) {
-    if (!any || decayed(now) < LEAST_WEIGHT) {
+    if (!hasEvents || decayedWeight(now) < MIN_WEIGHT) {
       return 0;
     }
-    double seen = Math.max(LEAST_SEEN_MILLIS, now - firstMillis);
+    double seen = Math.max(MIN_OBSERVED_MILLIS, now - firstEventMillis);
     double window = windowMillis * (1 - Math.exp(-seen / windowMillis));
-    return decayed(now) / window * MILLIS_PER_SECOND;
+    return decayedWeight(now) / window * MILLIS_PER_SECOND;
   }
 
-  private double decayed(long now) {
-    return weight * Math.exp(-(now - latestMillis) / windowMillis);
+  private double decayedWeight(long now) {
+    return weight * Math.exp(-(now - latestEventMillis) / windowMillis);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/FairOrder.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/FairOrder.java
@@ -22,7 +22,7 @@
 final class FairOrder {
 
   private final Map<String, TeamState> teams = new HashMap<>();
-  private final TreeSet<TeamState> waiting =
+  private final TreeSet<TeamState> orderedTeams =
       new TreeSet<>(
           Comparator.comparingDouble(TeamState::weightedShare).thenComparing(TeamState::name));
   private Resources total = Resources.NONE;
@@ -32,21 +32,21 @@
   }
 
   /** Returns the teams with waiting work, in order; no team may be changed while it is read. */
-  Iterable<TeamState> waiting() {
-    return waiting;
+  Iterable<TeamState> orderedTeams() {
+    return orderedTeams;
   }
 
-  int waitingTeams() {
-    return waiting.size();
+  int waitingTeamCount() {
+    return orderedTeams.size();
   }
 
   /** Changes a team and puts it where it now belongs. */
   void update(TeamState team, Runnable change) {
-    waiting.remove(team);
+    orderedTeams.remove(team);
     change.run();
     team.refreshWeightedShare(total);
     if (team.hasWaiting()) {
-      waiting.add(team);
+      orderedTeams.add(team);
     }
   }
 
@@ -55,25 +55,25 @@
       return;
     }
     total = newTotal;
-    waiting.clear();
+    orderedTeams.clear();
     for (TeamState team : teams.values()) {
       team.refreshWeightedShare(total);
       if (team.hasWaiting()) {
-        waiting.add(team);
+        orderedTeams.add(team);
       }
     }
   }
 
   /** Has all teams tried again. */
-  void tryAll() {
-    waiting.forEach(TeamState::markWorthTrying);
+  void retryAllTeams() {
+    orderedTeams.forEach(TeamState::clearExhausted);
   }
 
   /** Has the teams with a waiting gang tried again, which any freed room may help. */
-  void tryGangs() {
-    for (TeamState team : waiting) {
+  void retryTeamsWithGangs() {
+    for (TeamState team : orderedTeams) {
       if (team.queue(WorkClass.GANG).size() > 0) {
-        team.markWorthTrying();
+        team.clearExhausted();
       }
     }
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/IncrementalScheduler.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/IncrementalScheduler.java
@@ -66,15 +66,15 @@
   @Override
   public Optional<Refusal> submit(WorkItem item, long now) {
     latestMillis = now;
-    if (queue.get(item.key()) != null || history.wouldDouble(item.key(), item.tasks())) {
+    if (queue.get(item.key()) != null || history.wouldExceedTaskCount(item.key(), item.tasks())) {
       return Optional.empty();
     }
-    Optional<Refusal> refusal = admission.refuse(item, order.team(item.key().team()), now);
+    Optional<Refusal> refusal = admission.refusalFor(item, order.team(item.key().team()), now);
     if (refusal.isEmpty()) {
       Resources need = reservedFor(item);
       queue.add(item, need);
       if (item.workClass() == WorkClass.URGENT) {
-        reserve.urgentCame(need, now);
+        reserve.recordUrgentWork(need, now);
       }
     }
     return refusal;
@@ -83,14 +83,14 @@
   @Override
   public List<Placement> place(long now) {
     latestMillis = now;
-    quarantine.release(now).forEach(this::roomFreed);
+    quarantine.releaseDue(now).forEach(this::roomFreed);
     return placementLoop.run(now);
   }
 
   @Override
   public List<GivenUp> expire(long now) {
     latestMillis = now;
-    history.forgetOld(now);
+    history.removeExpired(now);
     List<GivenUp> givenUp = new ArrayList<>(giveUpFailing(now));
     for (QueuedItem queued : queue.removeExpired(now)) {
       String detail = "No place came free before the deadline.";
@@ -131,9 +131,9 @@
     if (reservation == null) {
       return;
     }
-    waitEstimate.taskEnded(now);
+    waitEstimate.recordTaskEnd(now);
     WorkerState worker = fleet.worker(reservation.task().worker());
-    quarantine.taskEnded(worker, reservation, end, now);
+    quarantine.recordTaskEnd(worker, reservation, end, now);
     roomFreed(worker);
     if (admission.failsEverywhere(taskId.key()) && queue.get(taskId.key()) != null) {
       failing.add(taskId.key());
@@ -148,7 +148,7 @@
     if (state == null || reservations.get(taskId) != null) {
       return;
     }
-    history.taskAdopted(taskId.key(), taskId.attempt());
+    history.recordAdoptedTask(taskId.key(), taskId.attempt());
     PlacedTask task = new PlacedTask(taskId, worker, workClass, reserved);
     reservations.take(state, new Reservation(task, "", now, 0));
   }
@@ -177,8 +177,8 @@
     }
     final List<TaskId> taskIds = reservations.freeAll(state, latestMillis);
     fleet.remove(state);
-    quarantine.forget(state);
-    reserve.forget(state);
+    quarantine.removeWorker(state);
+    reserve.removeWorker(state);
     capacities.remove(state.description().capacity());
     order.setTotal(fleet.total());
     return taskIds;
@@ -190,7 +190,7 @@
       throw new IllegalArgumentException("share is " + share + ", must be more than 0");
     }
     TeamState state = order.team(team);
-    order.update(state, () -> state.setShare(share));
+    order.update(state, () -> state.setWeight(share));
   }
 
   @Override
@@ -212,10 +212,10 @@
       return;
     }
     if (!reservation.name().isEmpty()) {
-      learnedSizes.report(taskId.key().team(), reservation.name(), used);
+      learnedSizes.recordUse(taskId.key().team(), reservation.name(), used);
     }
     reservations.raise(reservation, used);
-    reserve.roomTaken(fleet.worker(reservation.task().worker()));
+    reserve.releaseIfFilled(fleet.worker(reservation.task().worker()));
   }
 
   @Override
@@ -252,15 +252,15 @@
   }
 
   private void roomFreed(WorkerState worker) {
-    reserve.roomTaken(worker);
-    reserve.roomFreed(worker);
+    reserve.releaseIfFilled(worker);
+    reserve.reserveIfNeeded(worker);
     if (!worker.takesTasks()) {
       return;
     }
     if (shapes.unblock(worker)) {
-      order.tryAll();
+      order.retryAllTeams();
     } else {
-      order.tryGangs();
+      order.retryTeamsWithGangs();
     }
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/ItemQueue.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ItemQueue.java
@@ -23,7 +23,7 @@
  */
 final class ItemQueue {
 
-  private static final int LEAST_COMPACTION = 1_024;
+  private static final int MIN_COMPACTION_ENTRIES = 1_024;
 
   private final Map<WorkKey, QueuedItem> items = new LinkedHashMap<>();
   private final PriorityQueue<QueuedItem> byDeadline =
@@ -33,7 +33,7 @@
   private final ShapeTable shapes;
   private final WorkHistory history;
   private int urgentItems;
-  private long arrivals;
+  private long nextArrivalNumber;
 
   ItemQueue(FairOrder order, ShapeTable shapes, WorkHistory history) {
     this.order = order;
@@ -56,7 +56,7 @@
   void add(WorkItem item, Resources need) {
     int attempt = history.newAttempt(item.key(), item.tasks());
     QueuedItem queued =
-        new QueuedItem(item, shapes.intern(need, item.workClass()), attempt, arrivals++);
+        new QueuedItem(item, shapes.intern(need, item.workClass()), attempt, nextArrivalNumber++);
     items.put(item.key(), queued);
     byDeadline.add(queued);
     urgentItems += item.workClass() == WorkClass.URGENT ? 1 : 0;
@@ -69,7 +69,7 @@
     urgentItems -= queued.item().workClass() == WorkClass.URGENT ? 1 : 0;
     TeamState team = order.team(queued.item().key().team());
     order.update(team, () -> team.dequeue(queued));
-    history.leftQueue(queued.item().key(), queued.hasStarted(), now);
+    history.recordDequeue(queued.item().key(), queued.hasStarted(), now);
     compact();
   }
 
@@ -78,7 +78,7 @@
     List<QueuedItem> expired = new ArrayList<>();
     while (!byDeadline.isEmpty() && byDeadline.peek().item().deadlineMillis() < now) {
       QueuedItem queued = byDeadline.poll();
-      if (!queued.isGone() && !queued.hasStarted()) {
+      if (!queued.isRemoved() && !queued.hasStarted()) {
         remove(queued, now);
         expired.add(queued);
       }
@@ -87,8 +87,8 @@
   }
 
   private void compact() {
-    if (byDeadline.size() > LEAST_COMPACTION && byDeadline.size() > 2 * items.size()) {
-      byDeadline.removeIf(QueuedItem::isGone);
+    if (byDeadline.size() > MIN_COMPACTION_ENTRIES && byDeadline.size() > 2 * items.size()) {
+      byDeadline.removeIf(QueuedItem::isRemoved);
     }
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/LearnedSizes.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/LearnedSizes.java
@@ -17,29 +17,29 @@
 final class LearnedSizes {
 
   /** Names kept; the least recently used go first. Some 8 MB at the most. */
-  private static final int NAMES_LIMIT = 4_096;
+  private static final int MAX_KINDS = 4_096;
 
   /** Reports before a size is used, so one odd task does not enlarge all. */
-  private static final int LEAST_REPORTS = 5;
+  private static final int MIN_REPORTS = 5;
 
   private record Kind(String team, String name) {}
 
-  private static final class Use {
+  private static final class ObservedUse {
     private final DecayedQuantile milliProcessors = new DecayedQuantile();
     private final DecayedQuantile memoryMebibytes = new DecayedQuantile();
     private int reports;
   }
 
-  private final Map<Kind, Use> uses =
+  private final Map<Kind, ObservedUse> usesByKind =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Kind, Use> eldest) {
-          return size() > NAMES_LIMIT;
+        protected boolean removeEldestEntry(Map.Entry<Kind, ObservedUse> eldest) {
+          return size() > MAX_KINDS;
         }
       };
 
-  void report(String team, String name, Resources used) {
-    Use use = uses.computeIfAbsent(new Kind(team, name), unused -> new Use());
+  void recordUse(String team, String name, Resources used) {
+    ObservedUse use = usesByKind.computeIfAbsent(new Kind(team, name), unused -> new ObservedUse());
     use.milliProcessors.add(used.milliProcessors());
     use.memoryMebibytes.add(used.memoryMebibytes());
     use.reports++;
@@ -47,8 +47,8 @@
 
   /** Returns the declared size, or more where more was seen. Accelerators are whole and exact. */
   Resources sizeOf(String team, String name, Resources declared) {
-    Use use = uses.get(new Kind(team, name));
-    if (use == null || use.reports < LEAST_REPORTS) {
+    ObservedUse use = usesByKind.get(new Kind(team, name));
+    if (use == null || use.reports < MIN_REPORTS) {
       return declared;
     }
     long processors = use.milliProcessors.value();
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
@@ -28,7 +28,7 @@
   private final WorkHistory history;
   private final Reservations reservations;
   private final PlacementPolicies policies;
-  private final UrgentTurns urgentTurns;
+  private final UrgentPriorityLimit urgentTurns;
   private final RoomHolds holds;
   private final UrgentReserve reserve;
   private final Map<QueuedItem, List<PlacedTask>> placed = new LinkedHashMap<>();
@@ -55,14 +55,14 @@
     this.policies = policies;
     this.holds = holds;
     this.reserve = reserve;
-    this.urgentTurns = new UrgentTurns(settings.urgentHoldMillis(), settings.urgentTurn());
+    this.urgentTurns = new UrgentPriorityLimit(settings.urgentHoldMillis(), settings.urgentTurn());
   }
 
   List<Placement> run(long now) {
     tryHeld(now);
     boolean more = true;
     while (more) {
-      boolean othersFirst = urgentTurns.isTurnOfOthers(now);
+      boolean othersFirst = urgentTurns.isOtherWorkNext(now);
       more = placeOne(!othersFirst, now) || placeOne(othersFirst, now);
     }
     List<Placement> placements = new ArrayList<>(placed.size());
@@ -74,7 +74,7 @@
   /** Tries the items that workers are held for before all others, which may fill their gaps. */
   private void tryHeld(long now) {
     holds.releaseUseless(now).forEach(this::offerAgain);
-    reserve.refresh(urgentTurns.isOverdue(now), now).forEach(this::offerAgain);
+    reserve.refresh(urgentTurns.isOtherWorkOverdue(now), now).forEach(this::offerAgain);
     holds.holdForStarving(now);
     for (QueuedItem owner : holds.owners()) {
       starts(order.team(owner.item().key().team()), owner, now);
@@ -83,18 +83,19 @@
 
   private void offerAgain(WorkerState worker) {
     shapes.unblock(worker);
-    order.tryAll();
+    order.retryAllTeams();
   }
 
   private boolean placeOne(boolean urgent, long now) {
-    for (TeamState team : order.waiting()) {
+    for (TeamState team : order.orderedTeams()) {
       if (team.isExhausted(urgent)) {
         continue;
       }
-      QueuedItem queued = firstThatStarts(team, urgent ? URGENT : team.classTurns().order(), now);
+      QueuedItem queued =
+          firstThatStarts(team, urgent ? URGENT : team.classRotation().order(), now);
       if (queued != null) {
-        urgentTurns.started(urgent);
-        team.classTurns().started(queued.item().workClass());
+        urgentTurns.recordStart(urgent);
+        team.classRotation().recordStart(queued.item().workClass());
         return true;
       }
       if (!triesLater) {
@@ -102,7 +103,7 @@
       }
     }
     if (urgent && !queue.hasUrgent()) {
-      urgentTurns.noneWaits();
+      urgentTurns.recordNoUrgentWaiting();
     }
     return false;
   }
@@ -116,7 +117,7 @@
       Iterator<QueuedItem> heads = team.queue(workClass).items().iterator();
       for (int tried = 0; tried < settings.backfillDepth() && heads.hasNext(); ) {
         QueuedItem queued = heads.next();
-        if (queued.isTooLate(now)) {
+        if (queued.isExpired(now)) {
           continue;
         }
         tried++;
@@ -137,7 +138,7 @@
     }
     WorkerState worker = chooseFor(queued, now);
     if (worker == null) {
-      queued.triedInVain(now);
+      queued.recordFailedPlacement(now);
       return false;
     }
     reserve(queued, worker, now);
@@ -146,13 +147,13 @@
   }
 
   private WorkerState chooseFor(QueuedItem queued, long now) {
-    boolean isHeldFor = queued.isHeldFor();
+    boolean isHeldFor = queued.hasHold();
     if (queued.shape().isBlocked() && !isHeldFor) {
       return null;
     }
     PlacementPolicy policy = policies.of(queued.item().workClass());
     WorkerFilter usable = usableFor(queued, now);
-    Set<String> failedOn = history.failedOn(queued.item().key());
+    Set<String> failedOn = history.failedWorkers(queued.item().key());
     if (!failedOn.isEmpty()) {
       WorkerFilter elsewhere = worker -> !failedOn.contains(worker.name()) && usable.test(worker);
       WorkerState other = policy.choose(queued, elsewhere);
@@ -178,7 +179,7 @@
         (urgent || reserve.admits(worker, queued.need()))
             && (worker.heldBy() == null
                 || worker.heldBy().admits(queued, now)
-                || urgent && !urgentTurns.isOverdue(now));
+                || urgent && !urgentTurns.isOtherWorkOverdue(now));
   }
 
   private boolean startsGang(TeamState team, QueuedItem queued, long now) {
@@ -186,8 +187,8 @@
     if (team.freePermits() < tasks) {
       return false;
     }
-    if (queued.shape().isBlocked() && !queued.isHeldFor()) {
-      queued.triedInVain(now);
+    if (queued.shape().isBlocked() && !queued.hasHold()) {
+      queued.recordFailedPlacement(now);
       return false;
     }
     if (queued.nextTryMillis() > now) {
@@ -199,8 +200,8 @@
       WorkerState worker = chooseFor(queued, now);
       if (worker == null) {
         giveBack(taken);
-        queued.triedInVain(now);
-        queued.tryAgainAt(now + settings.gangRetryMillis());
+        queued.recordFailedPlacement(now);
+        queued.setNextTryMillis(now + settings.gangRetryMillis());
         return false;
       }
       Reservation reservation = reservation(queued, i, worker, now);
@@ -224,12 +225,12 @@
   }
 
   private void reserve(QueuedItem queued, WorkerState worker, long now) {
-    Reservation reservation = reservation(queued, queued.takeIndex(), worker, now);
-    history.taskPlaced(queued.item().key());
+    Reservation reservation = reservation(queued, queued.takeTaskIndex(), worker, now);
+    history.recordPlacedTask(queued.item().key());
     TeamState team = order.team(queued.item().key().team());
-    team.taskStarted(queued, now);
+    team.recordStart(queued, now);
     reservations.take(worker, reservation);
-    reserve.roomTaken(worker);
+    reserve.releaseIfFilled(worker);
     placed.computeIfAbsent(queued, unused -> new ArrayList<>()).add(reservation.task());
   }
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementPolicies.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementPolicies.java
@@ -70,13 +70,13 @@
   private WorkerState spread(QueuedItem queued, WorkerFilter allowed) {
     WorkKey key = queued.item().key();
     List<DataCentre> dataCentres = new ArrayList<>(fleet.dataCentres());
-    dataCentres.sort(Comparator.comparingInt(dataCentre -> dataCentre.services().of(key)));
+    dataCentres.sort(Comparator.comparingInt(dataCentre -> dataCentre.services().taskCount(key)));
     for (DataCentre dataCentre : dataCentres) {
       if (dataCentre.index().bestFit(queued.need(), allowed) == null) {
         continue;
       }
       List<Rack> racks = new ArrayList<>(dataCentre.racks());
-      racks.sort(Comparator.comparingInt(rack -> rack.services().of(key)));
+      racks.sort(Comparator.comparingInt(rack -> rack.services().taskCount(key)));
       for (Rack rack : racks) {
         WorkerState found = leastLoaded(rack.workers(), queued.need(), allowed);
         if (found != null) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/Quarantine.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Quarantine.java
@@ -24,26 +24,26 @@
 final class Quarantine {
 
   /** Ends before run times are trusted: enough that one long task does not condemn a worker. */
-  private static final int LEAST_RUNS = 8;
+  private static final int MIN_RUNS = 8;
 
   /** Back to full use below this part of the factor, so a worker at the edge does not flap. */
-  private static final double RECOVERED_PART = 0.5;
+  private static final double RECOVERY_FRACTION = 0.5;
 
   /** The weight of a run in the fleet's mean: hundreds of tasks, so one worker hardly moves it. */
-  private static final double FLEET_WEIGHT = 0.005;
+  private static final double FLEET_SMOOTHING = 0.005;
 
   /** Declared run times are often far off; ratios beyond this say no more. */
-  private static final double MOST_LOG_RATIO = Math.log(20);
+  private static final double MAX_LOG_RATIO = Math.log(20);
 
   private final SchedulerSettings settings;
   private final Fleet fleet;
   private final WorkHistory history;
-  private final PriorityQueue<WorkerState> due =
+  private final PriorityQueue<WorkerState> quarantinedByReleaseTime =
       new PriorityQueue<>(
           Comparator.comparingLong(worker -> worker.health().quarantinedUntilMillis()));
   private double fleetLogSlowness;
   private int fleetRuns;
-  private int inQuarantine;
+  private int quarantinedCount;
 
   Quarantine(SchedulerSettings settings, Fleet fleet, WorkHistory history) {
     this.settings = settings;
@@ -52,24 +52,25 @@
   }
 
   /** Takes in the end of a task, after its room was freed and its work's history updated. */
-  void taskEnded(WorkerState worker, Reservation reservation, TaskEnd end, long now) {
+  void recordTaskEnd(WorkerState worker, Reservation reservation, TaskEnd end, long now) {
     if (end == TaskEnd.STOPPED) {
       return;
     }
     if (end == TaskEnd.COMPLETED) {
-      goodEnd(worker, reservation, now);
+      recordGoodEnd(worker, reservation, now);
     } else {
-      badEnd(worker, reservation.task().taskId().key(), now);
+      recordBadEnd(worker, reservation.task().taskId().key(), now);
     }
     fleet.reindex(worker);
   }
 
   /** Puts the workers whose quarantine is over on probation and returns them. */
-  List<WorkerState> release(long now) {
+  List<WorkerState> releaseDue(long now) {
     List<WorkerState> released = List.of();
-    while (!due.isEmpty() && due.peek().health().quarantinedUntilMillis() <= now) {
-      WorkerState worker = due.poll();
-      inQuarantine--;
+    while (!quarantinedByReleaseTime.isEmpty()
+        && quarantinedByReleaseTime.peek().health().quarantinedUntilMillis() <= now) {
+      WorkerState worker = quarantinedByReleaseTime.poll();
+      quarantinedCount--;
       worker.health().setState(WorkerHealth.State.PROBING);
       fleet.reindex(worker);
       released = released.isEmpty() ? new ArrayList<>() : released;
@@ -78,22 +79,22 @@
     return released;
   }
 
-  void forget(WorkerState worker) {
-    if (due.remove(worker)) {
-      inQuarantine--;
+  void removeWorker(WorkerState worker) {
+    if (quarantinedByReleaseTime.remove(worker)) {
+      quarantinedCount--;
     }
   }
 
-  private void goodEnd(WorkerState worker, Reservation reservation, long now) {
+  private void recordGoodEnd(WorkerState worker, Reservation reservation, long now) {
     WorkerHealth health = worker.health();
-    health.goodEnd();
+    health.recordGoodEnd();
     if (reservation.expectedRunMillis() > 0) {
       long run = Math.max(1, now - reservation.startedMillis());
       double logRatio = Math.log((double) run / reservation.expectedRunMillis());
-      double bounded = Math.max(-MOST_LOG_RATIO, Math.min(MOST_LOG_RATIO, logRatio));
-      health.ran(bounded);
+      double bounded = Math.max(-MAX_LOG_RATIO, Math.min(MAX_LOG_RATIO, logRatio));
+      health.recordRunTime(bounded);
       fleetRuns++;
-      fleetLogSlowness += Math.max(FLEET_WEIGHT, 1.0 / fleetRuns) * (bounded - fleetLogSlowness);
+      fleetLogSlowness += Math.max(FLEET_SMOOTHING, 1.0 / fleetRuns) * (bounded - fleetLogSlowness);
     }
     if (health.state() != WorkerHealth.State.QUARANTINED) {
       health.setState(isSlow(health) ? WorkerHealth.State.PROBING : WorkerHealth.State.GOOD);
@@ -101,31 +102,31 @@
   }
 
   private boolean isSlow(WorkerHealth health) {
-    if (health.runs() < LEAST_RUNS) {
+    if (health.runs() < MIN_RUNS) {
       return false;
     }
     double slower = health.logSlowness() - fleetLogSlowness;
     double limit = Math.log(settings.slowFactor());
     boolean already = health.state() == WorkerHealth.State.PROBING;
-    return slower > (already ? limit * RECOVERED_PART : limit);
+    return slower > (already ? limit * RECOVERY_FRACTION : limit);
   }
 
-  private void badEnd(WorkerState worker, WorkKey key, long now) {
+  private void recordBadEnd(WorkerState worker, WorkKey key, long now) {
     WorkerHealth health = worker.health();
-    if (history.failedOn(key).size() > 1 || health.state() == WorkerHealth.State.QUARANTINED) {
+    if (history.failedWorkers(key).size() > 1 || health.state() == WorkerHealth.State.QUARANTINED) {
       return;
     }
-    int inRow = health.badEnd(key);
+    int inRow = health.recordBadEnd(key);
     boolean probeFailed = health.state() == WorkerHealth.State.PROBING;
-    if ((probeFailed || inRow >= settings.badEndsLimit()) && mayQuarantineOneMore()) {
+    if ((probeFailed || inRow >= settings.badEndsLimit()) && canQuarantineAnother()) {
       health.quarantine(now, settings.quarantineMillis(), settings.longestQuarantineMillis());
-      due.add(worker);
-      inQuarantine++;
+      quarantinedByReleaseTime.add(worker);
+      quarantinedCount++;
     }
   }
 
-  private boolean mayQuarantineOneMore() {
+  private boolean canQuarantineAnother() {
     int most = Math.max(1, (int) (fleet.size() * settings.quarantinePart()));
-    return fleet.size() > 1 && inQuarantine < most;
+    return fleet.size() > 1 && quarantinedCount < most;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/QueuedItem.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/QueuedItem.java
@@ -15,18 +15,18 @@
   private final WorkItem item;
   private final Shape shape;
   private final int attempt;
-  private final long arrival;
-  private int nextIndex;
+  private final long arrivalNumber;
+  private int nextTaskIndex;
   private long nextTryMillis = Long.MIN_VALUE;
-  private long inVainSinceMillis = NEVER;
-  private boolean gone;
-  private boolean heldFor;
+  private long firstFailedPlacementMillis = NEVER;
+  private boolean removed;
+  private boolean hasHold;
 
   QueuedItem(WorkItem item, Shape shape, int attempt, long arrival) {
     this.item = item;
     this.shape = shape;
     this.attempt = attempt;
-    this.arrival = arrival;
+    this.arrivalNumber = arrival;
   }
 
   WorkItem item() {
@@ -46,58 +46,58 @@
   }
 
   /** Returns its number in the order of arrival; no two queued items have the same. */
-  long arrival() {
-    return arrival;
+  long arrivalNumber() {
+    return arrivalNumber;
   }
 
   int waitingTasks() {
-    return item.tasks() - nextIndex;
+    return item.tasks() - nextTaskIndex;
   }
 
   boolean hasStarted() {
-    return nextIndex > 0;
+    return nextTaskIndex > 0;
   }
 
   /** Tells whether the deadline has passed before any task started. */
-  boolean isTooLate(long now) {
+  boolean isExpired(long now) {
     return item.deadlineMillis() < now && !hasStarted();
   }
 
-  int takeIndex() {
-    return nextIndex++;
+  int takeTaskIndex() {
+    return nextTaskIndex++;
   }
 
   long nextTryMillis() {
     return nextTryMillis;
   }
 
-  void tryAgainAt(long millis) {
+  void setNextTryMillis(long millis) {
     nextTryMillis = millis;
   }
 
   /** Returns when it was first tried in vain for want of room; far in the future if never. */
-  long inVainSinceMillis() {
-    return inVainSinceMillis;
+  long firstFailedPlacementMillis() {
+    return firstFailedPlacementMillis;
   }
 
-  void triedInVain(long now) {
-    inVainSinceMillis = Math.min(inVainSinceMillis, now);
+  void recordFailedPlacement(long now) {
+    firstFailedPlacementMillis = Math.min(firstFailedPlacementMillis, now);
   }
 
   /** Tells whether workers are kept free for it. */
-  boolean isHeldFor() {
-    return heldFor;
+  boolean hasHold() {
+    return hasHold;
   }
 
-  void setHeldFor(boolean held) {
-    heldFor = held;
+  void setHasHold(boolean held) {
+    hasHold = held;
   }
 
-  boolean isGone() {
-    return gone;
+  boolean isRemoved() {
+    return removed;
   }
 
-  void markGone() {
-    gone = true;
+  void markRemoved() {
+    removed = true;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/Reservations.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Reservations.java
@@ -41,7 +41,7 @@
     reservations.put(task.taskId(), reservation);
     fleet.reserve(worker, reservation);
     TeamState team = order.team(task.taskId().key().team());
-    order.update(team, () -> team.taskPlaced(task));
+    order.update(team, () -> team.addPlacedTask(task));
   }
 
   /**
@@ -60,10 +60,10 @@
     PlacedTask task = reservation.task();
     fleet.release(fleet.worker(task.worker()), reservation);
     TeamState team = order.team(taskId.key().team());
-    order.update(team, () -> team.taskEnded(task));
-    history.taskEnded(taskId.key(), task.worker(), end, now);
+    order.update(team, () -> team.removePlacedTask(task));
+    history.recordTaskEnd(taskId.key(), task.worker(), end, now);
     if (end == TaskEnd.COMPLETED) {
-      team.queue(task.workClass()).taskCompleted(now - reservation.startedMillis());
+      team.queue(task.workClass()).recordCompletion(now - reservation.startedMillis());
     }
     return reservation;
   }
@@ -92,7 +92,7 @@
     fleet.reserve(worker, larger);
     reservations.put(task.taskId(), larger);
     TeamState team = order.team(task.taskId().key().team());
-    order.update(team, () -> team.taskResized(before, after));
+    order.update(team, () -> team.resizePlacedTask(before, after));
   }
 
   private static long raised(long reserved, long used, long free) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/RoomHolds.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/RoomHolds.java
@@ -73,7 +73,7 @@
     for (Iterator<Hold> each = holds.iterator(); each.hasNext(); ) {
       Hold hold = each.next();
       if (!isOfUse(hold, now)) {
-        hold.owner().setHeldFor(false);
+        hold.owner().setHasHold(false);
         hold.workers().forEach(worker -> worker.holdBy(null));
         released.addAll(hold.workers());
         heldWorkers -= hold.workers().size();
@@ -104,7 +104,7 @@
 
   private boolean isOfUse(Hold hold, long now) {
     QueuedItem owner = hold.owner();
-    if (owner.isGone() || owner.isTooLate(now) || !hasPermits(owner)) {
+    if (owner.isRemoved() || owner.isExpired(now) || !hasPermits(owner)) {
       return false;
     }
     for (WorkerState worker : hold.workers()) {
@@ -117,12 +117,13 @@
 
   private QueuedItem longestInVain(long now) {
     QueuedItem longest = null;
-    for (TeamState team : order.waiting()) {
+    for (TeamState team : order.orderedTeams()) {
       for (WorkClass workClass : WorkClass.values()) {
         QueuedItem head = firstNotHeldFor(team.queue(workClass));
         if (head != null
-            && head.inVainSinceMillis() + holdAfterMillis <= now
-            && (longest == null || head.inVainSinceMillis() < longest.inVainSinceMillis())
+            && head.firstFailedPlacementMillis() + holdAfterMillis <= now
+            && (longest == null
+                || head.firstFailedPlacementMillis() < longest.firstFailedPlacementMillis())
             && mayHold(head, now)) {
           longest = head;
         }
@@ -133,7 +134,7 @@
 
   private static QueuedItem firstNotHeldFor(ClassQueue queue) {
     for (QueuedItem queued : queue.items()) {
-      if (!queued.isHeldFor()) {
+      if (!queued.hasHold()) {
         return queued;
       }
     }
@@ -141,7 +142,7 @@
   }
 
   private boolean mayHold(QueuedItem head, long now) {
-    return !head.isTooLate(now) && isGangOrLarge(head) && hasPermits(head);
+    return !head.isExpired(now) && isGangOrLarge(head) && hasPermits(head);
   }
 
   private boolean isGangOrLarge(QueuedItem queued) {
@@ -175,7 +176,7 @@
     Hold hold = new Hold(starving, workers, startMillis);
     holds.add(hold);
     heldWorkers += workers.size();
-    starving.setHeldFor(true);
+    starving.setHasHold(true);
     workers.forEach(worker -> worker.holdBy(hold));
   }
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/SchedulerSettings.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/SchedulerSettings.java
@@ -65,22 +65,23 @@
 
   /** Checks each value against its range. */
   public SchedulerSettings {
-    check("queueLimit", queueLimit, 1, 1_000_000);
-    check("backfillDepth", backfillDepth, 1, 1_000);
-    check("urgentHoldMillis", urgentHoldMillis, 0, 3_600_000);
-    check("urgentTurn", urgentTurn, 2, 1_000);
-    check("holdAfterMillis", holdAfterMillis, 0, 3_600_000);
-    check("gangRetryMillis", gangRetryMillis, 0, 60_000);
-    check("historyMillis", historyMillis, 1_000, 86_400_000);
-    check("failedWorkersLimit", failedWorkersLimit, 2, 100);
-    check("waitMargin", waitMargin, 1, 10);
-    check("badEndsLimit", badEndsLimit, 2, 1_000);
-    check("quarantineMillis", quarantineMillis, 100, 3_600_000);
-    check("longestQuarantineMillis", longestQuarantineMillis, quarantineMillis, 86_400_000);
-    check("quarantinePart", quarantinePart, 0, 1);
-    check("slowFactor", slowFactor, 1.5, 100);
-    check("urgentReservePart", urgentReservePart, 0, 0.5);
-    check("shiftPatienceMillis", shiftPatienceMillis, 0, 60_000);
+    requireInRange("queueLimit", queueLimit, 1, 1_000_000);
+    requireInRange("backfillDepth", backfillDepth, 1, 1_000);
+    requireInRange("urgentHoldMillis", urgentHoldMillis, 0, 3_600_000);
+    requireInRange("urgentTurn", urgentTurn, 2, 1_000);
+    requireInRange("holdAfterMillis", holdAfterMillis, 0, 3_600_000);
+    requireInRange("gangRetryMillis", gangRetryMillis, 0, 60_000);
+    requireInRange("historyMillis", historyMillis, 1_000, 86_400_000);
+    requireInRange("failedWorkersLimit", failedWorkersLimit, 2, 100);
+    requireInRange("waitMargin", waitMargin, 1, 10);
+    requireInRange("badEndsLimit", badEndsLimit, 2, 1_000);
+    requireInRange("quarantineMillis", quarantineMillis, 100, 3_600_000);
+    requireInRange(
+        "longestQuarantineMillis", longestQuarantineMillis, quarantineMillis, 86_400_000);
+    requireInRange("quarantinePart", quarantinePart, 0, 1);
+    requireInRange("slowFactor", slowFactor, 1.5, 100);
+    requireInRange("urgentReservePart", urgentReservePart, 0, 0.5);
+    requireInRange("shiftPatienceMillis", shiftPatienceMillis, 0, 60_000);
   }
 
   /**
@@ -197,14 +198,20 @@
         millis);
   }
 
-  private static void check(String name, double value, double least, double most) {
+  private static void requireInRange(String name, double value, double least, double most) {
     if (value < least || value > most) {
       throw new IllegalArgumentException(
-          name + " is " + plain(value) + ", allowed is " + plain(least) + " to " + plain(most));
+          name
+              + " is "
+              + plainString(value)
+              + ", allowed is "
+              + plainString(least)
+              + " to "
+              + plainString(most));
     }
   }
 
-  private static String plain(double value) {
+  private static String plainString(double value) {
     return new BigDecimal(String.valueOf(value)).stripTrailingZeros().toPlainString();
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/ServiceCounts.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ServiceCounts.java
@@ -13,18 +13,18 @@
  */
 final class ServiceCounts {
 
-  private final Map<WorkKey, Integer> tasks = new HashMap<>();
+  private final Map<WorkKey, Integer> tasksByService = new HashMap<>();
 
-  int of(WorkKey service) {
-    return tasks.getOrDefault(AttemptKey.workOf(service), 0);
+  int taskCount(WorkKey service) {
+    return tasksByService.getOrDefault(AttemptKey.workOf(service), 0);
   }
 
   void add(WorkKey service) {
-    tasks.merge(AttemptKey.workOf(service), 1, Integer::sum);
+    tasksByService.merge(AttemptKey.workOf(service), 1, Integer::sum);
   }
 
   void remove(WorkKey service) {
-    tasks.computeIfPresent(
+    tasksByService.computeIfPresent(
         AttemptKey.workOf(service), (unused, count) -> count == 1 ? null : count - 1);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/TeamState.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/TeamState.java
@@ -12,13 +12,13 @@
  */
 final class TeamState {
 
-  private static final double DEFAULT_SHARE = 1.0;
+  private static final double DEFAULT_WEIGHT = 1.0;
 
   /**
    * A team that starts from a single task here must not look as if it took the whole fleet. Tried
    * from 1.5 to 8, with little difference.
    */
-  private static final double MOST_CHANGE = 1.5;
+  private static final double MAX_USE_CHANGE_FACTOR = 1.5;
 
   /**
    * The digests of the others come one by one, each once a second, so at any moment most of what
@@ -28,7 +28,7 @@
 
   private final String name;
   private final Map<WorkClass, ClassQueue> queues = new EnumMap<>(WorkClass.class);
-  private double share = DEFAULT_SHARE;
+  private double weight = DEFAULT_WEIGHT;
   private int permits;
   private int placedTasks;
   private int waitingTasks;
@@ -37,9 +37,9 @@
   private Resources usedAtDigest = Resources.NONE;
   private long usedAtDigestMillis = Long.MIN_VALUE / 2;
   private double weightedShare;
-  private final ClassTurns classTurns = new ClassTurns();
+  private final ClassRotation classRotation = new ClassRotation();
   private boolean urgentExhausted;
-  private boolean othersExhausted;
+  private boolean otherExhausted;
 
   TeamState(String name) {
     this.name = name;
@@ -57,10 +57,10 @@
   }
 
   /** Returns the tasks a second that the team gets started over all classes. */
-  double drainPerSecond(long now) {
+  double drainRatePerSecond(long now) {
     double sum = 0;
     for (ClassQueue queue : queues.values()) {
-      sum += queue.drainPerSecond(now);
+      sum += queue.drainRatePerSecond(now);
     }
     return sum;
   }
@@ -69,19 +69,19 @@
     queue(queued.item().workClass()).add(queued);
     waitingTasks += queued.waitingTasks();
     queued.shape().itemQueued();
-    markWorthTrying();
+    clearExhausted();
   }
 
   void dequeue(QueuedItem queued) {
     queue(queued.item().workClass()).remove(queued);
     waitingTasks -= queued.waitingTasks();
     queued.shape().itemGone();
-    queued.markGone();
-    markWorthTrying();
+    queued.markRemoved();
+    clearExhausted();
   }
 
-  ClassTurns classTurns() {
-    return classTurns;
+  ClassRotation classRotation() {
+    return classRotation;
   }
 
   int waitingTasks() {
@@ -92,10 +92,11 @@
     return waitingTasks > 0;
   }
 
-  void taskStarted(QueuedItem queued, long now) {
+  void recordStart(QueuedItem queued, long now) {
     waitingTasks--;
     long waited = now - queued.item().submittedMillis();
-    queue(queued.item().workClass()).taskStarted(waited, queued.inVainSinceMillis() <= now, now);
+    queue(queued.item().workClass())
+        .recordStart(waited, queued.firstFailedPlacementMillis() <= now, now);
   }
 
   int freePermits() {
@@ -108,11 +109,11 @@
 
   void setPermits(int newPermits) {
     permits = newPermits;
-    markWorthTrying();
+    clearExhausted();
   }
 
-  void setShare(double newShare) {
-    share = newShare;
+  void setWeight(double newShare) {
+    weight = newShare;
   }
 
   Resources used() {
@@ -123,20 +124,20 @@
     return placedTasks;
   }
 
-  void taskPlaced(PlacedTask task) {
+  void addPlacedTask(PlacedTask task) {
     placedTasks++;
     used = used.plus(task.reserved());
-    queue(task.workClass()).taskRuns();
+    queue(task.workClass()).incrementRunning();
   }
 
-  void taskEnded(PlacedTask task) {
+  void removePlacedTask(PlacedTask task) {
     placedTasks--;
     used = used.minus(task.reserved());
-    queue(task.workClass()).taskEnded();
-    markWorthTrying();
+    queue(task.workClass()).decrementRunning();
+    clearExhausted();
   }
 
-  void taskResized(Resources before, Resources after) {
+  void resizePlacedTask(Resources before, Resources after) {
     used = used.minus(before).plus(after);
   }
 
@@ -159,8 +160,8 @@
   void refreshWeightedShare(Resources total) {
     double here = used.dominantShare(total);
     double before = usedAtDigest.dominantShare(total);
-    double change = before == 0 ? 1 : Math.min(MOST_CHANGE, here / before);
-    weightedShare = (here + usedElsewhere.dominantShare(total) * change) / share;
+    double change = before == 0 ? 1 : Math.min(MAX_USE_CHANGE_FACTOR, here / before);
+    weightedShare = (here + usedElsewhere.dominantShare(total) * change) / weight;
   }
 
   double weightedShare() {
@@ -174,19 +175,19 @@
    * @return true if there is no use in another try
    */
   boolean isExhausted(boolean urgent) {
-    return urgent ? urgentExhausted : othersExhausted;
+    return urgent ? urgentExhausted : otherExhausted;
   }
 
   void markExhausted(boolean urgent) {
     if (urgent) {
       urgentExhausted = true;
     } else {
-      othersExhausted = true;
+      otherExhausted = true;
     }
   }
 
-  void markWorthTrying() {
+  void clearExhausted() {
     urgentExhausted = false;
-    othersExhausted = false;
+    otherExhausted = false;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
@@ -17,63 +17,63 @@
 final class UrgentReserve {
 
   /** After this time without urgent work nothing is kept free any more. */
-  private static final long FORGET_MILLIS = 60_000;
+  private static final long URGENT_IDLE_MILLIS = 60_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final double part;
+  private final double reservedFraction;
   private final Fleet fleet;
   private final Set<WorkerState> workers = new LinkedHashSet<>();
-  private Resources need = Resources.NONE;
+  private Resources gapSize = Resources.NONE;
   private long latestUrgentMillis = NEVER;
   private boolean active;
 
   UrgentReserve(double part, Fleet fleet) {
-    this.part = part;
+    this.reservedFraction = part;
     this.fleet = fleet;
   }
 
   /** Notes urgent work and its size; the reserve is for the largest size of late. */
-  void urgentCame(Resources size, long now) {
-    if (latestUrgentMillis + FORGET_MILLIS < now) {
-      need = Resources.NONE;
+  void recordUrgentWork(Resources size, long now) {
+    if (latestUrgentMillis + URGENT_IDLE_MILLIS < now) {
+      gapSize = Resources.NONE;
     }
     latestUrgentMillis = now;
-    if (!size.fitsInto(need)) {
-      need =
+    if (!size.fitsInto(gapSize)) {
+      gapSize =
           new Resources(
-              Math.max(need.milliProcessors(), size.milliProcessors()),
-              Math.max(need.memoryMebibytes(), size.memoryMebibytes()),
-              Math.max(need.accelerators(), size.accelerators()));
+              Math.max(gapSize.milliProcessors(), size.milliProcessors()),
+              Math.max(gapSize.memoryMebibytes(), size.memoryMebibytes()),
+              Math.max(gapSize.accelerators(), size.accelerators()));
     }
   }
 
   /** Tells whether work that is not urgent may use a worker's room for a task. */
   boolean admits(WorkerState worker, Resources size) {
-    return !worker.isReserveForUrgent() || worker.hasRoomBeside(need, size);
+    return !worker.isReserveForUrgent() || worker.hasRoomBeside(gapSize, size);
   }
 
   /** Takes a worker with freed room into the reserve if it lacks one. */
-  void roomFreed(WorkerState worker) {
+  void reserveIfNeeded(WorkerState worker) {
     if (!active || worker.isReserveForUrgent() || worker.heldBy() != null) {
       return;
     }
-    if (workers.size() < wanted() && worker.takesTasks() && worker.hasRoomFor(need)) {
+    if (workers.size() < targetGaps() && worker.takesTasks() && worker.hasRoomFor(gapSize)) {
       workers.add(worker);
       worker.setReserveForUrgent(true);
     }
   }
 
   /** Takes a worker out of the reserve once it has no gap any more. */
-  void roomTaken(WorkerState worker) {
-    if (worker.isReserveForUrgent() && !(worker.takesTasks() && worker.hasRoomFor(need))) {
-      drop(worker);
+  void releaseIfFilled(WorkerState worker) {
+    if (worker.isReserveForUrgent() && !(worker.takesTasks() && worker.hasRoomFor(gapSize))) {
+      release(worker);
     }
   }
 
-  void forget(WorkerState worker) {
+  void removeWorker(WorkerState worker) {
     if (worker.isReserveForUrgent()) {
-      drop(worker);
+      release(worker);
     }
   }
 
@@ -86,24 +86,24 @@
    * @return the workers that are no longer in the reserve
    */
   Set<WorkerState> refresh(boolean overdue, long now) {
-    active = !overdue && latestUrgentMillis + FORGET_MILLIS >= now;
+    active = !overdue && latestUrgentMillis + URGENT_IDLE_MILLIS >= now;
     if (workers.isEmpty() || active) {
       return Set.of();
     }
     Set<WorkerState> released = new LinkedHashSet<>(workers);
-    released.forEach(this::drop);
+    released.forEach(this::release);
     return released;
   }
 
-  private void drop(WorkerState worker) {
+  private void release(WorkerState worker) {
     workers.remove(worker);
     worker.setReserveForUrgent(false);
   }
 
   /** Returns how many gaps take up the part, of the slots or of the scarcest resource. */
-  private int wanted() {
-    double bySlots = fleet.totalSlots() * part;
-    double share = need.dominantShare(fleet.total());
-    return (int) (share == 0 ? bySlots : Math.min(bySlots, part / share));
+  private int targetGaps() {
+    double bySlots = fleet.totalSlots() * reservedFraction;
+    double share = gapSize.dominantShare(fleet.total());
+    return (int) (share == 0 ? bySlots : Math.min(bySlots, reservedFraction / share));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/WaitEstimate.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WaitEstimate.java
@@ -19,7 +19,7 @@
   private static final double RATE_WINDOW_MILLIS = 5_000;
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  private final DecayedRate ends = new DecayedRate(RATE_WINDOW_MILLIS);
+  private final DecayedRate taskEndRate = new DecayedRate(RATE_WINDOW_MILLIS);
   private final FairOrder order;
   private final ShapeTable shapes;
 
@@ -28,32 +28,32 @@
     this.shapes = shapes;
   }
 
-  void taskEnded(long now) {
-    ends.count(now);
+  void recordTaskEnd(long now) {
+    taskEndRate.count(now);
   }
 
   /** Returns the estimated wait in milliseconds, 0 if there is room or nothing is known yet. */
-  long millis(WorkItem item, TeamState team, long now) {
+  long estimateMillis(WorkItem item, TeamState team, long now) {
     ClassQueue queue = team.queue(item.workClass());
     boolean full =
-        shapes.isBlocked(item.resources(), item.workClass()) || queue.headWasTriedInVain(now);
+        shapes.isBlocked(item.resources(), item.workClass()) || queue.hasHeadFailedPlacement(now);
     if (!full && team.freePermits() > 0) {
       return 0;
     }
     if (queue.waitingTasks() > 0) {
-      int ahead = queue.waitingTasksUntil(item.firstTriedMillis());
-      long byRate = wait(ahead + item.tasks(), queue.drainPerSecond(now));
+      int ahead = queue.waitingTasksFirstTriedBy(item.firstTriedMillis());
+      long byRate = drainMillis(ahead + item.tasks(), queue.drainRatePerSecond(now));
       // What others waited lately, from the tail, says nothing of a place further ahead.
       boolean atTail = ahead == queue.waitingTasks();
       return atTail ? Math.max(byRate, (long) queue.recentWaitMillis()) : byRate;
     }
     if (!full) {
-      return wait(1, team.drainPerSecond(now));
+      return drainMillis(1, team.drainRatePerSecond(now));
     }
-    return wait(order.waitingTeams() + item.tasks(), ends.perSecond(now));
+    return drainMillis(order.waitingTeamCount() + item.tasks(), taskEndRate.perSecond(now));
   }
 
-  private static long wait(int tasks, double perSecond) {
+  private static long drainMillis(int tasks, double perSecond) {
     return perSecond == 0 ? 0 : (long) (tasks / perSecond * MILLIS_PER_SECOND);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkHistory.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkHistory.java
@@ -18,12 +18,12 @@
  */
 final class WorkHistory {
 
-  private final long keepMillis;
+  private final long retentionMillis;
   private final Map<WorkKey, Entry> entries = new HashMap<>();
-  private final LinkedHashMap<WorkKey, Long> endedAt = new LinkedHashMap<>();
+  private final LinkedHashMap<WorkKey, Long> endMillisByKey = new LinkedHashMap<>();
 
   WorkHistory(long keepMillis) {
-    this.keepMillis = keepMillis;
+    this.retentionMillis = keepMillis;
   }
 
   private static final class Entry {
@@ -31,8 +31,8 @@
     private int liveTasks;
     private int tasks;
     private boolean queued;
-    private boolean troubled;
-    private Set<String> failedOn = Set.of();
+    private boolean hadBadEnd;
+    private Set<String> failedWorkers = Set.of();
   }
 
   /** Counts a new attempt and returns its number, from 1. */
@@ -41,61 +41,61 @@
     entry.attempts++;
     entry.tasks = Math.max(entry.tasks, tasks);
     entry.queued = true;
-    endedAt.remove(key);
+    endMillisByKey.remove(key);
     return entry.attempts;
   }
 
   /** Notes that no task of the work waits any more; an attempt without a placed task is undone. */
-  void leftQueue(WorkKey key, boolean started, long now) {
+  void recordDequeue(WorkKey key, boolean started, long now) {
     Entry entry = entries.get(key);
     entry.queued = false;
     if (!started) {
       entry.attempts--;
     }
-    settle(key, entry, now);
+    retainOrForget(key, entry, now);
   }
 
-  void taskAdopted(WorkKey key, int attempt) {
+  void recordAdoptedTask(WorkKey key, int attempt) {
     Entry entry = entries.computeIfAbsent(key, unused -> new Entry());
     entry.attempts = Math.max(entry.attempts, attempt);
     entry.tasks = Math.max(entry.tasks, entry.liveTasks + 1);
     entry.liveTasks++;
-    endedAt.remove(key);
+    endMillisByKey.remove(key);
   }
 
-  void taskPlaced(WorkKey key) {
+  void recordPlacedTask(WorkKey key) {
     entries.get(key).liveTasks++;
   }
 
-  void taskEnded(WorkKey key, String worker, TaskEnd end, long now) {
+  void recordTaskEnd(WorkKey key, String worker, TaskEnd end, long now) {
     Entry entry = entries.get(key);
     entry.liveTasks--;
-    entry.troubled |= end != TaskEnd.COMPLETED;
+    entry.hadBadEnd |= end != TaskEnd.COMPLETED;
     if (end == TaskEnd.FAILED) {
-      if (entry.failedOn.isEmpty()) {
-        entry.failedOn = new HashSet<>();
+      if (entry.failedWorkers.isEmpty()) {
+        entry.failedWorkers = new HashSet<>();
       }
-      entry.failedOn.add(worker);
+      entry.failedWorkers.add(worker);
     }
-    settle(key, entry, now);
+    retainOrForget(key, entry, now);
   }
 
   /** Tells whether so many tasks more would be above the number that the work has. */
-  boolean wouldDouble(WorkKey key, int tasks) {
+  boolean wouldExceedTaskCount(WorkKey key, int tasks) {
     Entry entry = entries.get(key);
     return entry != null && entry.liveTasks > 0 && entry.liveTasks + tasks > entry.tasks;
   }
 
-  Set<String> failedOn(WorkKey key) {
+  Set<String> failedWorkers(WorkKey key) {
     Entry entry = entries.get(key);
-    return entry == null ? Set.of() : entry.failedOn;
+    return entry == null ? Set.of() : entry.failedWorkers;
   }
 
-  void forgetOld(long now) {
-    Iterator<Map.Entry<WorkKey, Long>> oldest = endedAt.entrySet().iterator();
+  void removeExpired(long now) {
+    Iterator<Map.Entry<WorkKey, Long>> oldest = endMillisByKey.entrySet().iterator();
     while (oldest.hasNext()) {
       Map.Entry<WorkKey, Long> next = oldest.next();
-      if (next.getValue() + keepMillis > now) {
+      if (next.getValue() + retentionMillis > now) {
         return;
       }
       entries.remove(next.getKey());
@@ -103,13 +103,13 @@
     }
   }
 
-  private void settle(WorkKey key, Entry entry, long now) {
+  private void retainOrForget(WorkKey key, Entry entry, long now) {
     if (entry.liveTasks > 0 || entry.queued) {
       return;
     }
-    if (entry.troubled) {
-      endedAt.remove(key);
-      endedAt.put(key, now);
+    if (entry.hadBadEnd) {
+      endMillisByKey.remove(key);
+      endMillisByKey.put(key, now);
     } else {
       entries.remove(key);
     }
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerHealth.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerHealth.java
@@ -22,11 +22,11 @@
   }
 
   /** The weight of a new run; some five tasks until a change shows. */
-  private static final double RUN_WEIGHT = 0.2;
+  private static final double RUN_TIME_SMOOTHING = 0.2;
 
-  private final Set<WorkKey> badInRow = new HashSet<>();
+  private final Set<WorkKey> consecutiveBadWork = new HashSet<>();
   private State state = State.GOOD;
-  private int quarantines;
+  private int consecutiveQuarantines;
   private long quarantinedUntilMillis;
   private int runs;
   private double logSlowness;
@@ -53,28 +53,28 @@
   }
 
   void quarantine(long now, long firstMillis, long mostMillis) {
-    long millis = firstMillis << Math.min(quarantines, 20);
-    quarantines++;
+    long millis = firstMillis << Math.min(consecutiveQuarantines, 20);
+    consecutiveQuarantines++;
     quarantinedUntilMillis = now + Math.min(mostMillis, millis);
-    badInRow.clear();
+    consecutiveBadWork.clear();
     state = State.QUARANTINED;
   }
 
   /** Counts a bad end and returns how many works in a row ended badly. */
-  int badEnd(WorkKey key) {
-    badInRow.add(key);
-    return badInRow.size();
+  int recordBadEnd(WorkKey key) {
+    consecutiveBadWork.add(key);
+    return consecutiveBadWork.size();
   }
 
-  void goodEnd() {
-    badInRow.clear();
-    quarantines = 0;
+  void recordGoodEnd() {
+    consecutiveBadWork.clear();
+    consecutiveQuarantines = 0;
   }
 
   /** Takes in how long a task ran, as the logarithm of the run time over the expected one. */
-  void ran(double logRatio) {
+  void recordRunTime(double logRatio) {
     runs++;
-    logSlowness += Math.max(RUN_WEIGHT, 1.0 / runs) * (logRatio - logSlowness);
+    logSlowness += Math.max(RUN_TIME_SMOOTHING, 1.0 / runs) * (logRatio - logSlowness);
   }
 
   int runs() {
--- a/core/src/test/java/org/hickorypier/core/scheduling/AdmissionTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/AdmissionTest.java
@@ -9,8 +9,8 @@
 
 class AdmissionTest {
 
-  private static final int BURST = 40;
-  private static final long DEADLINE = 10_000;
+  private static final int BURST_REQUESTS = 40;
+  private static final long DEADLINE_MILLIS = 10_000;
 
   /**
    * Forty callers come at once to an instance that holds two permits of their team and has asked
@@ -20,7 +20,7 @@
    */
   @ParameterizedTest
   @CsvSource({"0, false", "1200, true"})
-  void burstWhilePermitsAreOnTheirWay(long patienceMillis, boolean allTaken) {
+  void burstIsAcceptedWhilePermitsArePending(long patienceMillis, boolean allTaken) {
     Scheduler scheduler =
         SchedulerFactory.create(SchedulerSettings.defaults().withShiftPatience(patienceMillis), 1);
     for (int number = 0; number < 6; number++) {
@@ -35,14 +35,15 @@
 
   /** The same burst when the first of the queue has waited long: who cannot start is told so. */
   @Test
-  void patienceEndsWhenTheQueueHasWaited() {
+  void lateItemIsRefusedOnceQueueHeadHasWaited() {
     Scheduler scheduler =
         SchedulerFactory.create(SchedulerSettings.defaults().withShiftPatience(1_200), 1);
     scheduler.putWorker(Work.worker(0), true);
     scheduler.putPermits("north", 2);
     submitBurst(scheduler, 0);
 
-    assertThat(scheduler.submit(Work.request("north", "late", 2_000, 2_000 + DEADLINE), 2_000))
+    assertThat(
+            scheduler.submit(Work.request("north", "late", 2_000, 2_000 + DEADLINE_MILLIS), 2_000))
         .hasValueSatisfying(
             refusal -> assertThat(refusal.reason()).isEqualTo(RefusalReason.DEADLINE_TOO_NEAR));
   }
@@ -52,7 +53,7 @@
    * its old rate of starts is near zero; taken for the present rate it meant a wait of an hour.
    */
   @Test
-  void rateOfQuietTeamSaysNothing() {
+  void rateIsZeroAfterQuietMinute() {
     DecayedRate rate = new DecayedRate(5_000);
     for (int event = 0; event < 50; event++) {
       rate.count(event * 100);
@@ -64,10 +65,10 @@
 
   private static long submitBurst(Scheduler scheduler, long now) {
     long refused = 0;
-    for (int number = 0; number < BURST; number++) {
+    for (int number = 0; number < BURST_REQUESTS; number++) {
       refused +=
           scheduler
-              .submit(Work.request("north", "burst-" + number, now, now + DEADLINE), now)
+              .submit(Work.request("north", "burst-" + number, now, now + DEADLINE_MILLIS), now)
               .stream()
               .count();
       scheduler.place(now);
--- a/core/src/test/java/org/hickorypier/core/scheduling/OverloadTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/OverloadTest.java
@@ -45,7 +45,7 @@
    * is accepted starts before its deadline; the workers never run dry.
    */
   @Test
-  void saturationRefusesEarlyAndKeepsWhatItAccepts() {
+  void saturationRefusesEarlyAndStartsAcceptedWork() {
     SimulatedLoad load = new SimulatedLoad(Work.scheduler(5, "north"), ONE_SECOND);
     for (int i = 0; i < 1_600; i++) {
       load.submit(Work.request("north", "r" + i, load.now(), load.now() + 2_000));
@@ -66,7 +66,7 @@
    * room, and such callers waited to their deadlines.
    */
   @Test
-  void newSizeDoesNotPassForRoom() {
+  void newSizeIsRefusedBehindBlockedHead() {
     Scheduler scheduler = Work.scheduler(1, "north");
     for (int i = 0; i < 28; i++) {
       scheduler.submit(Work.request("north", "r" + i), 0);
@@ -144,7 +144,7 @@
 
   /** A worker that was mended is found by a probe and used in full again. */
   @Test
-  void mendedWorkerComesBack() {
+  void recoveredWorkerLeavesQuarantine() {
     boolean[] broken = {true};
     SimulatedLoad load =
         new SimulatedLoad(
@@ -164,7 +164,7 @@
    * the others, but for the part that may be in quarantine.
    */
   @Test
-  void faultyWorkDoesNotCloseTheFleet() {
+  void faultyWorkDoesNotQuarantineMostWorkers() {
     SimulatedLoad load = new SimulatedLoad(Work.scheduler(8, "north"), task -> -1);
     for (int i = 0; i < 300; i++) {
       load.submit(Work.request("north", "r" + i, load.now(), load.now() + 60_000));
@@ -177,7 +177,7 @@
 
   /** One worker is ten times slower; it delays one caller at a time and not eight. */
   @Test
-  void slowWorkerIsIsolated() {
+  void slowWorkerGetsOneTaskAtATime() {
     SimulatedLoad load =
         new SimulatedLoad(
             Work.scheduler(6, "north"), task -> task.worker().equals("worker-0") ? 10_000 : 1_000);
@@ -212,7 +212,7 @@
    * workers; the rest, which would fail as well, is given up on and not started.
    */
   @Test
-  void restOfFaultyJobIsGivenUpOn() {
+  void remainingTasksOfFaultyJobAreRefused() {
     Scheduler scheduler = Work.scheduler(4, "north");
     scheduler.submit(Work.item("north", "bad", WorkClass.BATCH, Work.SMALL, 500), 0);
     for (PlacedTask task : scheduler.place(0).get(0).tasks()) {
@@ -230,7 +230,7 @@
    * its large tasks while one permit is left; when all come free at once, only one may start.
    */
   @Test
-  void heldTasksOfOneTeamShareItsPermits() {
+  void heldWorkersDoNotExceedTeamPermits() {
     Scheduler scheduler = Work.scheduler(16);
     scheduler.putPermits("north", 1);
     for (int i = 0; i < 16; i++) {
@@ -253,7 +253,7 @@
 
   /** Several large gangs wait at once; each gets its workers in turn, and none blocks another. */
   @Test
-  void severalGangsAllStart() {
+  void concurrentGangsAllStart() {
     String[] teams = {"a", "b", "c", "d"};
     SimulatedLoad load = new SimulatedLoad(Work.scheduler(4, "a", "b", "c", "d", "s"), ONE_SECOND);
     load.submit(Work.item("s", "small", WorkClass.BATCH, Work.SMALL, 100_000), true);
@@ -270,7 +270,7 @@
    * places goes to a job that waits.
    */
   @Test
-  void jobsGoOnBehindRequestsOfTheSameTeam() {
+  void jobsProgressBesideRequestsOfSameTeam() {
     SimulatedLoad load = new SimulatedLoad(Work.scheduler(2, "north"), ONE_SECOND);
     load.submit(Work.item("north", "job", WorkClass.BATCH, Work.SMALL, 40), true);
     for (int i = 0; i < 900; i++) {
@@ -287,7 +287,7 @@
    * before the queues, which skip late items; it started one late before it looked as well.
    */
   @Test
-  void heldItemPastItsDeadlineDoesNotStart() {
+  void heldItemDoesNotStartAfterItsDeadline() {
     Scheduler scheduler = Work.scheduler(1, "north");
     WorkKey busy = new WorkKey("south", "busy");
     scheduler.adopt(new TaskId(busy, 1, 0), "worker-0", WorkClass.BATCH, Work.CAPACITY, 0);
@@ -307,7 +307,7 @@
 
   /** A wave of cancellations empties the queue, and the places go to who still waits. */
   @Test
-  void waveOfCancellationsLeavesNothingBehind() {
+  void massCancellationEmptiesQueue() {
     Scheduler scheduler = Work.scheduler(0, "north");
     for (int round = 0; round < 50; round++) {
       for (int i = 0; i < 900; i++) {
@@ -329,7 +329,7 @@
    * Tasks that use far more than declared get that room on the next start, and now if it is free.
    */
   @Test
-  void sizesAreLearnedFromReports() {
+  void reservationGrowsToReportedUse() {
     Scheduler scheduler = Work.scheduler(1, "north");
     Resources real = new Resources(4_000, 16_384, 0);
     for (int i = 0; i < 5; i++) {
@@ -348,7 +348,7 @@
 
   /** Declared run times tell nothing here: long and short work mixed, and all of it ends. */
   @Test
-  void longAndShortWorkMixedAllEnds() {
+  void mixedLongAndShortWorkCompletes() {
     SimulatedLoad load =
         new SimulatedLoad(
             Work.scheduler(4, "north", "south"),
--- a/core/src/test/java/org/hickorypier/core/scheduling/ComeBackTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/RetryingCallerTest.java
@@ -11,38 +11,38 @@
 import org.junit.jupiter.api.Test;
 
 /** Callers who come back under a demand of twice the capacity, as they see it. */
-class ComeBackTest {
+class RetryingCallerTest {
 
   private static final int WORKERS = 5;
   private static final long STEP_MILLIS = 50;
-  private static final int PER_STEP = 4;
+  private static final int REQUESTS_PER_STEP = 4;
   private static final long LOAD_MILLIS = 60_000;
   private static final long DEADLINE_MILLIS = 2_000;
-  private static final long PAUSE_MILLIS = 200;
+  private static final long RETRY_DELAY_MILLIS = 200;
 
   /** Every fourth caller has to come back, since its first try may have run. */
-  private static final int ONE_IN = 4;
+  private static final int RETRYING_ONE_IN = 4;
 
   /** Within the time that callers go on asking. */
   private static final long LONGEST_WAIT_MILLIS = 10_000;
 
   private final Map<WorkKey, Long> waits = new HashMap<>();
   private final Map<WorkKey, Long> firstTries = new HashMap<>();
-  private final Deque<Turn> turns = new ArrayDeque<>();
+  private final Deque<Retry> pendingRetries = new ArrayDeque<>();
   private final SimulatedLoad load =
-      new SimulatedLoad(Work.scheduler(WORKERS, "north"), this::started);
+      new SimulatedLoad(Work.scheduler(WORKERS, "north"), this::recordStart);
 
   /** Guards against callers that stand at the tail again with each try until they give up. */
   @Test
-  void whoComesBackIsServedBeforeThoseWhoCameLater() {
+  void retryingCallerIsServedBeforeLaterCallers() {
     int posted = 0;
     while (load.now() < LOAD_MILLIS) {
-      for (int i = 0; i < PER_STEP; i++) {
+      for (int i = 0; i < REQUESTS_PER_STEP; i++) {
         WorkKey key = new WorkKey("north", "r" + posted++);
         firstTries.put(key, load.now());
-        ask(new Turn(key, load.now()));
+        submit(new Retry(key, load.now()));
       }
-      comeBack();
+      submitDueRetries();
       load.run(STEP_MILLIS);
     }
 
@@ -50,30 +50,30 @@
     assertThat(firstTries)
         .allSatisfy(
             (key, first) -> {
-              if (returns(key) && first < asked) {
+              if (isRetryingCaller(key) && first < asked) {
                 assertThat(waits).containsKey(key);
                 assertThat(waits.get(key)).isLessThan(LONGEST_WAIT_MILLIS);
               }
             });
   }
 
-  private void comeBack() {
-    int due = turns.size();
+  private void submitDueRetries() {
+    int due = pendingRetries.size();
     for (int i = 0; i < due; i++) {
-      Turn turn = turns.poll();
+      Retry turn = pendingRetries.poll();
       if (waits.containsKey(turn.key)) {
         continue;
       }
-      if (turn.atMillis <= load.now()) {
-        ask(turn);
+      if (turn.dueMillis <= load.now()) {
+        submit(turn);
       } else {
-        turns.add(turn);
+        pendingRetries.add(turn);
       }
     }
   }
 
   /** Asks, and again after the pause if refused, or once the deadline has passed. */
-  private void ask(Turn turn) {
+  private void submit(Retry turn) {
     long now = load.now();
     WorkItem item =
         Work.request("north", turn.key.requestId(), now, now + DEADLINE_MILLIS)
@@ -81,21 +81,21 @@
     int before = load.refusals().size();
     load.submit(item);
     boolean refused = load.refusals().size() > before;
-    if (returns(turn.key)) {
-      long pause = refused ? PAUSE_MILLIS : DEADLINE_MILLIS + PAUSE_MILLIS;
-      turns.add(new Turn(turn.key, now + pause));
+    if (isRetryingCaller(turn.key)) {
+      long pause = refused ? RETRY_DELAY_MILLIS : DEADLINE_MILLIS + RETRY_DELAY_MILLIS;
+      pendingRetries.add(new Retry(turn.key, now + pause));
     }
   }
 
-  private static boolean returns(WorkKey key) {
-    return Integer.parseInt(key.requestId().substring(1)) % ONE_IN == 0;
+  private static boolean isRetryingCaller(WorkKey key) {
+    return Integer.parseInt(key.requestId().substring(1)) % RETRYING_ONE_IN == 0;
   }
 
-  private long started(PlacedTask task) {
+  private long recordStart(PlacedTask task) {
     WorkKey key = task.taskId().key();
     waits.putIfAbsent(key, load.now() - firstTries.get(key));
     return Work.RUN_MILLIS;
   }
 
-  private record Turn(WorkKey key, long atMillis) {}
+  private record Retry(WorkKey key, long dueMillis) {}
 }
