--- a/core/src/main/java/org/hickorypier/core/scheduling/Admission.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Admission.java
@@ -7,23 +7,27 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * Refuses at once what cannot start in time, so that its caller can act on it.
+ * Decides at submission whether work is accepted, and refuses work that cannot start before its
+ * deadline, so that the caller can react at once.
  *
- * <p>Made for bursts of one team, and for a demand above the capacity. The queue limit keeps a
- * burst inside its own team and class; the estimate keeps the accepted work within its deadlines,
- * so no place is spent on work that nobody waits for any more.
+ * <p>It handles bursts of one team and demand above the capacity. The queue limit confines a burst
+ * to its own team and class. The wait estimate keeps accepted work within its deadline, so that no
+ * capacity goes to work whose caller has stopped waiting.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class Admission {
 
-  /** Below it, a caller that comes back costs more than it gains. */
+  /** A retry sooner than this costs more than it gains. */
   private static final long MIN_RETRY_AFTER_MILLIS = 200;
 
-  /** Above it, an estimate says nothing any more, and a caller should look again. */
+  /** A longer estimate carries no information, so the caller should ask again. */
   private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
 
-  /** What is waited in vain for room elsewhere must leave most of the time until the deadline. */
+  /**
+   * A futile wait for capacity elsewhere must leave most of the time before the deadline; it takes
+   * at most one eighth.
+   */
   private static final int PATIENCE_DEADLINE_DIVISOR = 8;
 
   private final SchedulerSettings settings;
@@ -42,7 +46,7 @@
     this.waitEstimate = waitEstimate;
   }
 
-  /** Returns why the item is refused, or empty if it may be queued. */
+  /** Returns the reason to refuse the item, or empty if it may be queued. */
   Optional<Refusal> refusalFor(WorkItem item, TeamState team, long now) {
     Optional<String> neverFits = capacities.whyNeverFits(item);
     if (neverFits.isPresent()) {
@@ -53,7 +57,7 @@
     }
     long remaining = item.deadlineMillis() - now;
     if (remaining < 0) {
-      return refusal(RefusalReason.DEADLINE_PASSED, "The deadline has passed already.", 0);
+      return refusal(RefusalReason.DEADLINE_PASSED, "The deadline has already passed.", 0);
     }
     long wait = waitEstimate.estimateMillis(item, team, now);
     if (team.queue(item.workClass()).size() >= settings.queueLimit()) {
@@ -65,9 +69,9 @@
       String detail =
           "The estimated wait is "
               + wait
-              + " ms, with a margin "
+              + " ms, with the margin "
               + safeWait
-              + " ms, the deadline in "
+              + " ms, and the deadline is in "
               + remaining
               + " ms.";
       return refusal(
@@ -76,10 +80,10 @@
     return Optional.empty();
   }
 
-  // While the first of the queue has hardly waited, permits may be on their way from the log and
-  // the
-  // shifter has not yet looked for room at peers. The estimate knows only own workers and present
-  // permits; used at once it sent callers away beside idle workers in the first second of a burst.
+  // Early in the wait of the queue's head, permits may still arrive from the log, and the work
+  // shifter may not have looked for room at peers yet. The estimate covers only the local workers
+  // and the present permits, so it would refuse callers in the first second of a burst while
+  // workers are idle.
   private boolean mayFindRoomElsewhere(WorkItem item, TeamState team, long now) {
     QueuedItem head = team.queue(item.workClass()).head();
     long waited = head == null ? 0 : now - head.item().firstTriedMillis();
@@ -87,7 +91,7 @@
     return waited < Math.min(settings.shiftPatienceMillis(), remaining / PATIENCE_DEADLINE_DIVISOR);
   }
 
-  /** Tells whether work has failed on so many workers that it is at fault itself. */
+  /** Tells whether work has failed on so many workers that the work itself is at fault. */
   boolean failsEverywhere(WorkKey key) {
     return history.failedWorkers(key).size() >= settings.failedWorkersLimit();
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/ClassQueue.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ClassQueue.java
@@ -5,23 +5,29 @@
 import java.util.TreeSet;
 
 /**
- * The queue of one team and class, in the order in which callers first asked, and how fast it
- * drains.
+ * The queue of one team and class, ordered by the time at which callers first submitted the work,
+ * with its drain rate.
  *
- * <p>Load: under a demand above the capacity some callers have to come back. Harm prevented: in
- * order of arrival each try would stand at the tail again, and the oldest would never be served.
+ * <p>Under demand above the capacity some callers have to retry. In order of arrival each retry
+ * would join the tail, and the oldest callers would never be served.
  *
- * <p>Invariant: the waiting tasks are the sum over the items. Not thread safe.
+ * <p>Invariant: {@code waitingTasks} is the sum over the items. Not thread-safe.
  */
 final class ClassQueue {
 
-  /** Long enough to hold tens of starts of a busy team, short enough to follow a shift of load. */
+  /** The window covers tens of starts of a busy team and still follows a change in load. */
   private static final double RATE_WINDOW_MILLIS = 5_000;
 
-  /** The weight of a new run time; some fifty tasks, so that the mean of unlike runs is steady. */
+  /**
+   * The weight of a new run time; averaging over some 50 tasks keeps the mean steady when run times
+   * differ.
+   */
   private static final double RUN_TIME_SMOOTHING = 0.02;
 
-  /** The weight of a new wait; some ten starts, so that a single large item says little. */
+  /**
+   * The weight of a new wait; averaging over some 10 starts limits the effect of a single large
+   * item.
+   */
   private static final double WAIT_SMOOTHING = 0.1;
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -59,7 +65,7 @@
     return waitingTasks;
   }
 
-  /** Returns how many tasks wait for callers who first asked at a time or before. */
+  /** Returns how many tasks wait for callers who first submitted at the given time or earlier. */
   int waitingTasksFirstTriedBy(long firstTriedMillis) {
     if (items.isEmpty() || items.last().item().firstTriedMillis() <= firstTriedMillis) {
       return waitingTasks;
@@ -90,20 +96,20 @@
   /**
    * Counts the start of a task.
    *
-   * @param waitedMillis how long the item waited
-   * @param inVain whether it had been tried in vain; only then does the start tell how fast a full
-   *     fleet gets to this queue, and not how fast an empty one is filled
-   * @param now the time
+   * @param waitedMillis how long the item waited, in milliseconds
+   * @param failedPlacement whether an earlier placement of the item failed. Only such a start shows
+   *     how fast a full fleet serves this queue; others show how fast an empty fleet fills up
+   * @param now the time in milliseconds
    */
-  void recordStart(long waitedMillis, boolean inVain, long now) {
+  void recordStart(long waitedMillis, boolean failedPlacement, long now) {
     waitingTasks--;
-    if (inVain) {
+    if (failedPlacement) {
       starts.count(now);
     }
     recentWaitMillis += WAIT_SMOOTHING * (waitedMillis - recentWaitMillis);
   }
 
-  /** Returns the mean wait of the items that started last. */
+  /** Returns the mean wait in milliseconds of the items that started most recently. */
   double recentWaitMillis() {
     return recentWaitMillis;
   }
@@ -123,8 +129,8 @@
   }
 
   /**
-   * Returns the tasks a second that this queue gets started: what it got lately, or what its
-   * running tasks will free, if that is more.
+   * Returns the rate at which tasks of this queue start, per second: the recent rate of starts, or
+   * the rate at which its running tasks are expected to end, whichever is higher.
    */
   double drainRatePerSecond(long now) {
     double freed = runningTasks / Math.max(1, meanRunMillis) * MILLIS_PER_SECOND;
--- a/core/src/main/java/org/hickorypier/core/scheduling/ClassRotation.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ClassRotation.java
@@ -4,12 +4,14 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * The order of a team's classes, but for urgent work.
+ * Chooses the order of a team's classes other than urgent.
  *
- * <p>Made for a team whose requests alone fill its share: strictly behind them its jobs would never
- * start. Requests go first, since their callers wait; but after three of them the next place goes
- * to a service, a gang or a batch, each first in turn, if one waits that fits. A quarter of the
- * places keeps jobs going and adds little to the wait of requests. Not thread safe.
+ * <p>Under strict priority, a team whose requests alone fill its share would never start its jobs.
+ * Requests go first, because their callers wait. After three requests in a row, the next start goes
+ * to a service, gang or batch that fits; these three classes take the lead in rotation. A quarter
+ * of the starts keeps jobs progressing and adds little to the wait of requests.
+ *
+ * <p>Not thread-safe.
  */
 final class ClassRotation {
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/DecayedQuantile.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/DecayedQuantile.java
@@ -1,13 +1,13 @@
 package org.hickorypier.core.scheduling;
 
 /**
- * The size that nineteen of twenty recent amounts do not exceed, to within an eighth.
+ * A decayed 95th percentile of recent amounts, accurate to within an eighth.
  *
- * <p>Amounts are counted in buckets of an eighth of a power of two; older counts fade, so a kind of
- * work that has become smaller is seen as smaller after some fifty reports. The steps also keep the
- * number of different reserved sizes small, which the remembered full sizes depend on.
+ * <p>Amounts are counted in eight buckets per power of two. Older counts decay, so that the value
+ * follows a decrease in size after some 50 reports. The bucket steps also keep the number of
+ * distinct reserved sizes small, which the record of blocked sizes in {@link ShapeTable} relies on.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class DecayedQuantile {
 
@@ -17,7 +17,7 @@
   private static final double DECAY_FACTOR = 0.96;
   private static final double MIN_WEIGHT = 1e-3;
 
-  /** Keeps an exact power of two in its own bucket, whatever the logarithm's last digit. */
+  /** Keeps an exact power of two in its own bucket despite rounding errors of the logarithm. */
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final float[] weights = new float[BUCKETS];
--- a/core/src/main/java/org/hickorypier/core/scheduling/DecayedRate.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/DecayedRate.java
@@ -1,18 +1,18 @@
 package org.hickorypier.core.scheduling;
 
 /**
- * Events a second, with older events counting less and less.
+ * An event rate per second in which older events decay exponentially.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class DecayedRate {
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** A few events in the first millisecond are no rate. */
+  /** A few events in the first millisecond do not establish a rate. */
   private static final double MIN_OBSERVED_MILLIS = 1_000;
 
-  /** Below this, what is left of old events says nothing of the present. */
+  /** Below this weight, the remainder of old events is no evidence of the present rate. */
   private static final double MIN_WEIGHT = 0.5;
 
   private final double windowMillis;
@@ -24,7 +24,8 @@
   /**
    * Creates a rate without events.
    *
-   * @param windowMillis the time after which an event counts a third
+   * @param windowMillis the time constant in milliseconds, after which the weight of an event falls
+   *     to about a third
    */
   DecayedRate(double windowMillis) {
     this.windowMillis = windowMillis;
@@ -41,10 +42,13 @@
   }
 
   /**
-   * Returns the events a second; while young, over the time since the first event. Once less than
-   * half an event is left in the window nothing is known any more, and the rate is 0. Without that,
-   * an instance whose team had been quiet, or waited for permits, took the remainder of an old rate
-   * for the present one, estimated a wait of an hour, and refused work beside idle workers.
+   * Returns the rate in events per second. During the first window, the rate is taken over the time
+   * since the first event.
+   *
+   * <p>The rate is 0 (unknown) once less than half an event is left in the window. Otherwise, the
+   * remainder of an old rate would count as the present one after a team was quiet or waited for
+   * permits. The estimated wait would then reach an hour, and work would be refused while workers
+   * are idle.
    */
   double perSecond(long now) {
     if (!hasEvents || decayedWeight(now) < MIN_WEIGHT) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/Explanation.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Explanation.java
@@ -3,16 +3,16 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * Says why an item waits, for the operators.
+ * Explains to operators why an item waits.
  *
- * <p>Holds no state, so safe to use from any thread.
+ * <p>Stateless and thread-safe.
  */
 final class Explanation {
 
   private Explanation() {}
 
   static String of(QueuedItem queued, TeamState team, Fleet fleet, long now) {
-    String waited = "Waits since " + (now - queued.item().submittedMillis()) + " ms: ";
+    String waited = "Has waited for " + (now - queued.item().submittedMillis()) + " ms: ";
     return waited + reason(queued, team, fleet);
   }
 
@@ -20,7 +20,7 @@
     boolean gang = queued.item().workClass() == WorkClass.GANG;
     int permitsNeeded = gang ? queued.waitingTasks() : 1;
     if (fleet.size() == 0) {
-      return "no worker is known here.";
+      return "this instance knows no worker.";
     }
     if (team.freePermits() < permitsNeeded) {
       return "the team uses "
@@ -35,7 +35,7 @@
       return "no worker that takes new tasks has a free slot.";
     }
     if (queued.shape().isBlocked()) {
-      return "no worker has the room for one of its tasks.";
+      return "no worker has room for one of its tasks.";
     }
     if (gang) {
       return "there is no room for all " + queued.waitingTasks() + " tasks of the gang at once.";
--- a/core/src/main/java/org/hickorypier/core/scheduling/FairOrder.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/FairOrder.java
@@ -8,16 +8,16 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * The teams in the order of weighted dominant-resource fairness: the team with the least dominant
- * share for its weight goes first.
+ * The teams in the order of weighted dominant-resource fairness: the team with the lowest dominant
+ * share relative to its weight goes first.
  *
- * <p>Made for a full fleet, where teams ask for unlike amounts of unlike resources. It prevents
- * that a team gets more by sending more, or by asking for what others do not. The use at other
- * instances counts as well, because the callers of a team tend to stick to one instance, and an
- * order of this instance alone would then be fair at each and unfair over the fleet. Teams without
- * waiting work are passed over, so room is never left idle for them.
+ * <p>On a full fleet, teams request different amounts of different resources. This order keeps a
+ * team from gaining capacity by submitting more work or by requesting resources that others do not
+ * need. Use at other instances counts as well: callers of a team tend to stay with one instance, so
+ * an order by local use alone would be fair at each instance and unfair across the fleet. Teams
+ * without waiting work are skipped, so no capacity stays idle for them.
  *
- * <p>Invariant: the set is sorted by the teams' present weighted shares. Not thread safe.
+ * <p>Invariant: the set is sorted by the teams' present weighted shares. Not thread-safe.
  */
 final class FairOrder {
 
@@ -31,7 +31,7 @@
     return teams.computeIfAbsent(name, TeamState::new);
   }
 
-  /** Returns the teams with waiting work, in order; no team may be changed while it is read. */
+  /** Returns the teams with waiting work, in order. No team may change during the iteration. */
   Iterable<TeamState> orderedTeams() {
     return orderedTeams;
   }
@@ -40,7 +40,7 @@
     return orderedTeams.size();
   }
 
-  /** Changes a team and puts it where it now belongs. */
+  /** Applies a change to a team and restores its position in the order. */
   void update(TeamState team, Runnable change) {
     orderedTeams.remove(team);
     change.run();
@@ -64,12 +64,15 @@
     }
   }
 
-  /** Has all teams tried again. */
+  /** Makes all teams eligible for another placement attempt. */
   void retryAllTeams() {
     orderedTeams.forEach(TeamState::clearExhausted);
   }
 
-  /** Has the teams with a waiting gang tried again, which any freed room may help. */
+  /**
+   * Makes the teams with a waiting gang eligible for another placement attempt, since any freed
+   * room may help a gang.
+   */
   void retryTeamsWithGangs() {
     for (TeamState team : orderedTeams) {
       if (team.queue(WorkClass.GANG).size() > 0) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/GivenUp.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/GivenUp.java
@@ -8,7 +8,7 @@
  *
  * <p>Immutable.
  *
- * @param item the work
- * @param refusal the final answer
+ * @param item the work item
+ * @param refusal the final answer to its caller
  */
 public record GivenUp(WorkItem item, Refusal refusal) {}
--- a/core/src/main/java/org/hickorypier/core/scheduling/ItemQueue.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ItemQueue.java
@@ -13,13 +13,13 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * All queued items, found by key and by deadline.
+ * All queued items, indexed by key and ordered by deadline.
  *
- * <p>Made for waves of cancellations: taking an item out is a removal from two hash maps, and its
- * entry among the deadlines is dropped later, when it comes up or when half of the entries are of
- * items that are gone.
+ * <p>Mass cancellations stay cheap: a cancellation removes an item from two hash maps. Its entry in
+ * the deadline queue is removed later, when it reaches the head or when more than half of the
+ * entries belong to removed items.
  *
- * <p>Invariant: an item is in its team's queue exactly if it is here. Not thread safe.
+ * <p>Invariant: an item is in its team's queue if and only if it is in this queue. Not thread-safe.
  */
 final class ItemQueue {
 
@@ -73,7 +73,10 @@
     compact();
   }
 
-  /** Takes out the items that have not started and whose deadline is before the time. */
+  /**
+   * Removes and returns the items that have not started and whose deadline is before the given
+   * time.
+   */
   List<QueuedItem> removeExpired(long now) {
     List<QueuedItem> expired = new ArrayList<>();
     while (!byDeadline.isEmpty() && byDeadline.peek().item().deadlineMillis() < now) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/LearnedSizes.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/LearnedSizes.java
@@ -5,21 +5,23 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * What tasks of each team and name really use.
+ * Learns what tasks of each team and name actually use.
  *
- * <p>Made for declared sizes that are far off. Tasks that use more than they reserve overflow their
- * worker and slow or kill the tasks beside them; so work reserves what it declares or what nineteen
- * of twenty of its kind used, whichever is more. It never reserves less than declared: reports lag
- * and miss peaks.
+ * <p>Declared sizes can be far off. Tasks that use more than they reserve overload their worker and
+ * slow down or kill the tasks beside them. So work reserves the declared size or the 95th
+ * percentile of the use of its kind, whichever is larger. It never reserves less than declared,
+ * because reports lag and miss peaks.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class LearnedSizes {
 
-  /** Names kept; the least recently used go first. Some 8 MB at the most. */
+  /** The number of kinds kept, at most some 8 MB; the least recently used are evicted first. */
   private static final int MAX_KINDS = 4_096;
 
-  /** Reports before a size is used, so one odd task does not enlarge all. */
+  /**
+   * The reports before a size is used, so that a single outlier does not enlarge all reservations.
+   */
   private static final int MIN_REPORTS = 5;
 
   private record Kind(String team, String name) {}
@@ -45,7 +47,10 @@
     use.reports++;
   }
 
-  /** Returns the declared size, or more where more was seen. Accelerators are whole and exact. */
+  /**
+   * Returns the declared size, enlarged where the learned use is larger. Accelerators keep the
+   * declared count, which is whole and exact.
+   */
   Resources sizeOf(String team, String name, Resources declared) {
     ObservedUse use = usesByKind.get(new Kind(team, name));
     if (use == null || use.reports < MIN_REPORTS) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/Quarantine.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/Quarantine.java
@@ -7,32 +7,42 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * Keeps work away from workers that fail everything they start, and little work on slow ones.
+ * Keeps work off workers that fail every task, and limits the work on slow workers.
  *
- * <p>Made for a worker that fails each task in an instant: it always looks idle and would attract
- * and fail the work of all. After several works in a row ended badly there, without a good end
- * between them, it gets none for a while, then one task at a time; a good end makes it whole again,
- * a bad one doubles the while. Work that failed on other workers too is not held against it, and
- * only a part of the workers can be in quarantine at once, so faulty work cannot close the fleet.
+ * <p>A worker that fails each task at once always looks idle, so it would attract and fail the work
+ * of all teams. After several consecutive work items end badly on a worker with no good end in
+ * between, the worker gets no work for a quarantine period and then one task at a time. A good end
+ * restores it to full use; a bad end doubles the period. Work that also failed on other workers
+ * does not count against a worker. Only a fraction of the workers can be in quarantine at once, so
+ * faulty work cannot take the whole fleet out of service.
  *
- * <p>A worker whose tasks take several times as long as the same tasks elsewhere gets one at a
- * time. That bounds the callers it delays to one, and its run times still tell when it has
+ * <p>A worker whose tasks take several times as long as the same tasks elsewhere gets one task at a
+ * time. That limits the callers it delays to one, and its run times still show when it has
  * recovered.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class Quarantine {
 
-  /** Ends before run times are trusted: enough that one long task does not condemn a worker. */
+  /**
+   * The completed runs before run times are trusted, so that one long task does not mark a worker
+   * as slow.
+   */
   private static final int MIN_RUNS = 8;
 
-  /** Back to full use below this part of the factor, so a worker at the edge does not flap. */
+  /**
+   * A worker returns to full use below this fraction of the slowness limit, so that a worker near
+   * the limit does not flap.
+   */
   private static final double RECOVERY_FRACTION = 0.5;
 
-  /** The weight of a run in the fleet's mean: hundreds of tasks, so one worker hardly moves it. */
+  /**
+   * The weight of a run in the mean of the fleet; the mean covers hundreds of tasks, so that one
+   * worker hardly changes it.
+   */
   private static final double FLEET_SMOOTHING = 0.005;
 
-  /** Declared run times are often far off; ratios beyond this say no more. */
+  /** Declared run times are often far off, and a ratio beyond this limit adds no information. */
   private static final double MAX_LOG_RATIO = Math.log(20);
 
   private final SchedulerSettings settings;
@@ -51,7 +61,9 @@
     this.history = history;
   }
 
-  /** Takes in the end of a task, after its room was freed and its work's history updated. */
+  /**
+   * Records the end of a task, after its room was freed and the history of its work was updated.
+   */
   void recordTaskEnd(WorkerState worker, Reservation reservation, TaskEnd end, long now) {
     if (end == TaskEnd.STOPPED) {
       return;
@@ -64,7 +76,7 @@
     fleet.reindex(worker);
   }
 
-  /** Puts the workers whose quarantine is over on probation and returns them. */
+  /** Moves the workers whose quarantine is over to probing and returns them. */
   List<WorkerState> releaseDue(long now) {
     List<WorkerState> released = List.of();
     while (!quarantinedByReleaseTime.isEmpty()
@@ -105,10 +117,10 @@
     if (health.runs() < MIN_RUNS) {
       return false;
     }
-    double slower = health.logSlowness() - fleetLogSlowness;
+    double excess = health.logSlowness() - fleetLogSlowness;
     double limit = Math.log(settings.slowFactor());
-    boolean already = health.state() == WorkerHealth.State.PROBING;
-    return slower > (already ? limit * RECOVERY_FRACTION : limit);
+    boolean probing = health.state() == WorkerHealth.State.PROBING;
+    return excess > (probing ? limit * RECOVERY_FRACTION : limit);
   }
 
   private void recordBadEnd(WorkerState worker, WorkKey key, long now) {
@@ -116,9 +128,9 @@
     if (history.failedWorkers(key).size() > 1 || health.state() == WorkerHealth.State.QUARANTINED) {
       return;
     }
-    int inRow = health.recordBadEnd(key);
+    int consecutiveBadEnds = health.recordBadEnd(key);
     boolean probeFailed = health.state() == WorkerHealth.State.PROBING;
-    if ((probeFailed || inRow >= settings.badEndsLimit()) && canQuarantineAnother()) {
+    if ((probeFailed || consecutiveBadEnds >= settings.badEndsLimit()) && canQuarantineAnother()) {
       health.quarantine(now, settings.quarantineMillis(), settings.longestQuarantineMillis());
       quarantinedByReleaseTime.add(worker);
       quarantinedCount++;
@@ -126,7 +138,7 @@
   }
 
   private boolean canQuarantineAnother() {
-    int most = Math.max(1, (int) (fleet.size() * settings.quarantinePart()));
-    return fleet.size() > 1 && quarantinedCount < most;
+    int limit = Math.max(1, (int) (fleet.size() * settings.quarantinePart()));
+    return fleet.size() > 1 && quarantinedCount < limit;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/QueuedItem.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/QueuedItem.java
@@ -4,9 +4,9 @@
 import org.hickorypier.core.model.WorkItem;
 
 /**
- * An item in its team's queue, with the tasks that still wait.
+ * An item in its team's queue, with its tasks that still wait.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class QueuedItem {
 
@@ -45,7 +45,7 @@
     return attempt;
   }
 
-  /** Returns its number in the order of arrival; no two queued items have the same. */
+  /** Returns its position in the order of arrival, which is unique among queued items. */
   long arrivalNumber() {
     return arrivalNumber;
   }
@@ -58,7 +58,7 @@
     return nextTaskIndex > 0;
   }
 
-  /** Tells whether the deadline has passed before any task started. */
+  /** Tells whether the deadline passed before any task started. */
   boolean isExpired(long now) {
     return item.deadlineMillis() < now && !hasStarted();
   }
@@ -75,7 +75,10 @@
     nextTryMillis = millis;
   }
 
-  /** Returns when it was first tried in vain for want of room; far in the future if never. */
+  /**
+   * Returns when a placement first failed for lack of room, or a time far in the future if none
+   * has.
+   */
   long firstFailedPlacementMillis() {
     return firstFailedPlacementMillis;
   }
@@ -84,7 +87,7 @@
     firstFailedPlacementMillis = Math.min(firstFailedPlacementMillis, now);
   }
 
-  /** Tells whether workers are kept free for it. */
+  /** Tells whether workers are held free for this item. */
   boolean hasHold() {
     return hasHold;
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/SchedulerSettings.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/SchedulerSettings.java
@@ -3,47 +3,53 @@
 import java.math.BigDecimal;
 
 /**
- * The limits of the decisions.
+ * The limits of scheduling decisions.
  *
- * <p>Immutable. Every value is checked when the record is made, so a scheduler never meets a value
- * outside its range.
+ * <p>Immutable. The constructor checks every value, so a scheduler never sees a value outside its
+ * range.
  *
- * @param queueLimit items that one team may have queued in one class. A burst of one team then
- *     fills only its own queue; 1,000 short requests are some 20 KB of references and, at 100
- *     starts a second for the team, a wait of 10 s, which is as long as a caller stays
- * @param backfillDepth items of one queue that are looked at behind a head that does not fit.
- *     Small, because each costs a look at the index in every decision at saturation
- * @param urgentHoldMillis how long urgent work may keep all other work from starting. Past it, one
- *     place in {@code urgentTurn} goes to other work, so a flood marked urgent slows the rest but
- *     does not stop it
- * @param urgentTurn see {@code urgentHoldMillis}; 4 leaves urgent work three quarters of the places
- * @param holdAfterMillis how long a gang, or a task too large for the gaps, waits before workers
- *     are kept free for it. Shorter leaves room idle for gangs that would soon have fitted
- * @param gangRetryMillis the least time between two tries to place one gang; a try costs a look at
- *     the index for each of its tasks
- * @param historyMillis how long attempts and failures of work are remembered after its last end;
- *     longer than any delay before a new submission
- * @param failedWorkersLimit work that failed on that many different workers is refused, since by
- *     then the work is at fault and not the workers
- * @param waitMargin an item is refused if the estimated wait times this goes past its deadline. The
- *     estimate is a mean, and work once accepted should start in time: at twice the capacity, 1.25
- *     left some 100 items of two minutes late, 1.5 some 10, 2 none, with the same goodput
- * @param badEndsLimit works in a row that end badly on a worker before it is quarantined; with
- *     fewer two unlucky requests would close a good worker
- * @param quarantineMillis the first quarantine; a worker that restarts is back by then
- * @param longestQuarantineMillis the longest one, after doubling; a worker that was mended at night
- *     is found within this time
- * @param quarantinePart the part of the workers that may be in quarantine at once; if more fail,
- *     the work or the platform is at fault, and closing the fleet would not help
- * @param slowFactor a worker is slow if its tasks take this many times as long, for what they
- *     declare, as those of the fleet; below 2, unlike work alone would reach it
- * @param urgentReservePart the part of all slots that is kept free for urgent work while any comes;
- *     0 for none. It is lost to all other work, so it is small: one slot in eighty is three gaps
- *     over 30 workers, and two gaps left urgent work a p99 of 9 ms at twice the capacity
- * @param shiftPatienceMillis work is not refused for the estimate before the first of its queue has
- *     waited so long, or an eighth of the time that remains; 0 for a scheduler that stands alone.
- *     Beside others, permits take an append of the log and work takes a look of the shifter to find
- *     room at a peer, so the wait for own workers says nothing before
+ * @param queueLimit the items that one team may have queued in one class, so that a burst of one
+ *     team fills only its own queue; 1,000 short requests take some 20 KB of references and, at 100
+ *     starts per second for the team, wait 10 s, which is as long as a caller waits
+ * @param backfillDepth the items of one queue that are tried behind a head that does not fit;
+ *     small, because each costs an index lookup in every decision at saturation
+ * @param urgentHoldMillis how long urgent work may keep all other work from starting. After that,
+ *     one start in {@code urgentTurn} goes to other work, so that a flood marked as urgent slows
+ *     down other work but does not stop it
+ * @param urgentTurn the cycle described at {@code urgentHoldMillis}; 4 leaves three quarters of the
+ *     starts to urgent work
+ * @param holdAfterMillis how long a gang, or a task too large for the free gaps, waits before
+ *     workers are held free for it; a shorter time leaves room idle for gangs that would soon have
+ *     fitted
+ * @param gangRetryMillis the minimum time between two attempts to place one gang; an attempt costs
+ *     an index lookup for each of its tasks
+ * @param historyMillis how long attempts and failures of work are kept after its last end; longer
+ *     than any delay before a resubmission
+ * @param failedWorkersLimit work that failed on this many different workers is refused, since the
+ *     work rather than the workers is then at fault
+ * @param waitMargin an item is refused if the estimated wait times this factor exceeds the time to
+ *     its deadline. The estimate is a mean, and accepted work should start in time: at twice the
+ *     capacity over two minutes, some 100 items were late at 1.25, some 10 at 1.5 and none at 2,
+ *     with the same goodput
+ * @param badEndsLimit the consecutive work items that end badly on a worker before it is
+ *     quarantined; with a lower limit, two unlucky requests would quarantine a healthy worker
+ * @param quarantineMillis the first quarantine; a worker that restarts is back within this time
+ * @param longestQuarantineMillis the maximum quarantine after doubling; a worker repaired at night
+ *     returns to use within this time
+ * @param quarantinePart the fraction of the workers that may be in quarantine at once; if more
+ *     fail, the work or the platform is at fault, and withdrawing more workers would not help
+ * @param slowFactor a worker is slow if its tasks take this many times as long, relative to their
+ *     declared run times, as those of the fleet; below 2, differences between kinds of work alone
+ *     would reach it
+ * @param urgentReservePart the fraction of all slots kept free for urgent work while urgent work
+ *     arrives, 0 for none. It is unavailable to all other work, so it is small: one slot in 80 is
+ *     three gaps over 30 workers, and with two gaps urgent work had a p99 wait of 9 ms at twice the
+ *     capacity
+ * @param shiftPatienceMillis work is not refused on the wait estimate until the head of its queue
+ *     has waited this long, or an eighth of the time to the deadline if that is shorter; 0 for a
+ *     standalone scheduler. In a cluster, permits arrive after an append to the log, and the work
+ *     shifter finds room at a peer in its next pass, so the wait for local workers is inconclusive
+ *     before that
  */
 public record SchedulerSettings(
     int queueLimit,
@@ -63,7 +69,11 @@
     double urgentReservePart,
     long shiftPatienceMillis) {
 
-  /** Checks each value against its range. */
+  /**
+   * Checks each value against its range.
+   *
+   * @throws IllegalArgumentException if a value is outside its range
+   */
   public SchedulerSettings {
     requireInRange("queueLimit", queueLimit, 1, 1_000_000);
     requireInRange("backfillDepth", backfillDepth, 1, 1_000);
@@ -85,7 +95,7 @@
   }
 
   /**
-   * Returns the values for a fleet of 30 to 4,200 workers.
+   * Returns the defaults, which suit a fleet of 30 to 4,200 workers.
    *
    * @return the defaults
    */
@@ -95,9 +105,9 @@
   }
 
   /**
-   * Returns the defaults with another queue limit.
+   * Returns these settings with another queue limit.
    *
-   * @param limit items that one team may have queued in one class
+   * @param limit the items that one team may have queued in one class
    * @return the changed settings
    */
   public SchedulerSettings withQueueLimit(int limit) {
@@ -121,9 +131,9 @@
   }
 
   /**
-   * Returns the settings with another time before workers are held.
+   * Returns these settings with another time before workers are held.
    *
-   * @param millis how long a gang waits before workers are kept free for it
+   * @param millis how long a gang waits before workers are held free for it, in milliseconds
    * @return the changed settings
    */
   public SchedulerSettings withHoldAfterMillis(long millis) {
@@ -147,9 +157,9 @@
   }
 
   /**
-   * Returns the settings with another part of the slots for urgent work.
+   * Returns these settings with another reserve for urgent work.
    *
-   * @param part the part of all slots that is kept free for urgent work
+   * @param part the fraction of all slots kept free for urgent work
    * @return the changed settings
    */
   public SchedulerSettings withUrgentReservePart(double part) {
@@ -173,9 +183,10 @@
   }
 
   /**
-   * Returns these settings for an instance beside others.
+   * Returns these settings for an instance in a cluster.
    *
-   * @param millis how long permits and room at peers are waited for before work is refused
+   * @param millis how long work waits for permits and for room at peers before it may be refused on
+   *     the estimate, in milliseconds
    * @return the changed settings
    */
   public SchedulerSettings withShiftPatience(long millis) {
@@ -198,16 +209,16 @@
         millis);
   }
 
-  private static void requireInRange(String name, double value, double least, double most) {
-    if (value < least || value > most) {
+  private static void requireInRange(String name, double value, double min, double max) {
+    if (value < min || value > max) {
       throw new IllegalArgumentException(
           name
               + " is "
               + plainString(value)
               + ", allowed is "
-              + plainString(least)
+              + plainString(min)
               + " to "
-              + plainString(most));
+              + plainString(max));
     }
   }
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/ServiceCounts.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ServiceCounts.java
@@ -6,10 +6,11 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * How many tasks of each service run in one place. The tasks of a job have keys of their own, each
- * attempt another; all count for the one service.
+ * Counts the running tasks of each service in one location.
  *
- * <p>Not thread safe.
+ * <p>Each attempt of a job's tasks has its own key; all of them count towards the one service.
+ *
+ * <p>Not thread-safe.
  */
 final class ServiceCounts {
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/TeamState.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/TeamState.java
@@ -6,25 +6,26 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * A team's queues, permits and use.
+ * A team's queues, permits and resource use.
  *
- * <p>Invariant: the use is the sum over the team's placed tasks. Not thread safe.
+ * <p>Invariant: the use is the sum over the team's placed tasks. Not thread-safe.
  */
 final class TeamState {
 
   private static final double DEFAULT_WEIGHT = 1.0;
 
   /**
-   * A team that starts from a single task here must not look as if it took the whole fleet. Tried
-   * from 1.5 to 8, with little difference.
+   * The maximum growth assumed for use elsewhere. It keeps a team that grows from a single local
+   * task from appearing to take the whole fleet. Values from 1.5 to 8 make little difference.
    */
   private static final double MAX_USE_CHANGE_FACTOR = 1.5;
 
   /**
-   * The digests of the others come one by one, each once a second, so at any moment most of what
-   * they say is older than the last one. The use here is compared with that of up to this long ago.
+   * The local use is sampled at this interval for comparison with the digests, so the sample is up
+   * to this old. The digests of the other instances arrive one by one, each once per second, so at
+   * any moment most of their content is older than the latest digest.
    */
-  private static final long DIGEST_AGE_MILLIS = 900;
+  private static final long USE_SAMPLE_INTERVAL_MILLIS = 900;
 
   private final String name;
   private final Map<WorkClass, ClassQueue> queues = new EnumMap<>(WorkClass.class);
@@ -56,7 +57,7 @@
     return queues.get(workClass);
   }
 
-  /** Returns the tasks a second that the team gets started over all classes. */
+  /** Returns the rate at which tasks of the team start over all classes, per second. */
   double drainRatePerSecond(long now) {
     double sum = 0;
     for (ClassQueue queue : queues.values()) {
@@ -112,8 +113,8 @@
     clearExhausted();
   }
 
-  void setWeight(double newShare) {
-    weight = newShare;
+  void setWeight(double newWeight) {
+    weight = newWeight;
   }
 
   Resources used() {
@@ -143,19 +144,20 @@
 
   void setUsedElsewhere(Resources resources, long now) {
     usedElsewhere = resources;
-    if (now - usedAtDigestMillis >= DIGEST_AGE_MILLIS) {
+    if (now - usedAtDigestMillis >= USE_SAMPLE_INTERVAL_MILLIS) {
       usedAtDigest = used;
       usedAtDigestMillis = now;
     }
   }
 
   /**
-   * Works out the dominant share over the weight; the team's place in the fair order.
+   * Recomputes the dominant share divided by the weight, which is the team's position in the fair
+   * order.
    *
-   * <p>What the team uses elsewhere is a digest old. All instances see the same team behind and
-   * would all give it their places until the next digest, and then all take them away again. So the
-   * use elsewhere is taken to have changed in the same proportion as the use here has since the
-   * digest.
+   * <p>The use elsewhere is as old as the latest digest. All instances see the same team behind its
+   * share; each would give it their free slots until the next digest and then take them all back.
+   * So the use elsewhere is assumed to have changed in the same proportion as the local use since
+   * the digest.
    */
   void refreshWeightedShare(Resources total) {
     double here = used.dominantShare(total);
@@ -169,10 +171,10 @@
   }
 
   /**
-   * Tells whether all that waits was tried in vain since anything changed that could help.
+   * Tells whether a placement of all waiting work has failed since the last change that could help.
    *
-   * @param urgent whether urgent work is meant, else all other
-   * @return true if there is no use in another try
+   * @param urgent whether the question is about urgent work or about all other work
+   * @return true if another attempt would be futile
    */
   boolean isExhausted(boolean urgent) {
     return urgent ? urgentExhausted : otherExhausted;
--- a/core/src/main/java/org/hickorypier/core/scheduling/UrgentPriorityLimit.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/UrgentPriorityLimit.java
@@ -1,12 +1,14 @@
 package org.hickorypier.core.scheduling;
 
 /**
- * Bounds how long urgent work may hold all other work back.
+ * Limits how long urgent work may block all other work.
  *
- * <p>Made for a flood of work marked urgent, by mistake or to get ahead. Urgent work goes first;
- * but if nothing else has started for the hold time while urgent work kept coming, each so many-th
- * place goes to other work until no urgent work waits. So the rest slows down and does not stop.
- * Not thread safe.
+ * <p>Work may be marked as urgent in large numbers, by mistake or to gain priority. Urgent work
+ * goes first. If urgent work keeps arriving and nothing else has started for the maximum blocking
+ * time, one start in each cycle goes to other work until no urgent work waits. So other work slows
+ * down but does not stop.
+ *
+ * <p>Not thread-safe.
  */
 final class UrgentPriorityLimit {
 
@@ -17,9 +19,9 @@
   private long blockingSinceMillis = NOT_BLOCKING;
   private int consecutiveUrgentStarts;
 
-  UrgentPriorityLimit(long holdMillis, int turn) {
-    this.maxBlockingMillis = holdMillis;
-    this.cycleLength = turn;
+  UrgentPriorityLimit(long maxBlockingMillis, int cycleLength) {
+    this.maxBlockingMillis = maxBlockingMillis;
+    this.cycleLength = cycleLength;
   }
 
   boolean isOtherWorkNext(long now) {
@@ -29,7 +31,7 @@
     return isOtherWorkOverdue(now) && consecutiveUrgentStarts >= cycleLength - 1;
   }
 
-  /** Tells whether urgent work has held other work back for the hold time. */
+  /** Tells whether urgent work has blocked other work for the maximum blocking time. */
   boolean isOtherWorkOverdue(long now) {
     return blockingSinceMillis != NOT_BLOCKING && now - blockingSinceMillis >= maxBlockingMillis;
   }
@@ -38,7 +40,7 @@
     consecutiveUrgentStarts = urgent ? consecutiveUrgentStarts + 1 : 0;
   }
 
-  /** Notes that no urgent work waits, so none holds other work back. */
+  /** Records that no urgent work waits, so that none blocks other work. */
   void recordNoUrgentWaiting() {
     blockingSinceMillis = NOT_BLOCKING;
     consecutiveUrgentStarts = 0;
--- a/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
@@ -7,16 +7,16 @@
 /**
  * Keeps a few gaps on a full fleet free for urgent work.
  *
- * <p>Made for a demand far above the capacity: every place that comes free is taken at once, so
- * urgent work would wait for the next end of a task. A small part of all slots is kept free
- * instead, on whichever workers tasks end, so that the reserve fills up again as fast as places
- * come free. It costs that part of the capacity, and only while urgent work comes at all.
+ * <p>When demand is far above the capacity, each freed slot is taken at once, so urgent work would
+ * wait for the next end of a task. The reserve keeps a small fraction of all slots free on
+ * whichever workers tasks end, so that it refills as fast as slots come free. It costs that
+ * fraction of the capacity, and only while urgent work arrives.
  *
- * <p>Invariant: exactly the workers of the set are marked. Not thread safe.
+ * <p>Invariant: exactly the workers in the set are marked as reserved. Not thread-safe.
  */
 final class UrgentReserve {
 
-  /** After this time without urgent work nothing is kept free any more. */
+  /** The reserve ends after this time without urgent work. */
   private static final long URGENT_IDLE_MILLIS = 60_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
@@ -33,7 +33,10 @@
     this.fleet = fleet;
   }
 
-  /** Notes urgent work and its size; the reserve is for the largest size of late. */
+  /**
+   * Records the arrival and size of urgent work. Gaps have the largest size in each resource since
+   * urgent work resumed.
+   */
   void recordUrgentWork(Resources size, long now) {
     if (latestUrgentMillis + URGENT_IDLE_MILLIS < now) {
       gapSize = Resources.NONE;
@@ -48,12 +51,12 @@
     }
   }
 
-  /** Tells whether work that is not urgent may use a worker's room for a task. */
+  /** Tells whether work that is not urgent may use the room of a worker for a task. */
   boolean admits(WorkerState worker, Resources size) {
     return !worker.isReserveForUrgent() || worker.hasRoomBeside(gapSize, size);
   }
 
-  /** Takes a worker with freed room into the reserve if it lacks one. */
+  /** Adds a worker with freed room to the reserve if the reserve has too few gaps. */
   void reserveIfNeeded(WorkerState worker) {
     if (!active || worker.isReserveForUrgent() || worker.heldBy() != null) {
       return;
@@ -64,7 +67,7 @@
     }
   }
 
-  /** Takes a worker out of the reserve once it has no gap any more. */
+  /** Removes a worker from the reserve once it has no gap left. */
   void releaseIfFilled(WorkerState worker) {
     if (worker.isReserveForUrgent() && !(worker.takesTasks() && worker.hasRoomFor(gapSize))) {
       release(worker);
@@ -78,11 +81,11 @@
   }
 
   /**
-   * Ends the reserve if no urgent work came for a while, or if urgent work has held all other work
-   * back for too long; what comes free is then for the others to take in their turn.
+   * Ends the reserve if no urgent work has arrived for a while, or if urgent work has blocked all
+   * other work for too long. Other work may then take the freed slots in its turn.
    *
    * @param overdue whether other work is overdue
-   * @param now the time
+   * @param now the time in milliseconds
    * @return the workers that are no longer in the reserve
    */
   Set<WorkerState> refresh(boolean overdue, long now) {
@@ -100,7 +103,10 @@
     worker.setReserveForUrgent(false);
   }
 
-  /** Returns how many gaps take up the part, of the slots or of the scarcest resource. */
+  /**
+   * Returns how many gaps make up the reserved fraction of the slots or of the scarcest resource,
+   * whichever is fewer.
+   */
   private int targetGaps() {
     double bySlots = fleet.totalSlots() * reservedFraction;
     double share = gapSize.dominantShare(fleet.total());
--- a/core/src/main/java/org/hickorypier/core/scheduling/WaitEstimate.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WaitEstimate.java
@@ -3,16 +3,17 @@
 import org.hickorypier.core.model.WorkItem;
 
 /**
- * Estimates how long a new item would wait: the tasks ahead of it over the rate at which they
- * start.
+ * Estimates how long a new item would wait, as the tasks ahead of it divided by the rate at which
+ * they start.
  *
- * <p>Made for a demand of twice the capacity and more. It prevents that callers wait to their
- * deadline in a queue that cannot reach them, and then come back with a second request. While there
- * is room, nothing is estimated: an idle fleet shows no rate, and the first burst must not be
- * refused for that. Whether there is room shows in the size of the item, if it was tried lately, or
- * in the head of its queue; the size alone let work of new sizes into queues that stood still.
+ * <p>It serves demand of twice the capacity and more. It keeps callers from waiting until their
+ * deadline in a queue that cannot reach them and then retrying with a second request. The estimate
+ * is 0 while there is room, since an idle fleet has no start rate and the first burst must not be
+ * refused for that. The size of the item, if a placement was tried recently, or the head of its
+ * queue shows whether there is room. The size alone would admit work of new sizes to queues that
+ * make no progress.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class WaitEstimate {
 
@@ -32,7 +33,9 @@
     taskEndRate.count(now);
   }
 
-  /** Returns the estimated wait in milliseconds, 0 if there is room or nothing is known yet. */
+  /**
+   * Returns the estimated wait in milliseconds, or 0 if there is room or the rate is not known yet.
+   */
   long estimateMillis(WorkItem item, TeamState team, long now) {
     ClassQueue queue = team.queue(item.workClass());
     boolean full =
@@ -43,7 +46,7 @@
     if (queue.waitingTasks() > 0) {
       int ahead = queue.waitingTasksFirstTriedBy(item.firstTriedMillis());
       long byRate = drainMillis(ahead + item.tasks(), queue.drainRatePerSecond(now));
-      // What others waited lately, from the tail, says nothing of a place further ahead.
+      // Recent waits of items that joined at the tail do not apply to a position further ahead.
       boolean atTail = ahead == queue.waitingTasks();
       return atTail ? Math.max(byRate, (long) queue.recentWaitMillis()) : byRate;
     }
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkHistory.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkHistory.java
@@ -9,12 +9,14 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * What is known of work beyond one attempt: how often it was tried, how many of its tasks live, and
- * on which workers it failed.
+ * The history of work across attempts: the number of attempts, the number of live tasks, and the
+ * workers on which its tasks failed.
  *
- * <p>Work that completed without a failure is forgotten at once, since nobody submits it again
- * except as new work; other work is kept a while after its last task ended. So the memory is
- * bounded by the failures of that time. Not thread safe.
+ * <p>Work that completed without a failure is removed at once, since its key is not submitted again
+ * except as new work. Other work is kept for the retention time after its last task ended, so the
+ * memory is bounded by the failures in that time.
+ *
+ * <p>Not thread-safe.
  */
 final class WorkHistory {
 
@@ -22,8 +24,8 @@
   private final Map<WorkKey, Entry> entries = new HashMap<>();
   private final LinkedHashMap<WorkKey, Long> endMillisByKey = new LinkedHashMap<>();
 
-  WorkHistory(long keepMillis) {
-    this.retentionMillis = keepMillis;
+  WorkHistory(long retentionMillis) {
+    this.retentionMillis = retentionMillis;
   }
 
   private static final class Entry {
@@ -35,7 +37,7 @@
     private Set<String> failedWorkers = Set.of();
   }
 
-  /** Counts a new attempt and returns its number, from 1. */
+  /** Counts a new attempt and returns its number, starting at 1. */
   int newAttempt(WorkKey key, int tasks) {
     Entry entry = entries.computeIfAbsent(key, unused -> new Entry());
     entry.attempts++;
@@ -45,7 +47,10 @@
     return entry.attempts;
   }
 
-  /** Notes that no task of the work waits any more; an attempt without a placed task is undone. */
+  /**
+   * Records that no task of the work waits any more. An attempt without a placed task is not
+   * counted.
+   */
   void recordDequeue(WorkKey key, boolean started, long now) {
     Entry entry = entries.get(key);
     entry.queued = false;
@@ -80,7 +85,9 @@
     retainOrForget(key, entry, now);
   }
 
-  /** Tells whether so many tasks more would be above the number that the work has. */
+  /**
+   * Tells whether this many more tasks would take work with live tasks above its number of tasks.
+   */
   boolean wouldExceedTaskCount(WorkKey key, int tasks) {
     Entry entry = entries.get(key);
     return entry != null && entry.liveTasks > 0 && entry.liveTasks + tasks > entry.tasks;
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerHealth.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerHealth.java
@@ -5,23 +5,23 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * What the ends of a worker's tasks say about it.
+ * The health of a worker, as derived from the ends of its tasks.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class WorkerHealth {
 
-  /** Where a worker stands with the decisions. */
+  /** How far a worker may be used for placements. */
   enum State {
-    /** It takes tasks up to its slots. */
+    /** It takes tasks up to its number of slots. */
     GOOD,
-    /** It takes none for a while. */
+    /** It takes no tasks until its quarantine ends. */
     QUARANTINED,
-    /** It takes one task at a time, until that shows that it is good. */
+    /** It takes one task at a time, until a result shows that it is healthy. */
     PROBING
   }
 
-  /** The weight of a new run; some five tasks until a change shows. */
+  /** The weight of a new run; a change becomes visible after some five tasks. */
   private static final double RUN_TIME_SMOOTHING = 0.2;
 
   private final Set<WorkKey> consecutiveBadWork = new HashSet<>();
@@ -35,7 +35,7 @@
     return state;
   }
 
-  /** Tells whether a worker with so many tasks may get one more, as far as its health goes. */
+  /** Tells whether the health of a worker with this many tasks permits one more. */
   boolean admits(int tasks) {
     return switch (state) {
       case GOOD -> true;
@@ -52,15 +52,15 @@
     return quarantinedUntilMillis;
   }
 
-  void quarantine(long now, long firstMillis, long mostMillis) {
+  void quarantine(long now, long firstMillis, long maxMillis) {
     long millis = firstMillis << Math.min(consecutiveQuarantines, 20);
     consecutiveQuarantines++;
-    quarantinedUntilMillis = now + Math.min(mostMillis, millis);
+    quarantinedUntilMillis = now + Math.min(maxMillis, millis);
     consecutiveBadWork.clear();
     state = State.QUARANTINED;
   }
 
-  /** Counts a bad end and returns how many works in a row ended badly. */
+  /** Records a bad end and returns how many different work items have ended badly in a row. */
   int recordBadEnd(WorkKey key) {
     consecutiveBadWork.add(key);
     return consecutiveBadWork.size();
@@ -71,7 +71,9 @@
     consecutiveQuarantines = 0;
   }
 
-  /** Takes in how long a task ran, as the logarithm of the run time over the expected one. */
+  /**
+   * Records how long a task ran, as the logarithm of the run time divided by the expected run time.
+   */
   void recordRunTime(double logRatio) {
     runs++;
     logSlowness += Math.max(RUN_TIME_SMOOTHING, 1.0 / runs) * (logRatio - logSlowness);
--- a/core/src/test/java/org/hickorypier/core/scheduling/AdmissionTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/AdmissionTest.java
@@ -13,14 +13,15 @@
   private static final long DEADLINE_MILLIS = 10_000;
 
   /**
-   * Forty callers come at once to an instance that holds two permits of their team and has asked
-   * for more. Two tasks start, and the estimate by those two says that the others wait for a
-   * minute. Permits come within the next append of the log, so nobody is to be sent away; without
-   * the patience most are, beside idle workers.
+   * Guards against refusals of a burst while permits are pending and workers are idle. Forty
+   * callers submit at once to an instance that holds two permits of their team and has requested
+   * more. Two tasks start, and the estimate by their rate is a wait of a minute for the others. The
+   * permits arrive with the next append to the log, so no caller may be refused; without the
+   * patience most are.
    */
   @ParameterizedTest
   @CsvSource({"0, false", "1200, true"})
-  void burstIsAcceptedWhilePermitsArePending(long patienceMillis, boolean allTaken) {
+  void burstIsAcceptedWhilePermitsArePending(long patienceMillis, boolean allAccepted) {
     Scheduler scheduler =
         SchedulerFactory.create(SchedulerSettings.defaults().withShiftPatience(patienceMillis), 1);
     for (int number = 0; number < 6; number++) {
@@ -30,10 +31,13 @@
 
     long refused = submitBurst(scheduler, 0);
 
-    assertThat(refused == 0).isEqualTo(allTaken);
+    assertThat(refused == 0).isEqualTo(allAccepted);
   }
 
-  /** The same burst when the first of the queue has waited long: who cannot start is told so. */
+  /**
+   * Guards against patience without an end. After the same burst, the head of the queue has waited
+   * long, so an item that cannot start in time is refused.
+   */
   @Test
   void lateItemIsRefusedOnceQueueHeadHasWaited() {
     Scheduler scheduler =
@@ -49,8 +53,9 @@
   }
 
   /**
-   * A team that was busy comes back after a quiet minute and finds no permits yet. What is left of
-   * its old rate of starts is near zero; taken for the present rate it meant a wait of an hour.
+   * Guards against a wait estimate of an hour. A busy team returns after a quiet minute and has no
+   * permits yet; the remainder of its old rate of starts is near zero and must not count as the
+   * present rate.
    */
   @Test
   void rateIsZeroAfterQuietMinute() {
--- a/core/src/test/java/org/hickorypier/core/scheduling/OverloadTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/OverloadTest.java
@@ -14,15 +14,15 @@
 import org.hickorypier.core.model.WorkKey;
 import org.junit.jupiter.api.Test;
 
-/** Bursts, skew, slow and bad workers and saturation, as the callers see them. */
+/** Bursts, skew, slow and faulty workers and saturation, from the point of view of the callers. */
 class OverloadTest {
 
   private static final ToLongFunction<PlacedTask> ONE_SECOND = task -> 1_000;
 
   /**
-   * The callers of a small team get their answers while another floods. The flood comes first and
-   * fills the fleet and its own queue; the small team's requests come a few a second. Fair order
-   * gives them the next places, so none is refused or given up.
+   * Guards against starvation of a small team while another team floods. The flood arrives first
+   * and fills the fleet and its own queue; the requests of the small team arrive a few per second.
+   * The fair order gives them the next free slots, so none is refused or given up.
    */
   @Test
   void smallTeamIsServedBesideFlood() {
@@ -41,8 +41,9 @@
   }
 
   /**
-   * At twice the capacity callers are told at once that it will not do, and when to come back. What
-   * is accepted starts before its deadline; the workers never run dry.
+   * Guards against accepted work that misses its deadline at twice the capacity. Excess callers are
+   * refused at once and learn when to retry. Accepted work starts before its deadline, and the
+   * workers never run out of work.
    */
   @Test
   void saturationRefusesEarlyAndStartsAcceptedWork() {
@@ -61,9 +62,9 @@
   }
 
   /**
-   * A caller whose task has a size of its own is told at once that a full queue will not reach it.
-   * The head of the queue was tried in vain; the new size was not tried yet, which once passed for
-   * room, and such callers waited to their deadlines.
+   * Guards against callers that wait until their deadline because their task has a size of its own.
+   * A placement of the queue head has failed, but none of the new size has been tried yet, which
+   * must not count as room. The caller is refused at once, since the full queue will not reach it.
    */
   @Test
   void newSizeIsRefusedBehindBlockedHead() {
@@ -72,10 +73,10 @@
       scheduler.submit(Work.request("north", "r" + i), 0);
     }
     scheduler.place(0);
-    Resources other = new Resources(1_250, 1_024, 0);
+    Resources newSize = new Resources(1_250, 1_024, 0);
     WorkKey key = new WorkKey("north", "new");
     WorkItem item =
-        new WorkItem(key, WorkClass.REQUEST, "check", other, 1, true, 0, 500, Work.RUN_MILLIS);
+        new WorkItem(key, WorkClass.REQUEST, "check", newSize, 1, true, 0, 500, Work.RUN_MILLIS);
 
     assertThat(scheduler.submit(item, 0))
         .map(Refusal::reason)
@@ -83,15 +84,15 @@
   }
 
   /**
-   * Urgent callers never wait on a full fleet while they are few. Other work takes each place that
-   * comes free, but for the gap that is kept; an urgent task takes it, and the next end fills it
-   * up.
+   * Guards against waits of a few urgent callers on a full fleet. Other work takes each slot that
+   * comes free except for the reserved gap; an urgent task takes the gap, and the next end of a
+   * task refills it.
    */
   @Test
   void fewUrgentCallersDoNotWaitOnFullFleet() {
-    ToLongFunction<PlacedTask> unlike =
+    ToLongFunction<PlacedTask> mixedRunTimes =
         task -> 500 + new SplittableRandom(task.taskId().hashCode()).nextInt(1_000);
-    SimulatedLoad load = new SimulatedLoad(Work.scheduler(10, "north", "south"), unlike);
+    SimulatedLoad load = new SimulatedLoad(Work.scheduler(10, "north", "south"), mixedRunTimes);
     for (int i = 0; i < 100; i++) {
       load.submit(Work.item("south", "batch" + i, WorkClass.BATCH, Work.SMALL, 40), true);
       load.run(30);
@@ -106,8 +107,9 @@
   }
 
   /**
-   * Urgent callers flood; all other work still goes on. Urgent work goes first until it has held
-   * the others back for the hold time; then each fourth place is theirs.
+   * Guards against starvation of all other work by a flood of urgent work. Urgent work goes first
+   * until it has blocked other work for the hold time; after that, every fourth start goes to other
+   * work.
    */
   @Test
   void urgentFloodDoesNotStopOtherWork() {
@@ -123,8 +125,9 @@
   }
 
   /**
-   * A worker that fails each task at once looks idle all the time and would fail the callers of the
-   * whole fleet. It is quarantined after three and gets one task at a time afterwards.
+   * Guards against a worker that fails each task at once. It looks idle all the time and would fail
+   * the callers of the whole fleet. It is quarantined after three failures and gets one task at a
+   * time afterwards.
    */
   @Test
   void workerThatFailsEverythingIsQuarantined() {
@@ -142,16 +145,19 @@
         .allMatch(room -> room.state().equals("quarantined") || room.state().equals("probing"));
   }
 
-  /** A worker that was mended is found by a probe and used in full again. */
+  /**
+   * Guards against a repaired worker that stays unused: a probe finds it, and it returns to full
+   * use.
+   */
   @Test
   void recoveredWorkerLeavesQuarantine() {
-    boolean[] broken = {true};
+    boolean[] faulty = {true};
     SimulatedLoad load =
         new SimulatedLoad(
             Work.scheduler(3, "north"),
-            task -> broken[0] && task.worker().equals("worker-0") ? -1 : 1_000);
+            task -> faulty[0] && task.worker().equals("worker-0") ? -1 : 1_000);
     for (int i = 0; i < 600; i++) {
-      broken[0] = i < 300;
+      faulty[0] = i < 300;
       load.submit(Work.request("north", "r" + i, load.now(), load.now() + 60_000));
       load.run(100);
     }
@@ -160,8 +166,9 @@
   }
 
   /**
-   * Faulty work fails wherever it runs. Its callers get their failures; the workers stay open for
-   * the others, but for the part that may be in quarantine.
+   * Guards against faulty work that closes the fleet by failing wherever it runs. Its callers get
+   * their failures; the workers stay open for other work, except for the fraction that may be in
+   * quarantine.
    */
   @Test
   void faultyWorkDoesNotQuarantineMostWorkers() {
@@ -175,9 +182,12 @@
         .hasSizeGreaterThanOrEqualTo(6);
   }
 
-  /** One worker is ten times slower; it delays one caller at a time and not eight. */
+  /**
+   * Guards against a worker ten times slower than the others that delays eight callers at a time:
+   * it gets one task at a time.
+   */
   @Test
-  void slowWorkerGetsOneTaskAtATime() {
+  void slowWorkerIsLimitedToOneTask() {
     SimulatedLoad load =
         new SimulatedLoad(
             Work.scheduler(6, "north"), task -> task.worker().equals("worker-0") ? 10_000 : 1_000);
@@ -192,8 +202,8 @@
   }
 
   /**
-   * A gang that needs most of a busy fleet starts. Small work keeps coming and would fill each gap;
-   * after the hold time the workers are kept free until the gang fits.
+   * Guards against starvation of a gang that needs most of a busy fleet. Small work keeps arriving
+   * and would fill each gap; after the hold time, workers are held free until the gang fits.
    */
   @Test
   void gangIsNotStarvedBySmallWork() {
@@ -208,8 +218,9 @@
   }
 
   /**
-   * The owner of a faulty job is told so before all of it has run. Its first tasks fail on three
-   * workers; the rest, which would fail as well, is given up on and not started.
+   * Guards against a faulty job that runs in full before its owner learns of the fault. Its first
+   * tasks fail on three workers; the remaining tasks, which would fail as well, are given up and
+   * not started.
    */
   @Test
   void remainingTasksOfFaultyJobAreRefused() {
@@ -226,8 +237,9 @@
   }
 
   /**
-   * A team stays within its permits, whatever workers are held for it. Workers are held for two of
-   * its large tasks while one permit is left; when all come free at once, only one may start.
+   * Guards against a team that exceeds its permits through held workers. Workers are held for two
+   * of its large tasks while one permit is left; when all workers come free at once, only one task
+   * may start.
    */
   @Test
   void heldWorkersDoNotExceedTeamPermits() {
@@ -251,7 +263,10 @@
     assertThat(scheduler.waitingTasks("north")).isEqualTo(1);
   }
 
-  /** Several large gangs wait at once; each gets its workers in turn, and none blocks another. */
+  /**
+   * Guards against large gangs that block each other while several wait at once: each gets its
+   * workers in turn.
+   */
   @Test
   void concurrentGangsAllStart() {
     String[] teams = {"a", "b", "c", "d"};
@@ -266,8 +281,8 @@
   }
 
   /**
-   * A team that floods its own share with requests still sees its jobs go on. Each fourth of its
-   * places goes to a job that waits.
+   * Guards against starvation of the jobs of a team that floods its own share with requests. Every
+   * fourth start of the team goes to a waiting job.
    */
   @Test
   void jobsProgressBesideRequestsOfSameTeam() {
@@ -283,8 +298,9 @@
   }
 
   /**
-   * An item past its deadline never starts, also when workers were held for it. The hold is tried
-   * before the queues, which skip late items; it started one late before it looked as well.
+   * Guards against a start after the deadline of an item for which workers are held. Held items are
+   * tried before the queues, which skip expired items, so the deadline must be checked for held
+   * items as well.
    */
   @Test
   void heldItemDoesNotStartAfterItsDeadline() {
@@ -305,7 +321,10 @@
         .containsExactly(RefusalReason.DEADLINE_PASSED);
   }
 
-  /** A wave of cancellations empties the queue, and the places go to who still waits. */
+  /**
+   * Guards against remains of a mass cancellation: the queue is empty afterwards, and later work
+   * gets the slots.
+   */
   @Test
   void massCancellationEmptiesQueue() {
     Scheduler scheduler = Work.scheduler(0, "north");
@@ -326,17 +345,18 @@
   }
 
   /**
-   * Tasks that use far more than declared get that room on the next start, and now if it is free.
+   * Guards against reservations that stay at the declared size. Tasks that use far more than
+   * declared reserve that room on the next start, and at once if it is free.
    */
   @Test
   void reservationGrowsToReportedUse() {
     Scheduler scheduler = Work.scheduler(1, "north");
-    Resources real = new Resources(4_000, 16_384, 0);
+    Resources actualUse = new Resources(4_000, 16_384, 0);
     for (int i = 0; i < 5; i++) {
       scheduler.submit(Work.request("north", "r" + i), i);
       TaskId id = scheduler.place(i).get(0).tasks().get(0).taskId();
-      scheduler.reportUsage(id, real, i);
-      assertThat(scheduler.placed().get(0).reserved()).isEqualTo(real);
+      scheduler.reportUsage(id, actualUse, i);
+      assertThat(scheduler.placed().get(0).reserved()).isEqualTo(actualUse);
       scheduler.ended(id, TaskEnd.COMPLETED, i);
     }
     scheduler.submit(Work.request("north", "next"), 10);
@@ -346,7 +366,10 @@
     assertThat(next.reserved().milliProcessors()).isBetween(4_000L, 4_500L);
   }
 
-  /** Declared run times tell nothing here: long and short work mixed, and all of it ends. */
+  /**
+   * Guards against work that never completes when declared run times are misleading: all of a mix
+   * of long and short work completes.
+   */
   @Test
   void mixedLongAndShortWorkCompletes() {
     SimulatedLoad load =
--- a/core/src/test/java/org/hickorypier/core/scheduling/RetryingCallerTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/RetryingCallerTest.java
@@ -10,7 +10,7 @@
 import org.hickorypier.core.model.WorkKey;
 import org.junit.jupiter.api.Test;
 
-/** Callers who come back under a demand of twice the capacity, as they see it. */
+/** Callers who retry under demand of twice the capacity, from the point of view of the caller. */
 class RetryingCallerTest {
 
   private static final int WORKERS = 5;
@@ -20,10 +20,10 @@
   private static final long DEADLINE_MILLIS = 2_000;
   private static final long RETRY_DELAY_MILLIS = 200;
 
-  /** Every fourth caller has to come back, since its first try may have run. */
+  /** Every fourth caller has to retry, since its first attempt may have run. */
   private static final int RETRYING_ONE_IN = 4;
 
-  /** Within the time that callers go on asking. */
+  /** Callers keep retrying for longer than this. */
   private static final long LONGEST_WAIT_MILLIS = 10_000;
 
   private final Map<WorkKey, Long> waits = new HashMap<>();
@@ -32,13 +32,15 @@
   private final SimulatedLoad load =
       new SimulatedLoad(Work.scheduler(WORKERS, "north"), this::recordStart);
 
-  /** Guards against callers that stand at the tail again with each try until they give up. */
+  /**
+   * Guards against callers that rejoin the tail of the queue with each retry until they give up.
+   */
   @Test
   void retryingCallerIsServedBeforeLaterCallers() {
-    int posted = 0;
+    int submitted = 0;
     while (load.now() < LOAD_MILLIS) {
       for (int i = 0; i < REQUESTS_PER_STEP; i++) {
-        WorkKey key = new WorkKey("north", "r" + posted++);
+        WorkKey key = new WorkKey("north", "r" + submitted++);
         firstTries.put(key, load.now());
         submit(new Retry(key, load.now()));
       }
@@ -46,11 +48,11 @@
       load.run(STEP_MILLIS);
     }
 
-    long asked = LOAD_MILLIS - LONGEST_WAIT_MILLIS;
+    long lastCheckedMillis = LOAD_MILLIS - LONGEST_WAIT_MILLIS;
     assertThat(firstTries)
         .allSatisfy(
             (key, first) -> {
-              if (isRetryingCaller(key) && first < asked) {
+              if (isRetryingCaller(key) && first < lastCheckedMillis) {
                 assertThat(waits).containsKey(key);
                 assertThat(waits.get(key)).isLessThan(LONGEST_WAIT_MILLIS);
               }
@@ -60,30 +62,33 @@
   private void submitDueRetries() {
     int due = pendingRetries.size();
     for (int i = 0; i < due; i++) {
-      Retry turn = pendingRetries.poll();
-      if (waits.containsKey(turn.key)) {
+      Retry retry = pendingRetries.poll();
+      if (waits.containsKey(retry.key)) {
         continue;
       }
-      if (turn.dueMillis <= load.now()) {
-        submit(turn);
+      if (retry.dueMillis <= load.now()) {
+        submit(retry);
       } else {
-        pendingRetries.add(turn);
+        pendingRetries.add(retry);
       }
     }
   }
 
-  /** Asks, and again after the pause if refused, or once the deadline has passed. */
-  private void submit(Retry turn) {
+  /**
+   * Submits a request and schedules a retry: after the delay if it was refused, or once its
+   * deadline has passed otherwise.
+   */
+  private void submit(Retry retry) {
     long now = load.now();
     WorkItem item =
-        Work.request("north", turn.key.requestId(), now, now + DEADLINE_MILLIS)
-            .withFirstTriedMillis(firstTries.get(turn.key));
+        Work.request("north", retry.key.requestId(), now, now + DEADLINE_MILLIS)
+            .withFirstTriedMillis(firstTries.get(retry.key));
     int before = load.refusals().size();
     load.submit(item);
     boolean refused = load.refusals().size() > before;
-    if (isRetryingCaller(turn.key)) {
-      long pause = refused ? RETRY_DELAY_MILLIS : DEADLINE_MILLIS + RETRY_DELAY_MILLIS;
-      pendingRetries.add(new Retry(turn.key, now + pause));
+    if (isRetryingCaller(retry.key)) {
+      long delay = refused ? RETRY_DELAY_MILLIS : DEADLINE_MILLIS + RETRY_DELAY_MILLIS;
+      pendingRetries.add(new Retry(retry.key, now + delay));
     }
   }
 
