--- a/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
@@ -28,8 +28,8 @@
   private long latestUrgentMillis = NEVER;
   private boolean active;
 
-  UrgentReserve(double part, Fleet fleet) {
-    this.reservedFraction = part;
+  UrgentReserve(double reservedFraction, Fleet fleet) {
+    this.reservedFraction = reservedFraction;
     this.fleet = fleet;
   }
 
--- a/core/src/test/java/org/hickorypier/core/scheduling/AdmissionTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/AdmissionTest.java
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Guards against patience without an end. After the same burst, the head of the queue has waited
-   * long, so an item that cannot start in time is refused.
+   * Guards against unlimited patience. After the same burst, the head of the queue has waited long,
+   * so an item that cannot start in time is refused.
    */
   @Test
   void lateItemIsRefusedOnceQueueHeadHasWaited() {
