--- a/core/src/main/java/org/hickorypier/core/scheduling/DecayedRate.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/DecayedRate.java
@@ -1,61 +1,65 @@
 package org.hickorypier.core.scheduling;
 
 /**
- * Events a second, with older events counting less and less.
+ * An event rate per second in which older events decay exponentially.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class DecayedRate {
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** A few events in the first millisecond are no rate. */
-  private static final double LEAST_SEEN_MILLIS = 1_000;
+  /** A few events in the first millisecond do not establish a rate. */
+  private static final double MIN_OBSERVED_MILLIS = 1_000;
 
-  /** Below this, what is left of old events says nothing of the present. */
-  private static final double LEAST_WEIGHT = 0.5;
+  /** Below this weight, the remainder of old events is no evidence of the present rate. */
+  private static final double MIN_WEIGHT = 0.5;
 
   private final double windowMillis;
   private double weight;
-  private long firstMillis;
-  private long latestMillis;
-  private boolean any;
+  private long firstEventMillis;
+  private long latestEventMillis;
+  private boolean hasEvents;
 
   /**
    * Creates a rate without events.
    *
-   * @param windowMillis the time after which an event counts a third
+   * @param windowMillis the time constant in milliseconds, after which the weight of an event falls
+   *     to about a third
    */
   DecayedRate(double windowMillis) {
     this.windowMillis = windowMillis;
   }
 
   void count(long now) {
-    if (!any) {
-      any = true;
-      firstMillis = now;
-      latestMillis = now;
+    if (!hasEvents) {
+      hasEvents = true;
+      firstEventMillis = now;
+      latestEventMillis = now;
     }
-    weight = decayed(now) + 1;
-    latestMillis = now;
+    weight = decayedWeight(now) + 1;
+    latestEventMillis = now;
   }
 
   /**
-   * Returns the events a second; while young, over the time since the first event. Once less than
-   * half an event is left in the window nothing is known any more, and the rate is 0. Without that,
-   * an instance whose team had been quiet, or waited for permits, took the remainder of an old rate
-   * for the present one, estimated a wait of an hour, and refused work beside idle workers.
+   * Returns the rate in events per second. During the first window, the rate is taken over the time
+   * since the first event.
+   *
+   * <p>The rate is 0 (unknown) once less than half an event is left in the window. Otherwise, the
+   * remainder of an old rate would count as the present one after a team was quiet or waited for
+   * permits. The estimated wait would then reach an hour, and work would be refused while workers
+   * are idle.
    */
   double perSecond(long now) {
-    if (!any || decayed(now) < LEAST_WEIGHT) {
+    if (!hasEvents || decayedWeight(now) < MIN_WEIGHT) {
       return 0;
     }
-    double seen = Math.max(LEAST_SEEN_MILLIS, now - firstMillis);
+    double seen = Math.max(MIN_OBSERVED_MILLIS, now - firstEventMillis);
     double window = windowMillis * (1 - Math.exp(-seen / windowMillis));
-    return decayed(now) / window * MILLIS_PER_SECOND;
+    return decayedWeight(now) / window * MILLIS_PER_SECOND;
   }
 
-  private double decayed(long now) {
-    return weight * Math.exp(-(now - latestMillis) / windowMillis);
+  private double decayedWeight(long now) {
+    return weight * Math.exp(-(now - latestEventMillis) / windowMillis);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/FairOrder.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/FairOrder.java
@@ -8,21 +8,21 @@
 import org.hickorypier.core.model.WorkClass;
 
 /**
- * The teams in the order of weighted dominant-resource fairness: the team with the least dominant
- * share for its weight goes first.
+ * The teams in the order of weighted dominant-resource fairness: the team with the lowest dominant
+ * share relative to its weight goes first.
  *
- * <p>Made for a full fleet, where teams ask for unlike amounts of unlike resources. It prevents
- * that a team gets more by sending more, or by asking for what others do not. The use at other
- * instances counts as well, because the callers of a team tend to stick to one instance, and an
- * order of this instance alone would then be fair at each and unfair over the fleet. Teams without
- * waiting work are passed over, so room is never left idle for them.
+ * <p>On a full fleet, teams request different amounts of different resources. This order keeps a
+ * team from gaining capacity by submitting more work or by requesting resources that others do not
+ * need. Use at other instances counts as well: callers of a team tend to stay with one instance, so
+ * an order by local use alone would be fair at each instance and unfair across the fleet. Teams
+ * without waiting work are skipped, so no capacity stays idle for them.
  *
- * <p>Invariant: the set is sorted by the teams' present weighted shares. Not thread safe.
+ * <p>Invariant: the set is sorted by the teams' present weighted shares. Not thread-safe.
  */
 final class FairOrder {
 
   private final Map<String, TeamState> teams = new HashMap<>();
-  private final TreeSet<TeamState> waiting =
+  private final TreeSet<TeamState> orderedTeams =
       new TreeSet<>(
           Comparator.comparingDouble(TeamState::weightedShare).thenComparing(TeamState::name));
   private Resources total = Resources.NONE;
@@ -31,22 +31,22 @@
     return teams.computeIfAbsent(name, TeamState::new);
   }
 
-  /** Returns the teams with waiting work, in order; no team may be changed while it is read. */
-  Iterable<TeamState> waiting() {
-    return waiting;
+  /** Returns the teams with waiting work, in order. No team may change during the iteration. */
+  Iterable<TeamState> orderedTeams() {
+    return orderedTeams;
   }
 
-  int waitingTeams() {
-    return waiting.size();
+  int waitingTeamCount() {
+    return orderedTeams.size();
   }
 
-  /** Changes a team and puts it where it now belongs. */
+  /** Applies a change to a team and restores its position in the order. */
   void update(TeamState team, Runnable change) {
-    waiting.remove(team);
+    orderedTeams.remove(team);
     change.run();
     team.refreshWeightedShare(total);
     if (team.hasWaiting()) {
-      waiting.add(team);
+      orderedTeams.add(team);
     }
   }
 
@@ -55,25 +55,28 @@
       return;
     }
     total = newTotal;
-    waiting.clear();
+    orderedTeams.clear();
     for (TeamState team : teams.values()) {
       team.refreshWeightedShare(total);
       if (team.hasWaiting()) {
-        waiting.add(team);
+        orderedTeams.add(team);
       }
     }
   }
 
-  /** Has all teams tried again. */
-  void tryAll() {
-    waiting.forEach(TeamState::markWorthTrying);
+  /** Makes all teams eligible for another placement attempt. */
+  void retryAllTeams() {
+    orderedTeams.forEach(TeamState::clearExhausted);
   }
 
-  /** Has the teams with a waiting gang tried again, which any freed room may help. */
-  void tryGangs() {
-    for (TeamState team : waiting) {
+  /**
+   * Makes the teams with a waiting gang eligible for another placement attempt, since any freed
+   * room may help a gang.
+   */
+  void retryTeamsWithGangs() {
+    for (TeamState team : orderedTeams) {
       if (team.queue(WorkClass.GANG).size() > 0) {
-        team.markWorthTrying();
+        team.clearExhausted();
       }
     }
   }
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
@@ -29,7 +29,7 @@
   private final WorkHistory history;
   private final Reservations reservations;
   private final PlacementPolicies policies;
-  private final UrgentTurns urgentTurns;
+  private final UrgentPriorityLimit urgentTurns;
   private final WorkerHolds holds;
   private final UrgentReserve urgentReserve;
   private final Map<QueuedItem, List<PlacedTask>> placedTasks = new LinkedHashMap<>();
@@ -56,14 +56,14 @@
     this.policies = policies;
     this.holds = holds;
     this.urgentReserve = urgentReserve;
-    this.urgentTurns = new UrgentTurns(settings.urgentHoldMillis(), settings.urgentTurn());
+    this.urgentTurns = new UrgentPriorityLimit(settings.urgentHoldMillis(), settings.urgentTurn());
   }
 
   List<Placement> run(long now) {
     placeHoldOwners(now);
     boolean placedAny = true;
     while (placedAny) {
-      boolean othersFirst = urgentTurns.isTurnOfOthers(now);
+      boolean othersFirst = urgentTurns.isOtherWorkNext(now);
       placedAny = placeOne(!othersFirst, now) || placeOne(othersFirst, now);
     }
     List<Placement> placements = new ArrayList<>(placedTasks.size());
@@ -75,7 +75,7 @@
   /** Tries the owners of holds first, since other items could fill the gaps on their workers. */
   private void placeHoldOwners(long now) {
     holds.releaseObsolete(now).forEach(this::retryOn);
-    urgentReserve.refresh(urgentTurns.isOverdue(now), now).forEach(this::retryOn);
+    urgentReserve.refresh(urgentTurns.isOtherWorkOverdue(now), now).forEach(this::retryOn);
     holds.holdForStarvingItem(now);
     for (QueuedItem owner : holds.owners()) {
       tryStart(order.team(owner.item().key().team()), owner, now);
@@ -84,19 +84,19 @@
 
   private void retryOn(WorkerState worker) {
     shapes.unblock(worker);
-    order.tryAll();
+    order.retryAllTeams();
   }
 
   private boolean placeOne(boolean urgent, long now) {
-    for (TeamState team : order.waiting()) {
+    for (TeamState team : order.orderedTeams()) {
       if (team.isExhausted(urgent)) {
         continue;
       }
       QueuedItem queued =
-          startFirstPossible(team, urgent ? URGENT : team.classTurns().order(), now);
+          startFirstPossible(team, urgent ? URGENT : team.classRotation().order(), now);
       if (queued != null) {
-        urgentTurns.started(urgent);
-        team.classTurns().started(queued.item().workClass());
+        urgentTurns.recordStart(urgent);
+        team.classRotation().recordStart(queued.item().workClass());
         return true;
       }
       if (!hasDelayedGang) {
@@ -104,7 +104,7 @@
       }
     }
     if (urgent && !queue.hasUrgent()) {
-      urgentTurns.noneWaits();
+      urgentTurns.recordNoUrgentWaiting();
     }
     return false;
   }
@@ -118,7 +118,7 @@
       Iterator<QueuedItem> candidates = team.queue(workClass).items().iterator();
       for (int tried = 0; tried < settings.backfillDepth() && candidates.hasNext(); ) {
         QueuedItem queued = candidates.next();
-        if (queued.isTooLate(now)) {
+        if (queued.isExpired(now)) {
           continue;
         }
         tried++;
@@ -139,7 +139,7 @@
     }
     WorkerState worker = chooseWorker(queued, now);
     if (worker == null) {
-      queued.triedInVain(now);
+      queued.recordFailedPlacement(now);
       return false;
     }
     reserve(queued, worker, now);
@@ -148,13 +148,13 @@
   }
 
   private WorkerState chooseWorker(QueuedItem queued, long now) {
-    boolean ownsHold = queued.isHeldFor();
+    boolean ownsHold = queued.hasHold();
     if (queued.shape().isBlocked() && !ownsHold) {
       return null;
     }
     PlacementPolicy policy = policies.of(queued.item().workClass());
     WorkerFilter usable = usableWorkers(queued, now);
-    Set<String> failedOn = history.failedOn(queued.item().key());
+    Set<String> failedOn = history.failedWorkers(queued.item().key());
     if (!failedOn.isEmpty()) {
       WorkerFilter notFailedOn = worker -> !failedOn.contains(worker.name()) && usable.test(worker);
       WorkerState preferred = policy.choose(queued, notFailedOn);
@@ -180,7 +180,7 @@
         (urgent || urgentReserve.admits(worker, queued.need()))
             && (worker.currentHold() == null
                 || worker.currentHold().admits(queued, now)
-                || urgent && !urgentTurns.isOverdue(now));
+                || urgent && !urgentTurns.isOtherWorkOverdue(now));
   }
 
   private boolean tryStartGang(TeamState team, QueuedItem queued, long now) {
@@ -188,8 +188,8 @@
     if (team.freePermits() < tasks) {
       return false;
     }
-    if (queued.shape().isBlocked() && !queued.isHeldFor()) {
-      queued.triedInVain(now);
+    if (queued.shape().isBlocked() && !queued.hasHold()) {
+      queued.recordFailedPlacement(now);
       return false;
     }
     if (queued.nextTryMillis() > now) {
@@ -201,8 +201,8 @@
       WorkerState worker = chooseWorker(queued, now);
       if (worker == null) {
         releaseAll(tentative);
-        queued.triedInVain(now);
-        queued.tryAgainAt(now + settings.gangRetryMillis());
+        queued.recordFailedPlacement(now);
+        queued.setNextTryMillis(now + settings.gangRetryMillis());
         return false;
       }
       Reservation reservation = reservation(queued, i, worker, now);
@@ -226,12 +226,12 @@
   }
 
   private void reserve(QueuedItem queued, WorkerState worker, long now) {
-    Reservation reservation = reservation(queued, queued.takeIndex(), worker, now);
-    history.taskPlaced(queued.item().key());
+    Reservation reservation = reservation(queued, queued.takeTaskIndex(), worker, now);
+    history.recordPlacedTask(queued.item().key());
     TeamState team = order.team(queued.item().key().team());
-    team.taskStarted(queued, now);
+    team.recordStart(queued, now);
     reservations.add(worker, reservation);
-    urgentReserve.roomTaken(worker);
+    urgentReserve.releaseIfFilled(worker);
     placedTasks.computeIfAbsent(queued, unused -> new ArrayList<>()).add(reservation.task());
   }
 
--- a/core/src/main/java/org/hickorypier/core/scheduling/QueuedItem.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/QueuedItem.java
@@ -4,9 +4,9 @@
 import org.hickorypier.core.model.WorkItem;
 
 /**
- * An item in its team's queue, with the tasks that still wait.
+ * An item in its team's queue, with its tasks that still wait.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 final class QueuedItem {
 
@@ -15,18 +15,18 @@
   private final WorkItem item;
   private final Shape shape;
   private final int attempt;
-  private final long arrival;
-  private int nextIndex;
+  private final long arrivalNumber;
+  private int nextTaskIndex;
   private long nextTryMillis = Long.MIN_VALUE;
-  private long inVainSinceMillis = NEVER;
-  private boolean gone;
-  private boolean heldFor;
+  private long firstFailedPlacementMillis = NEVER;
+  private boolean removed;
+  private boolean hasHold;
 
   QueuedItem(WorkItem item, Shape shape, int attempt, long arrival) {
     this.item = item;
     this.shape = shape;
     this.attempt = attempt;
-    this.arrival = arrival;
+    this.arrivalNumber = arrival;
   }
 
   WorkItem item() {
@@ -45,59 +45,62 @@
     return attempt;
   }
 
-  /** Returns its number in the order of arrival; no two queued items have the same. */
-  long arrival() {
-    return arrival;
+  /** Returns its position in the order of arrival, which is unique among queued items. */
+  long arrivalNumber() {
+    return arrivalNumber;
   }
 
   int waitingTasks() {
-    return item.tasks() - nextIndex;
+    return item.tasks() - nextTaskIndex;
   }
 
   boolean hasStarted() {
-    return nextIndex > 0;
+    return nextTaskIndex > 0;
   }
 
-  /** Tells whether the deadline has passed before any task started. */
-  boolean isTooLate(long now) {
+  /** Tells whether the deadline passed before any task started. */
+  boolean isExpired(long now) {
     return item.deadlineMillis() < now && !hasStarted();
   }
 
-  int takeIndex() {
-    return nextIndex++;
+  int takeTaskIndex() {
+    return nextTaskIndex++;
   }
 
   long nextTryMillis() {
     return nextTryMillis;
   }
 
-  void tryAgainAt(long millis) {
+  void setNextTryMillis(long millis) {
     nextTryMillis = millis;
   }
 
-  /** Returns when it was first tried in vain for want of room; far in the future if never. */
-  long inVainSinceMillis() {
-    return inVainSinceMillis;
+  /**
+   * Returns when a placement first failed for lack of room, or a time far in the future if none
+   * has.
+   */
+  long firstFailedPlacementMillis() {
+    return firstFailedPlacementMillis;
   }
 
-  void triedInVain(long now) {
-    inVainSinceMillis = Math.min(inVainSinceMillis, now);
+  void recordFailedPlacement(long now) {
+    firstFailedPlacementMillis = Math.min(firstFailedPlacementMillis, now);
   }
 
-  /** Tells whether workers are kept free for it. */
-  boolean isHeldFor() {
-    return heldFor;
+  /** Tells whether workers are held free for this item. */
+  boolean hasHold() {
+    return hasHold;
   }
 
-  void setHeldFor(boolean held) {
-    heldFor = held;
+  void setHasHold(boolean held) {
+    hasHold = held;
   }
 
-  boolean isGone() {
-    return gone;
+  boolean isRemoved() {
+    return removed;
   }
 
-  void markGone() {
-    gone = true;
+  void markRemoved() {
+    removed = true;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/ServiceCounts.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/ServiceCounts.java
@@ -6,25 +6,26 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * How many tasks of each service run in one place. The tasks of a job have keys of their own, each
- * attempt another; all count for the one service.
+ * Counts the running tasks of each service in one location.
  *
- * <p>Not thread safe.
+ * <p>Each attempt of a job's tasks has its own key; all of them count towards the one service.
+ *
+ * <p>Not thread-safe.
  */
 final class ServiceCounts {
 
-  private final Map<WorkKey, Integer> tasks = new HashMap<>();
+  private final Map<WorkKey, Integer> tasksByService = new HashMap<>();
 
-  int of(WorkKey service) {
-    return tasks.getOrDefault(AttemptKey.workOf(service), 0);
+  int taskCount(WorkKey service) {
+    return tasksByService.getOrDefault(AttemptKey.workOf(service), 0);
   }
 
   void add(WorkKey service) {
-    tasks.merge(AttemptKey.workOf(service), 1, Integer::sum);
+    tasksByService.merge(AttemptKey.workOf(service), 1, Integer::sum);
   }
 
   void remove(WorkKey service) {
-    tasks.computeIfPresent(
+    tasksByService.computeIfPresent(
         AttemptKey.workOf(service), (unused, count) -> count == 1 ? null : count - 1);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/UrgentReserve.java
@@ -7,103 +7,109 @@
 /**
  * Keeps a few gaps on a full fleet free for urgent work.
  *
- * <p>Made for a demand far above the capacity: every place that comes free is taken at once, so
- * urgent work would wait for the next end of a task. A small part of all slots is kept free
- * instead, on whichever workers tasks end, so that the reserve fills up again as fast as places
- * come free. It costs that part of the capacity, and only while urgent work comes at all.
+ * <p>When demand is far above the capacity, each freed slot is taken at once, so urgent work would
+ * wait for the next end of a task. The reserve keeps a small fraction of all slots free on
+ * whichever workers tasks end, so that it refills as fast as slots come free. It costs that
+ * fraction of the capacity, and only while urgent work arrives.
  *
- * <p>Invariant: exactly the workers of the set are marked. Not thread safe.
+ * <p>Invariant: exactly the workers in the set are marked as reserved. Not thread-safe.
  */
 final class UrgentReserve {
 
-  /** After this time without urgent work nothing is kept free any more. */
-  private static final long FORGET_MILLIS = 60_000;
+  /** The reserve ends after this time without urgent work. */
+  private static final long URGENT_IDLE_MILLIS = 60_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final double part;
+  private final double reservedFraction;
   private final Fleet fleet;
   private final Set<WorkerState> workers = new LinkedHashSet<>();
-  private Resources need = Resources.NONE;
+  private Resources gapSize = Resources.NONE;
   private long latestUrgentMillis = NEVER;
   private boolean active;
 
-  UrgentReserve(double part, Fleet fleet) {
-    this.part = part;
+  UrgentReserve(double reservedFraction, Fleet fleet) {
+    this.reservedFraction = reservedFraction;
     this.fleet = fleet;
   }
 
-  /** Notes urgent work and its size; the reserve is for the largest size of late. */
-  void urgentCame(Resources size, long now) {
-    if (latestUrgentMillis + FORGET_MILLIS < now) {
-      need = Resources.NONE;
+  /**
+   * Records the arrival and size of urgent work. Gaps have the largest size in each resource since
+   * urgent work resumed.
+   */
+  void recordUrgentWork(Resources size, long now) {
+    if (latestUrgentMillis + URGENT_IDLE_MILLIS < now) {
+      gapSize = Resources.NONE;
     }
     latestUrgentMillis = now;
-    if (!size.fitsInto(need)) {
-      need =
+    if (!size.fitsInto(gapSize)) {
+      gapSize =
           new Resources(
-              Math.max(need.milliProcessors(), size.milliProcessors()),
-              Math.max(need.memoryMebibytes(), size.memoryMebibytes()),
-              Math.max(need.accelerators(), size.accelerators()));
+              Math.max(gapSize.milliProcessors(), size.milliProcessors()),
+              Math.max(gapSize.memoryMebibytes(), size.memoryMebibytes()),
+              Math.max(gapSize.accelerators(), size.accelerators()));
     }
   }
 
-  /** Tells whether work that is not urgent may use a worker's room for a task. */
+  /** Tells whether work that is not urgent may use the room of a worker for a task. */
   boolean admits(WorkerState worker, Resources size) {
-    return !worker.isReserveForUrgent() || worker.hasRoomForBoth(need, size);
+    return !worker.isReserveForUrgent() || worker.hasRoomForBoth(gapSize, size);
   }
 
-  /** Takes a worker with freed room into the reserve if it lacks one. */
-  void roomFreed(WorkerState worker) {
+  /** Adds a worker with freed room to the reserve if the reserve has too few gaps. */
+  void reserveIfNeeded(WorkerState worker) {
     if (!active || worker.isReserveForUrgent() || worker.currentHold() != null) {
       return;
     }
-    if (workers.size() < wanted() && worker.acceptsTasks() && worker.hasRoomFor(need)) {
+    if (workers.size() < targetGaps() && worker.acceptsTasks() && worker.hasRoomFor(gapSize)) {
       workers.add(worker);
       worker.setReserveForUrgent(true);
     }
   }
 
-  /** Takes a worker out of the reserve once it has no gap any more. */
-  void roomTaken(WorkerState worker) {
-    if (worker.isReserveForUrgent() && !(worker.acceptsTasks() && worker.hasRoomFor(need))) {
-      drop(worker);
+  /** Removes a worker from the reserve once it has no gap left. */
+  void releaseIfFilled(WorkerState worker) {
+    if (worker.isReserveForUrgent() && !(worker.acceptsTasks() && worker.hasRoomFor(gapSize))) {
+      release(worker);
     }
   }
 
-  void forget(WorkerState worker) {
+  void removeWorker(WorkerState worker) {
     if (worker.isReserveForUrgent()) {
-      drop(worker);
+      release(worker);
     }
   }
 
   /**
-   * Ends the reserve if no urgent work came for a while, or if urgent work has held all other work
-   * back for too long; what comes free is then for the others to take in their turn.
+   * Ends the reserve if no urgent work has arrived for a while, or if urgent work has blocked all
+   * other work for too long. Other work may then take the freed slots in its turn.
    *
    * @param overdue whether other work is overdue
-   * @param now the time
+   * @param now the time in milliseconds
    * @return the workers that are no longer in the reserve
    */
   Set<WorkerState> refresh(boolean overdue, long now) {
-    active = !overdue && latestUrgentMillis + FORGET_MILLIS >= now;
+    active = !overdue && latestUrgentMillis + URGENT_IDLE_MILLIS >= now;
     if (workers.isEmpty() || active) {
       return Set.of();
     }
     Set<WorkerState> released = new LinkedHashSet<>(workers);
-    released.forEach(this::drop);
+    released.forEach(this::release);
     return released;
   }
 
-  private void drop(WorkerState worker) {
+  private void release(WorkerState worker) {
     workers.remove(worker);
     worker.setReserveForUrgent(false);
   }
 
-  /** Returns how many gaps take up the part, of the slots or of the scarcest resource. */
-  private int wanted() {
-    double bySlots = fleet.totalSlots() * part;
-    double share = need.dominantShare(fleet.total());
-    return (int) (share == 0 ? bySlots : Math.min(bySlots, part / share));
+  /**
+   * Returns how many gaps make up the reserved fraction of the slots or of the scarcest resource,
+   * whichever is fewer.
+   */
+  private int targetGaps() {
+    double bySlots = fleet.totalSlots() * reservedFraction;
+    double share = gapSize.dominantShare(fleet.total());
+    return (int) (share == 0 ? bySlots : Math.min(bySlots, reservedFraction / share));
   }
 }
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerHolds.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerHolds.java
@@ -77,7 +77,7 @@
     for (Iterator<Hold> each = holds.iterator(); each.hasNext(); ) {
       Hold hold = each.next();
       if (!isUsable(hold, now)) {
-        hold.owner().setHeldFor(false);
+        hold.owner().setHasHold(false);
         hold.workers().forEach(worker -> worker.setHold(null));
         released.addAll(hold.workers());
         heldWorkers -= hold.workers().size();
@@ -109,7 +109,7 @@
 
   private boolean isUsable(Hold hold, long now) {
     QueuedItem owner = hold.owner();
-    if (owner.isGone() || owner.isTooLate(now) || !hasPermits(owner)) {
+    if (owner.isRemoved() || owner.isExpired(now) || !hasPermits(owner)) {
       return false;
     }
     for (WorkerState worker : hold.workers()) {
@@ -122,12 +122,13 @@
 
   private QueuedItem longestStarving(long now) {
     QueuedItem longest = null;
-    for (TeamState team : order.waiting()) {
+    for (TeamState team : order.orderedTeams()) {
       for (WorkClass workClass : WorkClass.values()) {
         QueuedItem head = firstNotHeldFor(team.queue(workClass));
         if (head != null
-            && head.inVainSinceMillis() + holdAfterMillis <= now
-            && (longest == null || head.inVainSinceMillis() < longest.inVainSinceMillis())
+            && head.firstFailedPlacementMillis() + holdAfterMillis <= now
+            && (longest == null
+                || head.firstFailedPlacementMillis() < longest.firstFailedPlacementMillis())
             && isEligible(head, now)) {
           longest = head;
         }
@@ -138,7 +139,7 @@
 
   private static QueuedItem firstNotHeldFor(ClassQueue queue) {
     for (QueuedItem queued : queue.items()) {
-      if (!queued.isHeldFor()) {
+      if (!queued.hasHold()) {
         return queued;
       }
     }
@@ -146,7 +147,7 @@
   }
 
   private boolean isEligible(QueuedItem head, long now) {
-    return !head.isTooLate(now) && isGangOrLarge(head) && hasPermits(head);
+    return !head.isExpired(now) && isGangOrLarge(head) && hasPermits(head);
   }
 
   private boolean isGangOrLarge(QueuedItem queued) {
@@ -180,7 +181,7 @@
     Hold hold = new Hold(starving, workers, startMillis);
     holds.add(hold);
     heldWorkers += workers.size();
-    starving.setHeldFor(true);
+    starving.setHasHold(true);
     workers.forEach(worker -> worker.setHold(hold));
   }
 
