--- a/acceptance/src/test/java/org/hickorypier/acceptance/control/ControllerNode.java
+++ b/acceptance/src/test/java/org/hickorypier/acceptance/control/ControllerNode.java
@@ -103,7 +103,7 @@
   }
 
   void tick() {
-    execute(fleet::tick);
+    execute(fleet::checkWorkers);
   }
 
   void start(TaskId id, String worker, Resources reserved, WorkClass workClass, byte[] payload) {
@@ -111,12 +111,12 @@
   }
 
   boolean holds(String worker) {
-    return fleet.held().contains(worker);
+    return fleet.controlledWorkers().contains(worker);
   }
 
   /** Tells whether the tasks on all workers that this instance is wanted for are known. */
   boolean knowsAllTasks() {
-    return fleet.isComplete();
+    return fleet.areTasksKnown();
   }
 
   TaskEnd end(TaskId id) {
@@ -215,7 +215,7 @@
   private final class View implements ControlView {
 
     @Override
-    public boolean isWanted(String worker) {
+    public boolean shouldControl(String worker) {
       return wanted.contains(worker);
     }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
@@ -250,7 +250,7 @@
     requests.answer(
         QuestionKind.OFFER,
         worker -> {
-          fleet.offered(worker);
+          fleet.onOffered(worker);
           return Uni.createFrom().item(new byte[0]);
         });
     network =
@@ -284,7 +284,7 @@
             work,
             control,
             control,
-            fleet::isComplete,
+            fleet::areTasksKnown,
             DaemonConstants.ANSWER_KEEP_MILLIS,
             firstTries,
             (submission, answer) -> jobs().runOnce(submission, answer));
@@ -368,7 +368,7 @@
         control,
         control,
         holder -> cluster.isLive(holder.toString()),
-        holder -> cluster.isWanted(holder.toString()),
+        holder -> cluster.shouldControl(holder.toString()),
         answer -> WorkerSightings.askAll(fleet, answer));
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
@@ -217,8 +217,8 @@
   }
 
   @Override
-  public boolean isWanted(String worker) {
-    return !shuttingDown && members.wantedController(worker).equals(own.name());
+  public boolean shouldControl(String worker) {
+    return !shuttingDown && members.preferredController(worker).equals(own.name());
   }
 
   @Override
@@ -233,7 +233,7 @@
 
   @Override
   public void offer(String worker) {
-    String wanted = members.wantedController(worker);
+    String wanted = members.preferredController(worker);
     if (wanted.equals(own.name())) {
       return;
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalRows.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalRows.java
@@ -136,7 +136,7 @@
    */
   public List<WorkerRow> workers(WorkerFleet fleet) {
     return scheduler.workers().stream()
-        .filter(room -> fleet.hold(room.worker().name()).isPresent())
+        .filter(room -> fleet.controlGrant(room.worker().name()).isPresent())
         .map(this::workerRow)
         .toList();
   }
@@ -168,7 +168,7 @@
         dataCentre,
         state.get(),
         offset,
-        fleet.held().size(),
+        fleet.controlledWorkers().size(),
         running().size(),
         scheduler.queued().size());
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerSightings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerSightings.java
@@ -29,7 +29,7 @@
   public static void askAll(WorkerFleet fleet, Consumer<Optional<List<WorkerSighting>>> answer) {
     List<Uni<WorkerSighting>> questions = new ArrayList<>();
     fleet
-        .listed()
+        .listedWorkers()
         .forEach((name, service) -> questions.add(service.status().map(WorkerSightings::sighting)));
     if (questions.isEmpty()) {
       answer.accept(Optional.empty());
--- a/daemon/src/main/java/org/hickorypier/daemon/instance/InstanceListPoller.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/instance/InstanceListPoller.java
@@ -24,8 +24,8 @@
   private final TimerService timers;
   private final Executor control;
   private final Consumer<List<ListedInstance>> listener;
-  private boolean callOpen;
-  private boolean failing;
+  private boolean readPending;
+  private boolean lastReadFailed;
 
   /**
    * Creates a poller; it does nothing until started.
@@ -57,31 +57,31 @@
   }
 
   private void poll() {
-    if (callOpen) {
+    if (readPending) {
       return;
     }
-    callOpen = true;
+    readPending = true;
     list.read()
         .subscribe()
         .with(
-            instances -> control.execute(() -> answered(instances)),
-            error -> control.execute(() -> failed(error)));
+            instances -> control.execute(() -> onRead(instances)),
+            error -> control.execute(() -> onReadFailed(error)));
   }
 
-  private void answered(List<ListedInstance> instances) {
-    callOpen = false;
-    if (failing) {
+  private void onRead(List<ListedInstance> instances) {
+    readPending = false;
+    if (lastReadFailed) {
       LOGGER.log(Level.INFO, "instances: list can be read again");
     }
-    failing = false;
+    lastReadFailed = false;
     listener.accept(instances);
   }
 
-  private void failed(Throwable error) {
-    callOpen = false;
-    if (!failing) {
+  private void onReadFailed(Throwable error) {
+    readPending = false;
+    if (!lastReadFailed) {
       LOGGER.log(Level.WARNING, "instances: list cannot be read: {0}", error.getMessage());
     }
-    failing = true;
+    lastReadFailed = true;
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/job/AttemptRecorder.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/job/AttemptRecorder.java
@@ -16,8 +16,8 @@
 import org.hickorypier.core.scheduling.Placement;
 import org.hickorypier.daemon.time.TimerService;
 import org.hickorypier.daemon.work.AttemptGate;
+import org.hickorypier.daemon.worker.ControlGrant;
 import org.hickorypier.daemon.worker.WorkerFleet;
-import org.hickorypier.daemon.worker.WorkerHold;
 import org.hickorypier.wire.record.JournalRecord;
 import org.hickorypier.wire.record.JournalRecord.Attempt;
 import org.hickorypier.wire.record.JournalRecord.AttemptVoid;
@@ -97,7 +97,7 @@
     Optional<JournalEntry> entry = journal.journal().find(key.work());
     List<Attempt> attempts = new ArrayList<>();
     for (PlacedTask task : tasks) {
-      Optional<WorkerHold> hold = fleet.hold(task.worker());
+      Optional<ControlGrant> hold = fleet.controlGrant(task.worker());
       int index = key.index() == AttemptKey.WHOLE_GANG ? task.taskId().index() : key.index();
       if (entry.isEmpty() || hold.isEmpty() || index >= entry.get().tasks().size()) {
         return Optional.empty();
--- a/daemon/src/main/java/org/hickorypier/daemon/membership/Membership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/membership/Membership.java
@@ -48,7 +48,7 @@
     List<ListedMember> entries =
         instances.stream()
             .filter(instance -> instance.kind() == InstanceKind.ENTRY)
-            .map(Membership::member)
+            .map(Membership::toListedMember)
             .toList();
     view.listed(entries, timers.nowMillis());
   }
@@ -107,7 +107,7 @@
    * @param worker the worker's name
    * @return the instance's name
    */
-  public String wantedController(String worker) {
+  public String preferredController(String worker) {
     return view.wanted(worker, timers.nowMillis());
   }
 
@@ -121,7 +121,7 @@
     return view.wanted(key.toString(), timers.nowMillis());
   }
 
-  private static ListedMember member(ListedInstance instance) {
+  private static ListedMember toListedMember(ListedInstance instance) {
     return new ListedMember(instance.name(), instance.state() == InstanceState.LEAVING);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/metrics/WorkMetrics.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/metrics/WorkMetrics.java
@@ -18,7 +18,7 @@
 public final class WorkMetrics implements WorkObserver {
 
   // Urgent work must start within 4.6 s, so the buckets go from 1 ms to well past that.
-  private static final Duration[] BUCKETS = {
+  private static final Duration[] BUCKET_BOUNDS = {
     Duration.ofMillis(1),
     Duration.ofMillis(5),
     Duration.ofMillis(20),
@@ -73,7 +73,7 @@
         .description(description)
         .tag("team", item.key().team())
         .tag("class", className(item))
-        .serviceLevelObjectives(BUCKETS)
+        .serviceLevelObjectives(BUCKET_BOUNDS)
         .register(registry);
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/node/NodeMain.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/NodeMain.java
@@ -15,9 +15,9 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import org.hickorypier.daemon.report.LibraryLog;
-import org.hickorypier.daemon.report.LineLog;
-import org.hickorypier.daemon.report.MeteredLog;
+import org.hickorypier.daemon.report.JsonLineLog;
+import org.hickorypier.daemon.report.LibraryLogHandler;
+import org.hickorypier.daemon.report.MeteredEventLog;
 
 /**
  * Command that runs one instance of the scheduler on the platform.
@@ -96,7 +96,7 @@
    * @param isStopping tells whether the instance is shutting down, so that it need not start
    */
   public record StartedInstance(
-      Vertx vertx, LineLog log, Future<String> deployed, BooleanSupplier isStopping) {}
+      Vertx vertx, JsonLineLog log, Future<String> deployed, BooleanSupplier isStopping) {}
 
   /**
    * Starts an instance in this process.
@@ -106,9 +106,9 @@
    * @return the instance
    */
   public static StartedInstance start(NodeSettings settings, LongSupplier wallClock) {
-    LineLog lines = new LineLog(settings.name(), System::currentTimeMillis, System.out);
-    MeteredLog log = new MeteredLog(lines);
-    LibraryLog.install(log);
+    JsonLineLog lines = new JsonLineLog(settings.name(), System::currentTimeMillis, System.out);
+    MeteredEventLog log = new MeteredEventLog(lines);
+    LibraryLogHandler.install(log);
     Thread.setDefaultUncaughtExceptionHandler(
         (thread, error) -> log.event(PART, "fault", "thread", thread.getName(), "error", error));
     Vertx vertx = vertx();
@@ -130,12 +130,12 @@
    * Serves the explanation of a submission at /explain/ID and metrics as text at any other path.
    */
   private static void serveOperatorEndpoints(
-      Vertx vertx, NodeSettings settings, Node node, LineLog lines, MeteredLog log) {
+      Vertx vertx, NodeSettings settings, Node node, JsonLineLog lines, MeteredEventLog log) {
     PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    Gauge.builder("hickorypier.log.dropped", lines, LineLog::dropped)
+    Gauge.builder("hickorypier.log.dropped", lines, JsonLineLog::droppedLines)
         .description("log lines left out by their budget or a slow reader")
         .register(registry);
-    log.countIn(registry);
+    log.bindTo(registry);
     if (settings.metricsPort() == 0) {
       return;
     }
@@ -187,7 +187,7 @@
    * Validates the settings file and logs whether it differs from the settings in use. Addresses and
    * limits are fixed for the life of a process; a change needs a restart.
    */
-  private static void reload(Path file, NodeSettings current, LineLog log) {
+  private static void reload(Path file, NodeSettings current, JsonLineLog log) {
     try {
       NodeSettings updated = NodeSettings.read(file);
       log.event(PART, "reloaded", "changed", !updated.equals(current));
@@ -196,7 +196,7 @@
     }
   }
 
-  private static void shutDown(Node node, NodeSettings settings, LineLog log) {
+  private static void shutDown(Node node, NodeSettings settings, JsonLineLog log) {
     new GracefulShutdown(node, settings.graceMillis(), log).run();
     log.close();
     // The regular exit of the runtime takes 0.3 s and more on a busy machine, with all sockets
--- a/daemon/src/main/java/org/hickorypier/daemon/report/EventMeters.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/EventMeters.java
@@ -10,7 +10,7 @@
 final class EventMeters {
 
   /** From one answer of a worker to the longest work that is still of use to its caller. */
-  private static final double[] BUCKETS = {
+  private static final double[] BUCKET_BOUNDS_MILLIS = {
     5, 20, 50, 100, 250, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 60_000
   };
 
@@ -24,8 +24,8 @@
 
   void count(EventSample sample) {
     counter(sample).increment();
-    if (sample.tookMillis() >= 0) {
-      histogram(sample).record(sample.tookMillis());
+    if (sample.durationMillis() >= 0) {
+      histogram(sample).record(sample.durationMillis());
     }
   }
 
@@ -47,7 +47,7 @@
                 .description("time that an event tells of, in milliseconds")
                 .tags(
                     "event", sample.event(), "customer", sample.customer(), "queue", sample.queue())
-                .serviceLevelObjectives(BUCKETS)
+                .serviceLevelObjectives(BUCKET_BOUNDS_MILLIS)
                 .register(registry));
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/report/EventSample.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/EventSample.java
@@ -10,10 +10,10 @@
  * @param outcome how, or empty
  * @param customer for whom, or empty
  * @param queue in which queue, or empty
- * @param tookMillis the time that the event tells of, in milliseconds, or -1
+ * @param durationMillis the time that the event tells of, in milliseconds, or -1
  */
 record EventSample(
-    String part, String event, String outcome, String customer, String queue, long tookMillis) {
+    String part, String event, String outcome, String customer, String queue, long durationMillis) {
 
   private static final String NONE = "";
 
--- a/daemon/src/main/java/org/hickorypier/daemon/report/LineLog.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/JsonLineLog.java
@@ -17,29 +17,29 @@
  * queue; what is left out is counted and told with the next line of its kind. A thread of its own
  * writes, so that a reader that stalls holds up nobody. Thread safe.
  */
-public final class LineLog implements EventLog, AutoCloseable {
+public final class JsonLineLog implements EventLog, AutoCloseable {
 
   /**
    * Lines of one kind in one second; a cell starts and ends some 300 tasks a second at its peak.
    */
-  private static final int LINES_A_SECOND = 400;
+  private static final int MAX_LINES_PER_SECOND = 400;
 
   /** About 1 MB of lines; a stalled reader costs no more memory than that. */
-  private static final int MOST_QUEUED = 4_000;
+  private static final int MAX_QUEUED_LINES = 4_000;
 
   /** Waking the writer for each line would cost more than the line. */
-  private static final long WRITE_MILLIS = 100;
+  private static final long WRITE_PERIOD_MILLIS = 100;
 
-  private static final int SECOND_MILLIS = 1_000;
+  private static final int MILLIS_PER_SECOND = 1_000;
   private static final int FIRST_PRINTABLE = 0x20;
 
-  private final LongSupplier wallMillis;
+  private final LongSupplier wallClockMillis;
   private final OutputStream stream;
   private final String instance;
   private final Queue<String> queue = new ArrayDeque<>();
-  private final Map<String, Budget> budgets = new HashMap<>();
+  private final Map<String, RateLimit> rateLimits = new HashMap<>();
   private final Thread writer;
-  private long dropped;
+  private long droppedLines;
   private volatile boolean closed;
 
   /**
@@ -49,26 +49,26 @@
    * @param wallMillis the time of day, milliseconds since 1970
    * @param stream where the lines go
    */
-  public LineLog(String instance, LongSupplier wallMillis, OutputStream stream) {
+  public JsonLineLog(String instance, LongSupplier wallMillis, OutputStream stream) {
     this.instance = instance;
-    this.wallMillis = wallMillis;
+    this.wallClockMillis = wallMillis;
     this.stream = stream;
-    this.writer = new Thread(this::write, "log");
+    this.writer = new Thread(this::runWriter, "log");
     writer.setDaemon(true);
     writer.start();
   }
 
   @Override
   public void event(String part, String event, Object... fields) {
-    long now = wallMillis.getAsLong();
+    long now = wallClockMillis.getAsLong();
     synchronized (queue) {
-      Budget budget = budgets.computeIfAbsent(part + ' ' + event, kind -> new Budget());
-      if (!budget.allows(now) || queue.size() >= MOST_QUEUED) {
-        budget.leftOut++;
-        dropped++;
+      RateLimit budget = rateLimits.computeIfAbsent(part + ' ' + event, kind -> new RateLimit());
+      if (!budget.tryAcquire(now) || queue.size() >= MAX_QUEUED_LINES) {
+        budget.dropped++;
+        droppedLines++;
         return;
       }
-      queue.add(line(now, part, event, fields, budget.takeLeftOut()));
+      queue.add(formatLine(now, part, event, fields, budget.takeDropped()));
     }
   }
 
@@ -77,9 +77,9 @@
    *
    * @return the number
    */
-  public long dropped() {
+  public long droppedLines() {
     synchronized (queue) {
-      return dropped;
+      return droppedLines;
     }
   }
 
@@ -89,16 +89,16 @@
     closed = true;
     writer.interrupt();
     try {
-      writer.join(WRITE_MILLIS);
+      writer.join(WRITE_PERIOD_MILLIS);
     } catch (InterruptedException error) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void write() {
+  private void runWriter() {
     try {
       while (!closed) {
-        pause();
+        awaitNextWrite();
         writeQueued();
       }
       writeQueued();
@@ -108,9 +108,9 @@
     }
   }
 
-  private static void pause() {
+  private static void awaitNextWrite() {
     try {
-      Thread.sleep(WRITE_MILLIS);
+      Thread.sleep(WRITE_PERIOD_MILLIS);
     } catch (InterruptedException error) {
       // Closed: one last write follows.
       return;
@@ -130,30 +130,30 @@
     }
   }
 
-  private String line(long now, String part, String event, Object[] fields, long leftOut) {
+  private String formatLine(long now, String part, String event, Object[] fields, long leftOut) {
     StringBuilder line = new StringBuilder("{\"time\":").append(now);
-    append(line, "instance", instance);
-    append(line, "part", part);
-    append(line, "event", event);
+    appendField(line, "instance", instance);
+    appendField(line, "part", part);
+    appendField(line, "event", event);
     for (int index = 0; index + 1 < fields.length; index += 2) {
-      append(line, String.valueOf(fields[index]), fields[index + 1]);
+      appendField(line, String.valueOf(fields[index]), fields[index + 1]);
     }
     if (leftOut > 0) {
-      append(line, "left_out_before", leftOut);
+      appendField(line, "left_out_before", leftOut);
     }
     return line.append('}').toString();
   }
 
-  private static void append(StringBuilder line, String name, Object value) {
+  private static void appendField(StringBuilder line, String name, Object value) {
     line.append(",\"").append(name).append("\":");
     if (value instanceof Number || value instanceof Boolean) {
       line.append(value);
     } else {
-      quote(line, String.valueOf(value));
+      appendQuoted(line, String.valueOf(value));
     }
   }
 
-  private static void quote(StringBuilder line, String text) {
+  private static void appendQuoted(StringBuilder line, String text) {
     line.append('"');
     for (int index = 0; index < text.length(); index++) {
       char next = text.charAt(index);
@@ -169,25 +169,25 @@
   }
 
   /** The lines of one kind in the present second. */
-  private static final class Budget {
+  private static final class RateLimit {
 
-    private long second;
-    private int lines;
-    private long leftOut;
+    private long currentSecond;
+    private int linesInSecond;
+    private long dropped;
 
-    boolean allows(long now) {
-      long present = now / SECOND_MILLIS;
-      if (present != second) {
-        second = present;
-        lines = 0;
+    boolean tryAcquire(long now) {
+      long present = now / MILLIS_PER_SECOND;
+      if (present != currentSecond) {
+        currentSecond = present;
+        linesInSecond = 0;
       }
-      lines++;
-      return lines <= LINES_A_SECOND;
+      linesInSecond++;
+      return linesInSecond <= MAX_LINES_PER_SECOND;
     }
 
-    long takeLeftOut() {
-      long taken = leftOut;
-      leftOut = 0;
+    long takeDropped() {
+      long taken = dropped;
+      dropped = 0;
       return taken;
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/report/LibraryLog.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/LibraryLogHandler.java
@@ -14,13 +14,13 @@
  * standard error, unbounded and in another form. Safeguard: they pass through the same budget as
  * all other lines. Thread safe.
  */
-public final class LibraryLog extends Handler {
+public final class LibraryLogHandler extends Handler {
 
   private static final String PART = "library";
 
   private final EventLog log;
 
-  private LibraryLog(EventLog log) {
+  private LibraryLogHandler(EventLog log) {
     this.log = log;
     setLevel(Level.WARNING);
   }
@@ -34,7 +34,7 @@
     LogManager.getLogManager().reset();
     Logger root = Logger.getLogger("");
     root.setLevel(Level.WARNING);
-    root.addHandler(new LibraryLog(log));
+    root.addHandler(new LibraryLogHandler(log));
   }
 
   @Override
--- a/daemon/src/main/java/org/hickorypier/daemon/report/MeteredLog.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/MeteredEventLog.java
@@ -15,13 +15,13 @@
  * the users' machines, in which callers wait for an owner. Until then events are kept, and counted
  * once it is there. Thread safe.
  */
-public final class MeteredLog implements EventLog {
+public final class MeteredEventLog implements EventLog {
 
   /** A start tells of some hundred events, a takeover of some thousand. */
-  private static final int MOST_EARLY = 20_000;
+  private static final int MAX_BUFFERED_SAMPLES = 20_000;
 
   private final EventLog next;
-  private final List<EventSample> early = new ArrayList<>();
+  private final List<EventSample> bufferedSamples = new ArrayList<>();
   private volatile EventMeters meters;
 
   /**
@@ -29,7 +29,7 @@
    *
    * @param next takes all events
    */
-  public MeteredLog(EventLog next) {
+  public MeteredEventLog(EventLog next) {
     this.next = next;
   }
 
@@ -38,10 +38,10 @@
    *
    * @param registry holds the meters
    */
-  public synchronized void countIn(MeterRegistry registry) {
+  public synchronized void bindTo(MeterRegistry registry) {
     EventMeters opened = new EventMeters(registry);
-    early.forEach(opened::count);
-    early.clear();
+    bufferedSamples.forEach(opened::count);
+    bufferedSamples.clear();
     meters = opened;
   }
 
@@ -53,15 +53,15 @@
     if (present != null) {
       present.count(sample);
     } else {
-      keep(sample);
+      buffer(sample);
     }
   }
 
-  private synchronized void keep(EventSample sample) {
+  private synchronized void buffer(EventSample sample) {
     if (meters != null) {
       meters.count(sample);
-    } else if (early.size() < MOST_EARLY) {
-      early.add(sample);
+    } else if (bufferedSamples.size() < MAX_BUFFERED_SAMPLES) {
+      bufferedSamples.add(sample);
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
@@ -19,8 +19,8 @@
 import org.hickorypier.core.scheduling.PlacedTask;
 import org.hickorypier.core.scheduling.TaskEnd;
 import org.hickorypier.daemon.time.TimerService;
+import org.hickorypier.daemon.worker.ControlGrant;
 import org.hickorypier.daemon.worker.WorkerFleet;
-import org.hickorypier.daemon.worker.WorkerHold;
 import org.hickorypier.platform.worker.StartOrder;
 import org.hickorypier.platform.worker.TaskState;
 import org.hickorypier.platform.worker.TaskStatus;
@@ -129,7 +129,7 @@
     if (run == null) {
       return;
     }
-    Optional<WorkerHold> hold = fleet.hold(run.task().worker());
+    Optional<ControlGrant> hold = fleet.controlGrant(run.task().worker());
     if (hold.isEmpty()) {
       retryLater(run, () -> stop(taskId, checkpoint));
       return;
@@ -186,15 +186,15 @@
   private void sendStart(TaskRun run) {
     // The worker may have been lost and claimed again since the task was placed on it.
     String worker = run.task().worker();
-    Optional<WorkerHold> found =
-        fleet.hold(worker).filter(hold -> startRule.mayStartOn(worker, hold.token()));
+    Optional<ControlGrant> found =
+        fleet.controlGrant(worker).filter(hold -> startRule.mayStartOn(worker, hold.token()));
     if (found.isEmpty()) {
       withoutHold(run);
       return;
     }
-    WorkerHold hold = found.get();
+    ControlGrant hold = found.get();
     run.sentWith(hold.token());
-    fleet.ordered(run.task().worker());
+    fleet.recordCommand(run.task().worker());
     PlacedTask task = run.task();
     StartOrder order =
         new StartOrder(
@@ -221,7 +221,7 @@
   private void startFailed(TaskRun run, Throwable error) {
     boolean noEffect = error instanceof WorkerException known && known.kind().hadNoEffect();
     if (isStale(error)) {
-      fleet.refusedToken(run.task().worker());
+      fleet.onTokenRefused(run.task().worker());
     }
     if (noEffect && !run.isOrderUncertain()) {
       finish(run, TaskReport.without(TaskEnd.NOT_STARTED, error.getMessage()));
@@ -335,7 +335,7 @@
 
   private void pollForeign() {
     for (TaskRun run : select(run -> !run.wantsAnswer() && run.isStarted() && !run.isAsking())) {
-      if (fleet.hold(run.task().worker()).isEmpty()) {
+      if (fleet.controlGrant(run.task().worker()).isEmpty()) {
         settle(run);
       }
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/WorkerHold.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/ControlGrant.java
@@ -10,4 +10,4 @@
  * @param service the worker
  * @param token the control token that the worker granted us
  */
-public record WorkerHold(WorkerService service, long token) {}
+public record ControlGrant(WorkerService service, long token) {}
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/ControlView.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/ControlView.java
@@ -9,7 +9,7 @@
    * @param worker the worker's name
    * @return true if it is the wanted controller over the instances that look live
    */
-  boolean isWanted(String worker);
+  boolean shouldControl(String worker);
 
   /**
    * Tells whether a controller still looks live.
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/ControlledWorker.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/ControlledWorker.java
@@ -19,14 +19,14 @@
   private final WorkerService service;
   private boolean listedLeaving;
   private boolean listed = true;
-  private boolean callOpen;
+  private boolean callPending;
   private long token;
-  private long lastOrderMillis;
-  private long lastHeardMillis;
-  private int failures;
+  private long lastCommandMillis;
+  private long lastResponseMillis;
+  private int consecutiveFailures;
   private long failingSinceMillis;
   private WorkerDescription description;
-  private boolean saysLeaving;
+  private boolean reportedLeaving;
   private String otherController = "";
 
   ControlledWorker(String name, String address, WorkerService service) {
@@ -47,7 +47,7 @@
     return service;
   }
 
-  boolean isHeld() {
+  boolean isControlled() {
     return token != 0;
   }
 
@@ -55,16 +55,16 @@
     return token;
   }
 
-  void release() {
+  void clearToken() {
     token = 0;
   }
 
-  boolean isCallOpen() {
-    return callOpen;
+  boolean isCallPending() {
+    return callPending;
   }
 
-  void setCallOpen(boolean open) {
-    callOpen = open;
+  void setCallPending(boolean open) {
+    callPending = open;
   }
 
   void setListed(boolean listed, boolean leaving) {
@@ -77,7 +77,7 @@
   }
 
   boolean isLeaving() {
-    return listedLeaving || saysLeaving;
+    return listedLeaving || reportedLeaving;
   }
 
   /**
@@ -92,38 +92,38 @@
     otherController = controller;
   }
 
-  int failures() {
-    return failures;
+  int consecutiveFailures() {
+    return consecutiveFailures;
   }
 
-  void failed(long now) {
-    if (failures == 0) {
+  void recordFailure(long now) {
+    if (consecutiveFailures == 0) {
       failingSinceMillis = now;
     }
-    failures++;
+    consecutiveFailures++;
   }
 
   /** For how long every call has failed, 0 if the last one was answered. */
-  long millisFailing(long now) {
-    return failures == 0 ? 0 : now - failingSinceMillis;
+  long failingForMillis(long now) {
+    return consecutiveFailures == 0 ? 0 : now - failingSinceMillis;
   }
 
-  long lastOrderMillis() {
-    return lastOrderMillis;
+  long lastCommandMillis() {
+    return lastCommandMillis;
   }
 
-  void ordered(long now) {
-    lastOrderMillis = now;
+  void recordCommand(long now) {
+    lastCommandMillis = now;
   }
 
-  long lastHeardMillis() {
-    return lastHeardMillis;
+  long lastResponseMillis() {
+    return lastResponseMillis;
   }
 
-  void heard(WorkerStatus status, long now) {
-    failures = 0;
-    lastHeardMillis = now;
-    saysLeaving = status.leaving();
+  void recordStatus(WorkerStatus status, long now) {
+    consecutiveFailures = 0;
+    lastResponseMillis = now;
+    reportedLeaving = status.leaving();
     description =
         new WorkerDescription(
             status.name(),
@@ -134,7 +134,7 @@
             status.slots());
   }
 
-  void granted(long newToken) {
+  void setToken(long newToken) {
     token = newToken;
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/WorkerFleet.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/WorkerFleet.java
@@ -40,7 +40,7 @@
 
   // The workers of a lost instance take no work until somebody looks at them. Looking every second
   // costs one question for each worker that changes hands; renewals keep their own, longer period.
-  private static final Duration LOOK_PERIOD = Duration.ofSeconds(1);
+  private static final Duration CHECK_PERIOD = Duration.ofSeconds(1);
 
   private final WorkerLeaseSettings settings;
   private final TimerService timers;
@@ -84,7 +84,7 @@
    */
   public void start(WorkerFleetListener fleetListener) {
     listener = fleetListener;
-    timers.every(LOOK_PERIOD, this::tick);
+    timers.every(CHECK_PERIOD, this::checkWorkers);
   }
 
   /**
@@ -100,21 +100,21 @@
     for (ListedInstance instance : instances) {
       if (instance.kind() == InstanceKind.WORKER) {
         listed.add(instance.name());
-        isNew |= putListed(instance);
+        isNew |= updateListed(instance);
       }
     }
     for (ControlledWorker worker : workers.values()) {
       if (!listed.contains(worker.name()) && worker.isListed()) {
         worker.setListed(false, true);
-        close(worker, "no longer listed");
+        reportClosed(worker, "no longer listed");
       }
     }
     if (isNew) {
-      tick();
+      checkWorkers();
     }
   }
 
-  private boolean putListed(ListedInstance instance) {
+  private boolean updateListed(ListedInstance instance) {
     ControlledWorker known = workers.get(instance.name());
     boolean isNew = known == null || !known.address().equals(instance.address());
     if (isNew) {
@@ -127,7 +127,7 @@
     boolean wasLeaving = known.isLeaving();
     known.setListed(true, leaving);
     if (leaving && !wasLeaving) {
-      close(known, "listed as leaving");
+      reportClosed(known, "listed as leaving");
     }
     return isNew;
   }
@@ -147,12 +147,12 @@
    * @param worker the worker's name
    * @return the control, or empty if we do not hold it
    */
-  public Optional<WorkerHold> hold(String worker) {
+  public Optional<ControlGrant> controlGrant(String worker) {
     ControlledWorker known = workers.get(worker);
-    if (known == null || !known.isHeld()) {
+    if (known == null || !known.isControlled()) {
       return Optional.empty();
     }
-    return Optional.of(new WorkerHold(known.service(), known.token()));
+    return Optional.of(new ControlGrant(known.service(), known.token()));
   }
 
   /**
@@ -170,9 +170,9 @@
    *
    * @return a copy
    */
-  public List<String> held() {
+  public List<String> controlledWorkers() {
     return workers.values().stream()
-        .filter(ControlledWorker::isHeld)
+        .filter(ControlledWorker::isControlled)
         .map(ControlledWorker::name)
         .toList();
   }
@@ -182,11 +182,11 @@
    *
    * @return the workers by name
    */
-  public Map<String, WorkerService> listed() {
+  public Map<String, WorkerService> listedWorkers() {
     Map<String, WorkerService> listed = new HashMap<>();
     for (ControlledWorker worker : workers.values()) {
       long leases = settings.leaseMillis() + settings.marginMillis();
-      boolean isEmpty = worker.millisFailing(timers.nowMillis()) > leases;
+      boolean isEmpty = worker.failingForMillis(timers.nowMillis()) > leases;
       if (worker.isListed() && !isEmpty) {
         listed.put(worker.name(), worker.service());
       }
@@ -200,17 +200,17 @@
    *
    * @return false while a takeover is under way, and until the workers are listed
    */
-  public boolean isComplete() {
-    return listRead && workers.values().stream().allMatch(this::isKnown);
+  public boolean areTasksKnown() {
+    return listRead && workers.values().stream().allMatch(this::areTasksKnown);
   }
 
-  private boolean isKnown(ControlledWorker worker) {
+  private boolean areTasksKnown(ControlledWorker worker) {
     long leases = settings.leaseMillis() + settings.marginMillis();
-    return worker.isHeld()
+    return worker.isControlled()
         || !worker.isListed()
         || isControlledElsewhere(worker)
-        || !view.isWanted(worker.name())
-        || worker.millisFailing(timers.nowMillis()) > leases;
+        || !view.shouldControl(worker.name())
+        || worker.failingForMillis(timers.nowMillis()) > leases;
   }
 
   // An instance that controlled the worker when it was last asked is no proof once it is gone: its
@@ -224,10 +224,10 @@
    *
    * @param worker the worker's name
    */
-  public void ordered(String worker) {
+  public void recordCommand(String worker) {
     ControlledWorker known = workers.get(worker);
     if (known != null) {
-      known.ordered(timers.nowMillis());
+      known.recordCommand(timers.nowMillis());
     }
   }
 
@@ -236,10 +236,10 @@
    *
    * @param worker the worker's name
    */
-  public void refusedToken(String worker) {
+  public void onTokenRefused(String worker) {
     ControlledWorker known = workers.get(worker);
     if (known != null) {
-      superseded(known);
+      loseControl(known);
     }
   }
 
@@ -248,67 +248,67 @@
    *
    * @param worker the worker's name
    */
-  public void offered(String worker) {
+  public void onOffered(String worker) {
     ControlledWorker known = workers.get(worker);
-    if (known != null && !known.isHeld() && !known.isCallOpen()) {
-      observe(known, true);
+    if (known != null && !known.isControlled() && !known.isCallPending()) {
+      queryStatus(known, true);
     }
   }
 
   /** Looks after every worker once: renew, claim, offer or give up. */
-  public void tick() {
+  public void checkWorkers() {
     for (ControlledWorker worker : new ArrayList<>(workers.values())) {
-      if (!worker.isCallOpen()) {
-        visit(worker);
+      if (!worker.isCallPending()) {
+        check(worker);
       }
     }
   }
 
-  private void visit(ControlledWorker worker) {
-    if (giveUpIfSilent(worker)) {
+  private void check(ControlledWorker worker) {
+    if (expireIfSilent(worker)) {
       return;
     }
-    if (worker.isHeld()) {
-      visitHeld(worker);
-    } else if (worker.isListed() && view.isWanted(worker.name())) {
-      observe(worker, false);
+    if (worker.isControlled()) {
+      checkControlled(worker);
+    } else if (worker.isListed() && view.shouldControl(worker.name())) {
+      queryStatus(worker, false);
     }
   }
 
-  private void visitHeld(ControlledWorker worker) {
-    if (!view.isWanted(worker.name()) && !worker.isLeaving()) {
-      close(worker, "offered to its wanted controller");
+  private void checkControlled(ControlledWorker worker) {
+    if (!view.shouldControl(worker.name()) && !worker.isLeaving()) {
+      reportClosed(worker, "offered to its wanted controller");
       view.offer(worker.name());
     }
-    if (worker.failures() >= FAILURES_BEFORE_CLOSED) {
+    if (worker.consecutiveFailures() >= FAILURES_BEFORE_CLOSED) {
       // A renewal to a worker that does not answer may still take effect there and lengthen the
       // leases, so we could never say when its tasks have ended. Asking changes nothing.
-      observe(worker, false);
+      queryStatus(worker, false);
     } else if (isRenewalDue(worker)) {
       renew(worker);
     }
   }
 
   private boolean isRenewalDue(ControlledWorker worker) {
-    long sinceHeard = timers.nowMillis() - worker.lastHeardMillis();
+    long sinceHeard = timers.nowMillis() - worker.lastResponseMillis();
     // Room for one period of looking, so that renewals never come later than their period.
-    return worker.failures() > 0
-        || sinceHeard > settings.renewalMillis() - LOOK_PERIOD.toMillis()
-        || !view.isWanted(worker.name());
+    return worker.consecutiveFailures() > 0
+        || sinceHeard > settings.renewalMillis() - CHECK_PERIOD.toMillis()
+        || !view.shouldControl(worker.name());
   }
 
-  private boolean giveUpIfSilent(ControlledWorker worker) {
-    boolean silent = worker.failures() >= FAILURES_BEFORE_CLOSED || !worker.isListed();
-    long leasesEnd = worker.lastOrderMillis() + settings.leaseMillis() + settings.marginMillis();
+  private boolean expireIfSilent(ControlledWorker worker) {
+    boolean silent = worker.consecutiveFailures() >= FAILURES_BEFORE_CLOSED || !worker.isListed();
+    long leasesEnd = worker.lastCommandMillis() + settings.leaseMillis() + settings.marginMillis();
     boolean heardLately =
-        worker.failures() == 0
-            && timers.nowMillis() - worker.lastHeardMillis() < settings.leaseMillis();
+        worker.consecutiveFailures() == 0
+            && timers.nowMillis() - worker.lastResponseMillis() < settings.leaseMillis();
     if (!silent || heardLately || timers.nowMillis() < leasesEnd) {
       return false;
     }
-    if (worker.isHeld()) {
+    if (worker.isControlled()) {
       LOGGER.log(Level.WARNING, "worker: {0} lost, its leases have run out", worker.name());
-      worker.release();
+      worker.clearToken();
       listener.onLost(worker.name());
     }
     if (!worker.isListed()) {
@@ -319,29 +319,29 @@
   }
 
   private void renew(ControlledWorker worker) {
-    worker.ordered(timers.nowMillis());
+    worker.recordCommand(timers.nowMillis());
     long token = worker.token();
     call(
         worker,
         worker.service().renew(token, settings.leaseMillis()),
         status -> {
           if (worker.token() == token) {
-            report(worker, status);
+            reportStatus(worker, status);
           }
         });
   }
 
-  private void observe(ControlledWorker worker, boolean isOffered) {
-    call(worker, worker.service().status(), status -> decideClaim(worker, status, isOffered));
+  private void queryStatus(ControlledWorker worker, boolean isOffered) {
+    call(worker, worker.service().status(), status -> claimIfFree(worker, status, isOffered));
   }
 
-  private void decideClaim(ControlledWorker worker, WorkerStatus status, boolean isOffered) {
-    if (worker.isHeld() && status.token() == worker.token()) {
+  private void claimIfFree(ControlledWorker worker, WorkerStatus status, boolean isOffered) {
+    if (worker.isControlled() && status.token() == worker.token()) {
       renew(worker);
       return;
     }
-    if (worker.isHeld()) {
-      superseded(worker);
+    if (worker.isControlled()) {
+      loseControl(worker);
     }
     boolean isFree =
         status.controller().isEmpty()
@@ -355,7 +355,7 @@
   }
 
   private void claim(ControlledWorker worker, long observedToken) {
-    worker.ordered(timers.nowMillis());
+    worker.recordCommand(timers.nowMillis());
     call(
         worker,
         worker.service().claim(self, observedToken),
@@ -363,65 +363,65 @@
           if (!status.controller().equals(self)) {
             return;
           }
-          worker.granted(status.token());
+          worker.setToken(status.token());
           LOGGER.log(Level.INFO, "worker: {0} taken with token {1}", worker.name(), status.token());
-          report(worker, status);
+          reportStatus(worker, status);
           renew(worker);
         });
   }
 
-  private void report(ControlledWorker worker, WorkerStatus status) {
+  private void reportStatus(ControlledWorker worker, WorkerStatus status) {
     boolean open =
         !worker.isLeaving()
             && !view.isDrained(worker.name())
-            && view.isWanted(worker.name())
-            && worker.isHeld();
+            && view.shouldControl(worker.name())
+            && worker.isControlled();
     worker.description().ifPresent(text -> listener.onStatus(text, status, open));
   }
 
-  private void superseded(ControlledWorker worker) {
-    if (worker.isHeld()) {
+  private void loseControl(ControlledWorker worker) {
+    if (worker.isControlled()) {
       LOGGER.log(Level.INFO, "worker: {0} has another controller", worker.name());
-      worker.release();
-      close(worker, "has another controller");
+      worker.clearToken();
+      reportClosed(worker, "has another controller");
     }
   }
 
-  private void close(ControlledWorker worker, String reason) {
+  private void reportClosed(ControlledWorker worker, String reason) {
     listener.onClosed(worker.name(), reason);
   }
 
   private void call(
       ControlledWorker worker, Uni<WorkerStatus> call, Consumer<WorkerStatus> answered) {
-    worker.setCallOpen(true);
+    worker.setCallPending(true);
     call.subscribe()
         .with(
             status ->
                 control.execute(
                     () -> {
-                      worker.setCallOpen(false);
-                      worker.heard(status, timers.nowMillis());
+                      worker.setCallPending(false);
+                      worker.recordStatus(status, timers.nowMillis());
                       answered.accept(status);
                     }),
             error ->
                 control.execute(
                     () -> {
-                      worker.setCallOpen(false);
-                      failed(worker, error);
+                      worker.setCallPending(false);
+                      onCallFailed(worker, error);
                     }));
   }
 
-  private void failed(ControlledWorker worker, Throwable error) {
+  private void onCallFailed(ControlledWorker worker, Throwable error) {
     if (error instanceof WorkerException workerError
         && workerError.kind() == WorkerErrorKind.STALE_TOKEN) {
-      superseded(worker);
+      loseControl(worker);
       return;
     }
-    worker.failed(timers.nowMillis());
+    worker.recordFailure(timers.nowMillis());
     LOGGER.log(Level.DEBUG, "worker: {0} did not answer: {1}", worker.name(), error.getMessage());
-    if (worker.failures() == FAILURES_BEFORE_CLOSED && worker.isHeld()) {
+    if (worker.consecutiveFailures() == FAILURES_BEFORE_CLOSED && worker.isControlled()) {
       LOGGER.log(Level.WARNING, "worker: {0} does not answer", worker.name());
-      close(worker, "does not answer");
+      reportClosed(worker, "does not answer");
     }
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/membership/MembershipTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/membership/MembershipTest.java
@@ -34,7 +34,7 @@
     assertThat(membership.live()).containsExactly("entry-1");
     assertThat(membership.isLive(PEER)).isFalse();
     assertThat(membership.isLive(OWN)).isTrue();
-    assertThat(membership.wantedController("w1")).isEqualTo("entry-1");
+    assertThat(membership.preferredController("w1")).isEqualTo("entry-1");
     assertThat(membership.home(new WorkKey("labels", "r1"))).isEqualTo("entry-1");
   }
 
--- a/daemon/src/test/java/org/hickorypier/daemon/node/LogSamples.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/LogSamples.java
@@ -4,7 +4,7 @@
 import java.io.OutputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.hickorypier.daemon.report.LineLog;
+import org.hickorypier.daemon.report.JsonLineLog;
 import org.hickorypier.standins.fault.Fault;
 import org.hickorypier.standins.fault.FaultPlan;
 
@@ -87,7 +87,7 @@
       Path directory, String name, int workers, long workMillis) throws Exception {
     SmallCluster cluster = new SmallCluster(workers, workMillis);
     OutputStream stream = Files.newOutputStream(directory.resolve(name + ".log"));
-    LineLog log = new LineLog("instance-0", System::currentTimeMillis, stream);
+    JsonLineLog log = new JsonLineLog("instance-0", System::currentTimeMillis, stream);
     cluster.log = log;
     cluster.onClose =
         () -> {
--- a/daemon/src/test/java/org/hickorypier/daemon/report/LineLogTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/report/JsonLineLogTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-class LineLogTest {
+class JsonLineLogTest {
 
   private final AtomicLong now = new AtomicLong(1_000_000);
 
@@ -23,7 +23,7 @@
   @Test
   void eachEventIsOneJsonLineWhateverItsValuesHold() {
     ByteArrayOutputStream stream = new ByteArrayOutputStream();
-    try (LineLog log = new LineLog("i", now::get, stream)) {
+    try (JsonLineLog log = new JsonLineLog("i", now::get, stream)) {
       log.event("part", "event", "text", "a \"quoted\"\nline \\", "number", 7, "flag", true);
     }
     assertThat(lines(stream)).hasSize(1);
@@ -36,14 +36,14 @@
   @Test
   void floodOfOneKindIsCutAndCounted() {
     ByteArrayOutputStream stream = new ByteArrayOutputStream();
-    try (LineLog log = new LineLog("i", now::get, stream)) {
+    try (JsonLineLog log = new JsonLineLog("i", now::get, stream)) {
       for (int index = 0; index < 1_000; index++) {
         log.event("part", "flood");
       }
       log.event("part", "rare");
       now.addAndGet(1_000);
       log.event("part", "flood");
-      assertThat(log.dropped()).isEqualTo(600);
+      assertThat(log.droppedLines()).isEqualTo(600);
     }
     assertThat(lines(stream)).hasSize(402);
     assertThat(lines(stream).get(401)).contains("\"left_out_before\":600");
@@ -71,7 +71,7 @@
             }
           }
         };
-    LineLog log = new LineLog("i", now::get, stream);
+    JsonLineLog log = new JsonLineLog("i", now::get, stream);
     log.event("part", "first");
     assertThat(stalled.await(10, TimeUnit.SECONDS)).isTrue();
     for (int second = 0; second < 20; second++) {
@@ -80,7 +80,7 @@
       }
       now.addAndGet(1_000);
     }
-    assertThat(log.dropped()).isEqualTo(4_000);
+    assertThat(log.droppedLines()).isEqualTo(4_000);
     released.countDown();
     log.close();
   }
--- a/daemon/src/test/java/org/hickorypier/daemon/report/LibraryLogTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/report/LibraryLogHandlerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class LibraryLogTest {
+class LibraryLogHandlerTest {
 
   private final List<String> lines = new ArrayList<>();
 
@@ -21,7 +21,7 @@
 
   @Test
   void warningOfLibraryBecomesEvent() {
-    LibraryLog.install((part, event, fields) -> lines.add(part + " " + List.of(fields)));
+    LibraryLogHandler.install((part, event, fields) -> lines.add(part + " " + List.of(fields)));
     Logger logger = Logger.getLogger("a.library");
     logger.log(Level.SEVERE, "connection reset", new IllegalStateException("broken"));
     logger.info("of no interest");
--- a/daemon/src/test/java/org/hickorypier/daemon/report/MeteredLogTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/report/MeteredEventLogTest.java
@@ -8,18 +8,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class MeteredLogTest {
+class MeteredEventLogTest {
 
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private final List<String> passed = new ArrayList<>();
-  private final MeteredLog log = new MeteredLog((part, event, fields) -> passed.add(event));
+  private final MeteredEventLog log =
+      new MeteredEventLog((part, event, fields) -> passed.add(event));
 
   /** The registry comes some seconds after the first events; they count all the same. */
   @Test
   void eventsBeforeTheRegistryCount() {
     log.event("run", "run-ended", "id", "1", "how", "DONE");
-    log.countIn(registry);
+    log.bindTo(registry);
     log.event("run", "run-ended", "id", "2", "how", "DONE");
     assertThat(registry.scrape())
         .contains("hickorypier_events_total{event=\"run-ended\",outcome=\"DONE\",part=\"run\"} 2");
@@ -27,7 +28,7 @@
 
   @Test
   void eventsAreCountedByOutcomeAndTimesKeptByCustomerAndQueue() {
-    log.countIn(registry);
+    log.bindTo(registry);
     log.event("run", "run-ended", "id", "1", "how", "DONE");
     log.event("run", "run-ended", "id", "2", "how", "DONE");
     log.event("run", "completed", "id", "3", "customer", "t", "queue", "q", "took_ms", 120);
@@ -43,7 +44,7 @@
   /** A submission's id as a label would make a series for each, until memory ends. */
   @Test
   void idsMakeNoSeries() {
-    log.countIn(registry);
+    log.bindTo(registry);
     for (int index = 0; index < 1_000; index++) {
       log.event("owner", "accepted", "id", "id-" + index, "customer", "t", "queue", "q");
     }
--- a/daemon/src/test/java/org/hickorypier/daemon/work/WorkBench.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/work/WorkBench.java
@@ -211,7 +211,7 @@
   private static final class NobodyElse implements ControlView {
 
     @Override
-    public boolean isWanted(String worker) {
+    public boolean shouldControl(String worker) {
       return true;
     }
 
