--- a/daemon/src/main/java/org/hickorypier/daemon/worker/ControlGrant.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/ControlGrant.java
@@ -3,11 +3,11 @@
 import org.hickorypier.platform.worker.WorkerService;
 
 /**
- * Our control of one worker at the moment it was asked for.
+ * This instance's control of one worker at the time of the query.
  *
- * <p>Immutable. It may be outdated at any time: only the worker's own check of the token counts.
+ * <p>Immutable. It can be outdated at any time: only the worker's own check of the token decides.
  *
- * @param service the worker
- * @param token the control token that the worker granted us
+ * @param service the client of the worker
+ * @param token the control token that the worker granted to this instance
  */
 public record ControlGrant(WorkerService service, long token) {}
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/ControlView.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/ControlView.java
@@ -1,34 +1,36 @@
 package org.hickorypier.daemon.worker;
 
-/** What the control of workers needs to know of the other instances. */
+/**
+ * The view of the other instances that {@link WorkerFleet} uses to decide which workers to claim.
+ */
 public interface ControlView {
 
   /**
-   * Tells whether this instance should control the worker.
+   * Returns whether this instance should control the worker.
    *
    * @param worker the worker's name
-   * @return true if it is the wanted controller over the instances that look live
+   * @return true if this instance is the preferred controller among the instances considered live
    */
   boolean shouldControl(String worker);
 
   /**
-   * Tells whether a controller still looks live.
+   * Returns whether a controller is considered live.
    *
-   * @param controller instance name and incarnation, as {@code name#incarnation}
-   * @return true if that very incarnation is reachable
+   * @param controller the instance name and incarnation, as {@code name#incarnation}
+   * @return true if exactly this incarnation is reachable
    */
   boolean isLive(String controller);
 
   /**
-   * Tells whether an operator is draining the worker or instance.
+   * Returns whether an operator is draining the worker or instance.
    *
-   * @param name the name
+   * @param name the name of the worker or instance
    * @return true while it is drained
    */
   boolean isDrained(String name);
 
   /**
-   * Asks the wanted controller to take a worker that we hold but should not.
+   * Asks the preferred controller to claim a worker that this instance controls but should not.
    *
    * @param worker the worker's name
    */
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/ControlledWorker.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/ControlledWorker.java
@@ -7,10 +7,10 @@
 import org.hickorypier.platform.worker.WorkerStatus;
 
 /**
- * The state of one worker in the eyes of this instance.
+ * The state of one worker as known to this instance.
  *
- * <p>Belongs to the control thread. Invariant: the token is 0 unless the worker granted it to us
- * and has not yet refused it.
+ * <p>Confined to the control thread. Invariant: the token is 0 unless the worker granted it to this
+ * instance and has not yet rejected it.
  */
 final class ControlledWorker {
 
@@ -63,8 +63,8 @@
     return callPending;
   }
 
-  void setCallPending(boolean open) {
-    callPending = open;
+  void setCallPending(boolean pending) {
+    callPending = pending;
   }
 
   void setListed(boolean listed, boolean leaving) {
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Returns the other instance that controlled it when it was last asked, empty if none did. That
-   * instance may have been lost since.
+   * Returns the other instance that controlled the worker at the last status query, empty if there
+   * was none. That instance may have failed since.
    */
   String otherController() {
     return otherController;
@@ -103,7 +103,9 @@
     consecutiveFailures++;
   }
 
-  /** For how long every call has failed, 0 if the last one was answered. */
+  /**
+   * Returns for how long every call has failed, in milliseconds, or 0 if the last call succeeded.
+   */
   long failingForMillis(long now) {
     return consecutiveFailures == 0 ? 0 : now - failingSinceMillis;
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/MeteredWorkerService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/MeteredWorkerService.java
@@ -9,9 +9,10 @@
 import org.hickorypier.platform.worker.WorkerStatus;
 
 /**
- * Counts the calls to workers by kind. One series a kind, whatever the number of workers.
+ * A decorator that counts the calls to workers by kind. There is one time series per kind,
+ * independent of the number of workers.
  *
- * <p>Thread safe, as the registry is.
+ * <p>Thread-safe, as the registry is.
  */
 public final class MeteredWorkerService implements WorkerService {
 
@@ -21,8 +22,8 @@
   /**
    * Wraps a worker.
    *
-   * @param worker the worker
-   * @param registry where the counters are kept
+   * @param worker the worker to which calls are delegated
+   * @param registry the registry of the counters
    */
   public MeteredWorkerService(WorkerService worker, MeterRegistry registry) {
     this.worker = worker;
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/WorkerFleet.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/WorkerFleet.java
@@ -24,22 +24,23 @@
 import org.hickorypier.platform.worker.WorkerStatus;
 
 /**
- * Takes, keeps and gives up the control of workers.
+ * The listed workers. Claims, renews and releases this instance's control of them.
  *
- * <p>Belongs to the control thread. Invariants: a worker is claimed only with the token last seen,
- * and only if its controller is gone from our view; a worker is reported lost only after every
- * lease that we can have renewed there has run out.
+ * <p>Confined to the control thread. Invariants: a worker is claimed only with the last observed
+ * token, and only if no other live instance controls it or its controller offers it; a worker is
+ * reported lost only after every lease that this instance can have renewed there has expired.
  */
 public final class WorkerFleet {
 
   private static final Logger LOGGER = System.getLogger(WorkerFleet.class.getName());
 
-  // One lost packet must not close a worker, and a dead one must not draw starts for long. Two
-  // missed renewals are seen within a few seconds, well inside a lease.
+  // A single lost packet must not close a worker, but a dead worker must not receive start requests
+  // for long. Two missed renewals are detected within a few seconds, well within a lease.
   private static final int FAILURES_BEFORE_CLOSED = 2;
 
-  // The workers of a lost instance take no work until somebody looks at them. Looking every second
-  // costs one question for each worker that changes hands; renewals keep their own, longer period.
+  // The workers of a failed instance get no work until another instance checks them. A check every
+  // second costs one status query for each worker that changes its controller; renewals have their
+  // own, longer period.
   private static final Duration CHECK_PERIOD = Duration.ofSeconds(1);
 
   private final WorkerLeaseSettings settings;
@@ -55,10 +56,10 @@
   /**
    * Creates a fleet without workers.
    *
-   * @param settings the times
-   * @param timers the time
-   * @param control the control thread
-   * @param connector makes a worker service from an address
+   * @param settings the lease and renewal times
+   * @param timers the clock and timers
+   * @param control executes tasks on the control thread
+   * @param connector creates a worker client from an address
    * @param view the view of the other instances
    * @param self this instance's name and incarnation
    */
@@ -78,9 +79,9 @@
   }
 
   /**
-   * Starts the regular renewals.
+   * Starts the periodic checks and renewals.
    *
-   * @param fleetListener hears what becomes of the workers
+   * @param fleetListener is notified of the workers' status and loss
    */
   public void start(WorkerFleetListener fleetListener) {
     listener = fleetListener;
@@ -88,10 +89,10 @@
   }
 
   /**
-   * Takes in the platform's list. A worker that is no longer listed gets no new work; it is
-   * forgotten once its leases have run out.
+   * Updates the workers from the platform's instance list. A worker that is no longer listed gets
+   * no new work and is removed once its leases have expired.
    *
-   * @param instances the whole list
+   * @param instances the whole instance list
    */
   public void onInstanceList(List<ListedInstance> instances) {
     listRead = true;
@@ -133,19 +134,19 @@
   }
 
   /**
-   * Tells whether the platform's list has been taken in.
+   * Returns whether the platform's instance list has been read.
    *
-   * @return false for a moment after the start
+   * @return false until the first list arrives after the start
    */
   public boolean isListRead() {
     return listRead;
   }
 
   /**
-   * Returns our control of a worker.
+   * Returns this instance's control of a worker.
    *
    * @param worker the worker's name
-   * @return the control, or empty if we do not hold it
+   * @return the control grant, or empty if this instance does not control the worker
    */
   public Optional<ControlGrant> controlGrant(String worker) {
     ControlledWorker known = workers.get(worker);
@@ -156,19 +157,19 @@
   }
 
   /**
-   * Returns the worker itself, held or not, to ask after tasks.
+   * Returns the client of a worker for status queries, whoever controls the worker.
    *
    * @param worker the worker's name
-   * @return the worker, or empty if it was never listed
+   * @return the client, or empty if the worker is not known
    */
   public Optional<WorkerService> service(String worker) {
     return Optional.ofNullable(workers.get(worker)).map(ControlledWorker::service);
   }
 
   /**
-   * Returns the names of the workers that we hold.
+   * Returns the names of the workers that this instance controls.
    *
-   * @return a copy
+   * @return an immutable copy
    */
   public List<String> controlledWorkers() {
     return workers.values().stream()
@@ -178,16 +179,17 @@
   }
 
   /**
-   * Returns every listed worker, held or not, to ask all of them.
+   * Returns the clients of all listed workers, whoever controls them. A worker that has not
+   * answered for longer than a lease and its margin is omitted, because its tasks have ended.
    *
-   * @return the workers by name
+   * @return the clients by worker name
    */
   public Map<String, WorkerService> listedWorkers() {
     Map<String, WorkerService> listed = new HashMap<>();
     for (ControlledWorker worker : workers.values()) {
-      long leases = settings.leaseMillis() + settings.marginMillis();
-      boolean isEmpty = worker.failingForMillis(timers.nowMillis()) > leases;
-      if (worker.isListed() && !isEmpty) {
+      long leaseExpiryMillis = settings.leaseMillis() + settings.marginMillis();
+      boolean areLeasesExpired = worker.failingForMillis(timers.nowMillis()) > leaseExpiryMillis;
+      if (worker.isListed() && !areLeasesExpired) {
         listed.put(worker.name(), worker.service());
       }
     }
@@ -195,32 +197,32 @@
   }
 
   /**
-   * Tells whether the tasks of every worker that we should control are known: each such worker is
-   * held by us or by another live instance, or its leases have run out.
+   * Returns whether the tasks of every worker that this instance should control are known: each
+   * such worker is controlled by this or another live instance, or its leases have expired.
    *
-   * @return false while a takeover is under way, and until the workers are listed
+   * @return false during a takeover, and until the workers are listed
    */
   public boolean areTasksKnown() {
     return listRead && workers.values().stream().allMatch(this::areTasksKnown);
   }
 
   private boolean areTasksKnown(ControlledWorker worker) {
-    long leases = settings.leaseMillis() + settings.marginMillis();
+    long leaseExpiryMillis = settings.leaseMillis() + settings.marginMillis();
     return worker.isControlled()
         || !worker.isListed()
         || isControlledElsewhere(worker)
         || !view.shouldControl(worker.name())
-        || worker.failingForMillis(timers.nowMillis()) > leases;
+        || worker.failingForMillis(timers.nowMillis()) > leaseExpiryMillis;
   }
 
-  // An instance that controlled the worker when it was last asked is no proof once it is gone: its
-  // tasks are found only when the worker is asked again, up to a look later.
+  // The controller seen at the last status query does not count once it is no longer live: the
+  // worker's tasks become known only with the next query, up to one check period later.
   private boolean isControlledElsewhere(ControlledWorker worker) {
     return !worker.otherController().isEmpty() && view.isLive(worker.otherController());
   }
 
   /**
-   * Notes that an order which may have taken effect was sent, so its lease counts from now.
+   * Records that a command which may have taken effect was sent, so that its lease counts from now.
    *
    * @param worker the worker's name
    */
@@ -232,7 +234,7 @@
   }
 
   /**
-   * Notes that the worker refused our token.
+   * Releases the control of a worker that rejected this instance's token.
    *
    * @param worker the worker's name
    */
@@ -244,7 +246,7 @@
   }
 
   /**
-   * Takes a worker whose controller offers it to us.
+   * Claims a worker whose controller offers it to this instance.
    *
    * @param worker the worker's name
    */
@@ -255,7 +257,7 @@
     }
   }
 
-  /** Looks after every worker once: renew, claim, offer or give up. */
+  /** Checks every worker once: renews, claims, offers or expires it. */
   public void checkWorkers() {
     for (ControlledWorker worker : new ArrayList<>(workers.values())) {
       if (!worker.isCallPending()) {
@@ -281,8 +283,8 @@
       view.offer(worker.name());
     }
     if (worker.consecutiveFailures() >= FAILURES_BEFORE_CLOSED) {
-      // A renewal to a worker that does not answer may still take effect there and lengthen the
-      // leases, so we could never say when its tasks have ended. Asking changes nothing.
+      // A renewal to a worker that does not answer may still take effect and extend the leases, so
+      // that the end of its tasks would remain unknown. A status query has no side effects.
       queryStatus(worker, false);
     } else if (isRenewalDue(worker)) {
       renew(worker);
@@ -290,20 +292,21 @@
   }
 
   private boolean isRenewalDue(ControlledWorker worker) {
-    long sinceHeard = timers.nowMillis() - worker.lastResponseMillis();
-    // Room for one period of looking, so that renewals never come later than their period.
+    long sinceResponseMillis = timers.nowMillis() - worker.lastResponseMillis();
+    // One check period is subtracted, so that no renewal is later than the renewal period.
     return worker.consecutiveFailures() > 0
-        || sinceHeard > settings.renewalMillis() - CHECK_PERIOD.toMillis()
+        || sinceResponseMillis > settings.renewalMillis() - CHECK_PERIOD.toMillis()
         || !view.shouldControl(worker.name());
   }
 
   private boolean expireIfSilent(ControlledWorker worker) {
     boolean silent = worker.consecutiveFailures() >= FAILURES_BEFORE_CLOSED || !worker.isListed();
-    long leasesEnd = worker.lastCommandMillis() + settings.leaseMillis() + settings.marginMillis();
-    boolean heardLately =
+    long leasesEndMillis =
+        worker.lastCommandMillis() + settings.leaseMillis() + settings.marginMillis();
+    boolean respondedRecently =
         worker.consecutiveFailures() == 0
             && timers.nowMillis() - worker.lastResponseMillis() < settings.leaseMillis();
-    if (!silent || heardLately || timers.nowMillis() < leasesEnd) {
+    if (!silent || respondedRecently || timers.nowMillis() < leasesEndMillis) {
       return false;
     }
     if (worker.isControlled()) {
@@ -376,7 +379,7 @@
             && !view.isDrained(worker.name())
             && view.shouldControl(worker.name())
             && worker.isControlled();
-    worker.description().ifPresent(text -> listener.onStatus(text, status, open));
+    worker.description().ifPresent(description -> listener.onStatus(description, status, open));
   }
 
   private void loseControl(ControlledWorker worker) {
@@ -392,7 +395,7 @@
   }
 
   private void call(
-      ControlledWorker worker, Uni<WorkerStatus> call, Consumer<WorkerStatus> answered) {
+      ControlledWorker worker, Uni<WorkerStatus> call, Consumer<WorkerStatus> onStatus) {
     worker.setCallPending(true);
     call.subscribe()
         .with(
@@ -401,7 +404,7 @@
                     () -> {
                       worker.setCallPending(false);
                       worker.recordStatus(status, timers.nowMillis());
-                      answered.accept(status);
+                      onStatus.accept(status);
                     }),
             error ->
                 control.execute(
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/WorkerFleetListener.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/WorkerFleetListener.java
@@ -3,28 +3,28 @@
 import org.hickorypier.core.model.WorkerDescription;
 import org.hickorypier.platform.worker.WorkerStatus;
 
-/** Hears what becomes of our workers. Called on the control thread. */
+/** Receives events of the workers that this instance controls, on the control thread. */
 public interface WorkerFleetListener {
 
   /**
-   * A worker was heard from under our control.
+   * Called when a worker under this instance's control has reported its status.
    *
-   * @param worker what it offers
-   * @param status what it says of itself and its tasks
-   * @param open whether it may be given new tasks
+   * @param worker the description and capacity of the worker
+   * @param status the reported status of the worker and its tasks
+   * @param open whether new tasks may be placed on it
    */
   void onStatus(WorkerDescription worker, WorkerStatus status, boolean open);
 
   /**
-   * A worker takes no new tasks from us any more; its tasks may still run.
+   * Called when a worker gets no more new tasks from this instance; its tasks may still run.
    *
    * @param worker the worker's name
-   * @param reason a few words for the log
+   * @param reason a short reason for the log
    */
   void onClosed(String worker, String reason);
 
   /**
-   * A worker has been silent for longer than its leases: whatever ran there has ended.
+   * Called when a worker has not responded for longer than its leases: all its tasks have ended.
    *
    * @param worker the worker's name
    */
