--- a/daemon/src/main/java/org/hickorypier/daemon/metrics/WorkMetrics.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/metrics/WorkMetrics.java
@@ -10,14 +10,14 @@
 import org.hickorypier.daemon.work.WorkResult;
 
 /**
- * Counts and times work, with a histogram for each team and class.
+ * Counters and latency histograms of work by team and class.
  *
- * <p>Thread safe. The number of series is bounded by the teams of the configuration times the five
- * classes and four outcomes, since only work with a valid key comes this far.
+ * <p>Thread-safe. The number of time series is bounded by the configured teams times the five
+ * classes and four outcomes, because only work with a valid key reaches this observer.
  */
 public final class WorkMetrics implements WorkObserver {
 
-  // Urgent work must start within 4.6 s, so the buckets go from 1 ms to well past that.
+  // Urgent work must start within 4.6 s, so the buckets span from 1 ms to well beyond 4.6 s.
   private static final Duration[] BUCKET_BOUNDS = {
     Duration.ofMillis(1),
     Duration.ofMillis(5),
@@ -35,7 +35,7 @@
   /**
    * Creates the metrics.
    *
-   * @param registry where they are kept
+   * @param registry the registry of the meters
    */
   public WorkMetrics(MeterRegistry registry) {
     this.registry = registry;
--- a/daemon/src/main/java/org/hickorypier/daemon/report/EventMeters.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/EventMeters.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The counters and histograms of events, made when they are first needed. Thread safe. */
+/** The counters and histograms of events, created on first use. Thread-safe. */
 final class EventMeters {
 
-  /** From one answer of a worker to the longest work that is still of use to its caller. */
+  /** From one response of a worker to the longest work that is still useful to its caller. */
   private static final double[] BUCKET_BOUNDS_MILLIS = {
     5, 20, 50, 100, 250, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 60_000
   };
--- a/daemon/src/main/java/org/hickorypier/daemon/report/EventSample.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/EventSample.java
@@ -1,23 +1,23 @@
 package org.hickorypier.daemon.report;
 
 /**
- * What is counted of one event.
+ * The labels and duration of one event, for metrics.
  *
  * <p>Immutable.
  *
- * @param part the part of the program that decided
- * @param event what happened
- * @param outcome how, or empty
- * @param customer for whom, or empty
- * @param queue in which queue, or empty
- * @param durationMillis the time that the event tells of, in milliseconds, or -1
+ * @param part the component that logs the event
+ * @param event the name of the event
+ * @param outcome the outcome, or empty
+ * @param customer the customer, or empty
+ * @param queue the queue, or empty
+ * @param durationMillis the duration that the event reports, in milliseconds, or -1
  */
 record EventSample(
     String part, String event, String outcome, String customer, String queue, long durationMillis) {
 
   private static final String NONE = "";
 
-  /** Takes what is counted out of an event's fields, names and values by turns. */
+  /** Extracts the sample from an event's fields, which alternate between names and values. */
   static EventSample of(String part, String event, Object... fields) {
     String outcome = NONE;
     String customer = NONE;
@@ -32,7 +32,7 @@
         case "took_ms", "waited_ms" ->
             tookMillis = value instanceof Number time ? time.longValue() : -1;
         default -> {
-          // Ids and texts would make a series of their own each; they stand in the log.
+          // Each distinct id or text would create a time series; these are only in the log.
         }
       }
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/report/JsonLineLog.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/JsonLineLog.java
@@ -11,23 +11,25 @@
 import org.hickorypier.core.cell.EventLog;
 
 /**
- * Writes one JSON object a line for each event.
+ * Writes each event as one line with a JSON object.
  *
- * <p>Bounded twice: each kind of event has a budget of lines a second, and lines wait in a bounded
- * queue; what is left out is counted and told with the next line of its kind. A thread of its own
- * writes, so that a reader that stalls holds up nobody. Thread safe.
+ * <p>Each kind of event has a limit of lines per second, and pending lines are held in a bounded
+ * queue. Dropped lines are counted, and their number is added to the next line of the same kind. A
+ * separate thread writes the lines, so that a stalled reader blocks no caller. Thread-safe.
  */
 public final class JsonLineLog implements EventLog, AutoCloseable {
 
   /**
-   * Lines of one kind in one second; a cell starts and ends some 300 tasks a second at its peak.
+   * The limit for lines of one kind; a cell starts and ends about 300 tasks per second at its peak.
    */
   private static final int MAX_LINES_PER_SECOND = 400;
 
-  /** About 1 MB of lines; a stalled reader costs no more memory than that. */
+  /** About 1 MB of lines, which bounds the memory used while a reader stalls. */
   private static final int MAX_QUEUED_LINES = 4_000;
 
-  /** Waking the writer for each line would cost more than the line. */
+  /**
+   * The writer runs periodically, because a wake-up for each line would cost more than the line.
+   */
   private static final long WRITE_PERIOD_MILLIS = 100;
 
   private static final int MILLIS_PER_SECOND = 1_000;
@@ -43,15 +45,15 @@
   private volatile boolean closed;
 
   /**
-   * Starts the writer.
+   * Creates the log and starts its writer thread.
    *
-   * @param instance the instance's name, in each line
-   * @param wallMillis the time of day, milliseconds since 1970
-   * @param stream where the lines go
+   * @param instance the instance's name, which each line contains
+   * @param wallClockMillis the wall clock, in milliseconds since 1970
+   * @param stream the destination of the lines
    */
-  public JsonLineLog(String instance, LongSupplier wallMillis, OutputStream stream) {
+  public JsonLineLog(String instance, LongSupplier wallClockMillis, OutputStream stream) {
     this.instance = instance;
-    this.wallClockMillis = wallMillis;
+    this.wallClockMillis = wallClockMillis;
     this.stream = stream;
     this.writer = new Thread(this::runWriter, "log");
     writer.setDaemon(true);
@@ -62,18 +64,18 @@
   public void event(String part, String event, Object... fields) {
     long now = wallClockMillis.getAsLong();
     synchronized (queue) {
-      RateLimit budget = rateLimits.computeIfAbsent(part + ' ' + event, kind -> new RateLimit());
-      if (!budget.tryAcquire(now) || queue.size() >= MAX_QUEUED_LINES) {
-        budget.dropped++;
+      RateLimit rateLimit = rateLimits.computeIfAbsent(part + ' ' + event, kind -> new RateLimit());
+      if (!rateLimit.tryAcquire(now) || queue.size() >= MAX_QUEUED_LINES) {
+        rateLimit.dropped++;
         droppedLines++;
         return;
       }
-      queue.add(formatLine(now, part, event, fields, budget.takeDropped()));
+      queue.add(formatLine(now, part, event, fields, rateLimit.takeDropped()));
     }
   }
 
   /**
-   * Returns how many lines were left out so far.
+   * Returns the number of lines dropped since the start.
    *
    * @return the number
    */
@@ -83,7 +85,7 @@
     }
   }
 
-  /** Writes what is queued, and ends the writer. */
+  /** Writes the queued lines and stops the writer thread. */
   @Override
   public void close() {
     closed = true;
@@ -103,7 +105,8 @@
       }
       writeQueued();
     } catch (IOException error) {
-      // The reader is gone for good: there is nobody left to tell. Lines are dropped and counted.
+      // The reader has closed the stream, so the error cannot be reported. Lines are dropped and
+      // counted.
       closed = true;
     }
   }
@@ -112,7 +115,7 @@
     try {
       Thread.sleep(WRITE_PERIOD_MILLIS);
     } catch (InterruptedException error) {
-      // Closed: one last write follows.
+      // The log is closed; a final write follows.
       return;
     }
   }
@@ -130,7 +133,7 @@
     }
   }
 
-  private String formatLine(long now, String part, String event, Object[] fields, long leftOut) {
+  private String formatLine(long now, String part, String event, Object[] fields, long dropped) {
     StringBuilder line = new StringBuilder("{\"time\":").append(now);
     appendField(line, "instance", instance);
     appendField(line, "part", part);
@@ -138,8 +141,8 @@
     for (int index = 0; index + 1 < fields.length; index += 2) {
       appendField(line, String.valueOf(fields[index]), fields[index + 1]);
     }
-    if (leftOut > 0) {
-      appendField(line, "left_out_before", leftOut);
+    if (dropped > 0) {
+      appendField(line, "left_out_before", dropped);
     }
     return line.append('}').toString();
   }
@@ -168,7 +171,7 @@
     line.append('"');
   }
 
-  /** The lines of one kind in the present second. */
+  /** Limits the lines of one kind per second, and counts the dropped ones. */
   private static final class RateLimit {
 
     private long currentSecond;
@@ -176,9 +179,9 @@
     private long dropped;
 
     boolean tryAcquire(long now) {
-      long present = now / MILLIS_PER_SECOND;
-      if (present != currentSecond) {
-        currentSecond = present;
+      long second = now / MILLIS_PER_SECOND;
+      if (second != currentSecond) {
+        currentSecond = second;
         linesInSecond = 0;
       }
       linesInSecond++;
--- a/daemon/src/main/java/org/hickorypier/daemon/report/LibraryLogHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/LibraryLogHandler.java
@@ -8,11 +8,11 @@
 import org.hickorypier.core.cell.EventLog;
 
 /**
- * Brings what libraries log into the structured log.
+ * Forwards the log records of libraries to the structured log.
  *
- * <p>Failure: the store resets all connections, and a library writes lines of its own for each to
- * standard error, unbounded and in another form. Safeguard: they pass through the same budget as
- * all other lines. Thread safe.
+ * <p>If the store resets all connections, a library logs lines for each connection, which would
+ * reach standard error without limit and in another format. As events they are subject to the same
+ * rate limit as all other lines. Thread-safe.
  */
 public final class LibraryLogHandler extends Handler {
 
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Takes the place of all other outputs of the libraries' logs, for the whole process.
+   * Replaces all other handlers of the libraries' logs, for the whole process.
    *
-   * @param log takes the warnings and errors
+   * @param log receives the warnings and errors
    */
   public static void install(EventLog log) {
     LogManager.getLogManager().reset();
@@ -56,11 +56,11 @@
 
   @Override
   public void flush() {
-    // Nothing is kept here.
+    // Records are not buffered here.
   }
 
   @Override
   public void close() {
-    // The structured log has its own end.
+    // The structured log is closed by its owner.
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/report/MeteredEventLog.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/MeteredEventLog.java
@@ -6,18 +6,18 @@
 import org.hickorypier.core.cell.EventLog;
 
 /**
- * Counts events on their way to the log, and keeps histograms of the times that they tell of.
+ * A decorator that counts the events sent to a log and keeps histograms of their durations.
  *
- * <p>Log and metrics so tell the same story in the same words: an alert on a counter names the
- * event to look for in the log. Lines that the log leaves out are counted all the same.
+ * <p>Log and metrics use the same names: an alert on a counter names the event to search for in the
+ * log. Lines that the log drops are counted as well.
  *
- * <p>The registry comes later than the first events: making it takes a restarted process 0.1 s on
- * the users' machines, in which callers wait for an owner. Until then events are kept, and counted
- * once it is there. Thread safe.
+ * <p>The registry is created after the first events, because its creation takes 0.1 s on the users'
+ * machines, and after a restart callers would wait that much longer for an owner. Until then events
+ * are buffered, and they are counted when the registry is bound. Thread-safe.
  */
 public final class MeteredEventLog implements EventLog {
 
-  /** A start tells of some hundred events, a takeover of some thousand. */
+  /** A start logs some hundred events, a takeover some thousand. */
   private static final int MAX_BUFFERED_SAMPLES = 20_000;
 
   private final EventLog next;
@@ -27,31 +27,31 @@
   /**
    * Creates the log.
    *
-   * @param next takes all events
+   * @param next receives all events
    */
   public MeteredEventLog(EventLog next) {
     this.next = next;
   }
 
   /**
-   * Counts from here on, and what was kept until now.
+   * Counts the buffered events and all later ones in a registry.
    *
-   * @param registry holds the meters
+   * @param registry the registry of the meters
    */
   public synchronized void bindTo(MeterRegistry registry) {
-    EventMeters opened = new EventMeters(registry);
-    bufferedSamples.forEach(opened::count);
+    EventMeters newMeters = new EventMeters(registry);
+    bufferedSamples.forEach(newMeters::count);
     bufferedSamples.clear();
-    meters = opened;
+    meters = newMeters;
   }
 
   @Override
   public void event(String part, String event, Object... fields) {
     next.event(part, event, fields);
     EventSample sample = EventSample.of(part, event, fields);
-    EventMeters present = meters;
-    if (present != null) {
-      present.count(sample);
+    EventMeters current = meters;
+    if (current != null) {
+      current.count(sample);
     } else {
       buffer(sample);
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/report/package-info.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/report/package-info.java
@@ -1,2 +1,2 @@
-/** What the process tells of itself: structured log lines and metrics. */
+/** Structured logging of events, and metrics derived from them. */
 package org.hickorypier.daemon.report;
--- a/daemon/src/test/java/org/hickorypier/daemon/report/JsonLineLogTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/report/JsonLineLogTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void eachEventIsOneJsonLineWhateverItsValuesHold() {
+  void eventWithSpecialCharactersIsOneValidJsonLine() {
     ByteArrayOutputStream stream = new ByteArrayOutputStream();
     try (JsonLineLog log = new JsonLineLog("i", now::get, stream)) {
       log.event("part", "event", "text", "a \"quoted\"\nline \\", "number", 7, "flag", true);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void floodOfOneKindIsCutAndCounted() {
+  void linesAboveRateLimitOfOneKindAreDroppedAndCounted() {
     ByteArrayOutputStream stream = new ByteArrayOutputStream();
     try (JsonLineLog log = new JsonLineLog("i", now::get, stream)) {
       for (int index = 0; index < 1_000; index++) {
@@ -49,9 +49,9 @@
     assertThat(lines(stream).get(401)).contains("\"left_out_before\":600");
   }
 
-  /** The reader of standard output stalls for good; the threads that serve must not notice. */
+  /** Guards against a permanently stalled reader of standard output that blocks logging threads. */
   @Test
-  void stalledReaderHoldsUpNobody() throws InterruptedException {
+  void stalledReaderBlocksNoCaller() throws InterruptedException {
     CountDownLatch stalled = new CountDownLatch(1);
     CountDownLatch released = new CountDownLatch(1);
     OutputStream stream =
--- a/daemon/src/test/java/org/hickorypier/daemon/report/LibraryLogHandlerTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/report/LibraryLogHandlerTest.java
@@ -15,12 +15,12 @@
   private final List<String> lines = new ArrayList<>();
 
   @AfterEach
-  void restore() throws Exception {
+  void restoreLogConfiguration() throws Exception {
     LogManager.getLogManager().readConfiguration();
   }
 
   @Test
-  void warningOfLibraryBecomesEvent() {
+  void warningOfLibraryIsLoggedAsEvent() {
     LibraryLogHandler.install((part, event, fields) -> lines.add(part + " " + List.of(fields)));
     Logger logger = Logger.getLogger("a.library");
     logger.log(Level.SEVERE, "connection reset", new IllegalStateException("broken"));
--- a/daemon/src/test/java/org/hickorypier/daemon/report/MeteredEventLogTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/report/MeteredEventLogTest.java
@@ -12,13 +12,13 @@
 
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final List<String> passed = new ArrayList<>();
+  private final List<String> forwarded = new ArrayList<>();
   private final MeteredEventLog log =
-      new MeteredEventLog((part, event, fields) -> passed.add(event));
+      new MeteredEventLog((part, event, fields) -> forwarded.add(event));
 
-  /** The registry comes some seconds after the first events; they count all the same. */
+  /** Guards against uncounted events of the first seconds, when there is no registry yet. */
   @Test
-  void eventsBeforeTheRegistryCount() {
+  void eventsBeforeRegistryIsBoundAreCounted() {
     log.event("run", "run-ended", "id", "1", "how", "DONE");
     log.bindTo(registry);
     log.event("run", "run-ended", "id", "2", "how", "DONE");
@@ -27,13 +27,13 @@
   }
 
   @Test
-  void eventsAreCountedByOutcomeAndTimesKeptByCustomerAndQueue() {
+  void eventsAreCountedByOutcomeAndDurationsRecordedByCustomerAndQueue() {
     log.bindTo(registry);
     log.event("run", "run-ended", "id", "1", "how", "DONE");
     log.event("run", "run-ended", "id", "2", "how", "DONE");
     log.event("run", "completed", "id", "3", "customer", "t", "queue", "q", "took_ms", 120);
 
-    assertThat(passed).containsExactly("run-ended", "run-ended", "completed");
+    assertThat(forwarded).containsExactly("run-ended", "run-ended", "completed");
     assertThat(registry.scrape())
         .contains("hickorypier_events_total{event=\"run-ended\",outcome=\"DONE\",part=\"run\"} 2")
         .contains(
@@ -41,9 +41,9 @@
                 + "le=\"250.0\"} 1");
   }
 
-  /** A submission's id as a label would make a series for each, until memory ends. */
+  /** Guards against a submission's id as a label: one series per submission exhausts memory. */
   @Test
-  void idsMakeNoSeries() {
+  void submissionIdsCreateNoTimeSeries() {
     log.bindTo(registry);
     for (int index = 0; index < 1_000; index++) {
       log.event("owner", "accepted", "id", "id-" + index, "customer", "t", "queue", "q");
