--- a/daemon/src/main/java/org/hickorypier/daemon/instance/InstanceListPoller.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/instance/InstanceListPoller.java
@@ -11,10 +11,10 @@
 import org.hickorypier.platform.instance.ListedInstance;
 
 /**
- * Reads the platform's instance list again and again.
+ * Reads the platform's instance list periodically.
  *
- * <p>Belongs to the control thread. While the list cannot be read the last one stays in force:
- * workers and peers are still judged by whether they answer.
+ * <p>Confined to the control thread. While the list cannot be read, the last one remains in force;
+ * failures of workers and peers are still detected by whether they answer.
  */
 public final class InstanceListPoller {
 
@@ -28,12 +28,12 @@
   private boolean lastReadFailed;
 
   /**
-   * Creates a poller; it does nothing until started.
+   * Creates a poller, which is inactive until {@link #start}.
    *
-   * @param list the platform's list
-   * @param timers the time
-   * @param control the control thread
-   * @param listener is given each list that was read
+   * @param list the platform's instance list
+   * @param timers the timers
+   * @param control executes tasks on the control thread
+   * @param listener receives each list that is read
    */
   public InstanceListPoller(
       InstanceList list,
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Starts to read.
+   * Reads the list immediately and then periodically.
    *
    * @param period the time between two reads
    */
--- a/daemon/src/main/java/org/hickorypier/daemon/membership/Membership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/membership/Membership.java
@@ -14,11 +14,11 @@
 import org.hickorypier.platform.instance.ListedInstance;
 
 /**
- * Feeds the {@link MembershipView} with the instance list, the links and the drains, and asks it
- * with the time of the timer service.
+ * Updates a {@link MembershipView} from the instance list, the peer links and the drains, and
+ * queries it with the time of the timer service.
  *
- * <p>What the view can get wrong, and why that does no harm, is told there. Not thread safe: it
- * belongs to the control thread.
+ * <p>{@link MembershipView} documents in which cases the view is wrong, and why that is harmless.
+ * Confined to the control thread.
  */
 public final class Membership implements PeerListener {
 
@@ -27,11 +27,11 @@
   private final MembershipView view;
 
   /**
-   * Creates a membership that knows only its own instance.
+   * Creates a membership that contains only this instance.
    *
-   * @param own this instance
-   * @param peerTimeout how long a link may be down before the peer looks dead
-   * @param timers the time
+   * @param own the identity of this instance
+   * @param peerTimeout how long a link may be down before the peer is considered dead
+   * @param timers the clock
    */
   public Membership(PeerIdentity own, Duration peerTimeout, TimerService timers) {
     this.own = own;
@@ -40,9 +40,9 @@
   }
 
   /**
-   * Takes in the platform's instance list.
+   * Updates the view from the platform's instance list.
    *
-   * @param instances the whole list
+   * @param instances the whole instance list
    */
   public void onInstanceList(List<ListedInstance> instances) {
     List<ListedMember> entries =
@@ -54,9 +54,9 @@
   }
 
   /**
-   * Takes in the operators' drains.
+   * Updates the view from the operators' drains.
    *
-   * @param names all drained instances and workers
+   * @param names the names of all drained instances and workers
    */
   public void onDrains(Set<String> names) {
     view.drained(names);
@@ -73,7 +73,7 @@
   }
 
   /**
-   * Returns the instances that look live, this one included.
+   * Returns the instances that are considered live, including this one.
    *
    * @return their names
    */
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Returns the instances that new work and workers go to.
+   * Returns the instances to which new work and workers are assigned.
    *
    * @return their names
    */
@@ -91,10 +91,10 @@
   }
 
   /**
-   * Tells whether an incarnation looks live.
+   * Returns whether an incarnation is considered live.
    *
    * @param identity the incarnation
-   * @return true for this instance's own
+   * @return true if it is considered live; always true for this instance's own
    */
   public boolean isLive(PeerIdentity identity) {
     return identity.equals(own)
@@ -112,9 +112,9 @@
   }
 
   /**
-   * Returns the home of a piece of work, where repeated requests meet.
+   * Returns the home instance of a work key, to which repeated requests with the key are routed.
    *
-   * @param key the work's key
+   * @param key the key of the work
    * @return the instance's name
    */
   public String home(WorkKey key) {
--- a/daemon/src/test/java/org/hickorypier/daemon/membership/MembershipTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/membership/MembershipTest.java
@@ -23,7 +23,7 @@
   private final Membership membership = new Membership(OWN, Duration.ofSeconds(3), timers);
 
   @Test
-  void deadPeerLosesItsWorkersAndItsHome() {
+  void workersAndHomeOfDeadPeerMoveToLiveInstance() {
     membership.onInstanceList(List.of(entry("entry-1"), entry("entry-2"), worker("w1")));
     membership.up(PEER);
     assertThat(membership.live()).containsExactly("entry-1", "entry-2");
@@ -40,9 +40,9 @@
 
   @ParameterizedTest
   @CsvSource({"entry-2#7, true", "a#b#3, true", "entry-2, false", "entry-2#x, false", "'', false"})
-  void identityIsReadFromItsText(String text, boolean readable) {
+  void identityIsParsedFromText(String text, boolean valid) {
     assertThat(PeerIdentity.parse(text).map(PeerIdentity::toString).filter(text::equals))
-        .matches(read -> read.isPresent() == readable);
+        .matches(parsed -> parsed.isPresent() == valid);
   }
 
   private static ListedInstance entry(String name) {
