--- a/daemon/src/main/java/org/hickorypier/daemon/instance/InstanceListPoller.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/instance/InstanceListPoller.java
@@ -11,10 +11,10 @@
 import org.hickorypier.platform.instance.ListedInstance;
 
 /**
- * Reads the platform's instance list again and again.
+ * Reads the platform's instance list periodically.
  *
- * <p>Belongs to the control thread. While the list cannot be read the last one stays in force:
- * workers and peers are still judged by whether they answer.
+ * <p>Confined to the control thread. While the list cannot be read, the last one remains in force;
+ * failures of workers and peers are still detected by whether they answer.
  */
 public final class InstanceListPoller {
 
@@ -24,16 +24,16 @@
   private final TimerService timers;
   private final Executor control;
   private final Consumer<List<ListedInstance>> listener;
-  private boolean callOpen;
-  private boolean failing;
+  private boolean readPending;
+  private boolean lastReadFailed;
 
   /**
-   * Creates a poller; it does nothing until started.
+   * Creates a poller, which is inactive until {@link #start}.
    *
-   * @param list the platform's list
-   * @param timers the time
-   * @param control the control thread
-   * @param listener is given each list that was read
+   * @param list the platform's instance list
+   * @param timers the timers
+   * @param control executes tasks on the control thread
+   * @param listener receives each list that is read
    */
   public InstanceListPoller(
       InstanceList list,
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Starts to read.
+   * Reads the list immediately and then periodically.
    *
    * @param period the time between two reads
    */
@@ -57,31 +57,31 @@
   }
 
   private void poll() {
-    if (callOpen) {
+    if (readPending) {
       return;
     }
-    callOpen = true;
+    readPending = true;
     list.read()
         .subscribe()
         .with(
-            instances -> control.execute(() -> answered(instances)),
-            error -> control.execute(() -> failed(error)));
+            instances -> control.execute(() -> onRead(instances)),
+            error -> control.execute(() -> onReadFailed(error)));
   }
 
-  private void answered(List<ListedInstance> instances) {
-    callOpen = false;
-    if (failing) {
+  private void onRead(List<ListedInstance> instances) {
+    readPending = false;
+    if (lastReadFailed) {
       LOGGER.log(Level.INFO, "instances: list can be read again");
     }
-    failing = false;
+    lastReadFailed = false;
     listener.accept(instances);
   }
 
-  private void failed(Throwable error) {
-    callOpen = false;
-    if (!failing) {
+  private void onReadFailed(Throwable error) {
+    readPending = false;
+    if (!lastReadFailed) {
       LOGGER.log(Level.WARNING, "instances: list cannot be read: {0}", error.getMessage());
     }
-    failing = true;
+    lastReadFailed = true;
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/worker/WorkerFleet.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/worker/WorkerFleet.java
@@ -24,23 +24,24 @@
 import org.hickorypier.platform.worker.WorkerStatus;
 
 /**
- * Takes, keeps and gives up the control of workers.
+ * The listed workers. Claims, renews and releases this instance's control of them.
  *
- * <p>Belongs to the control thread. Invariants: a worker is claimed only with the token last seen,
- * and only if its controller is gone from our view; a worker is reported lost only after every
- * lease that we can have renewed there has run out.
+ * <p>Confined to the control thread. Invariants: a worker is claimed only with the last observed
+ * token, and only if no other live instance controls it or its controller offers it; a worker is
+ * reported lost only after every lease that this instance can have renewed there has expired.
  */
 public final class WorkerFleet {
 
   private static final Logger LOGGER = System.getLogger(WorkerFleet.class.getName());
 
-  // One lost packet must not close a worker, and a dead one must not draw starts for long. Two
-  // missed renewals are seen within a few seconds, well inside a lease.
+  // A single lost packet must not close a worker, but a dead worker must not receive start requests
+  // for long. Two missed renewals are detected within a few seconds, well within a lease.
   private static final int FAILURES_BEFORE_CLOSED = 2;
 
-  // The workers of a lost instance take no work until somebody looks at them. Looking every second
-  // costs one question for each worker that changes hands; renewals keep their own, longer period.
-  private static final Duration LOOK_PERIOD = Duration.ofSeconds(1);
+  // The workers of a failed instance get no work until another instance checks them. A check every
+  // second costs one status query for each worker that changes its controller; renewals have their
+  // own, longer period.
+  private static final Duration CHECK_PERIOD = Duration.ofSeconds(1);
 
   private final WorkerLeaseSettings settings;
   private final TimerService timers;
@@ -55,10 +56,10 @@
   /**
    * Creates a fleet without workers.
    *
-   * @param settings the times
-   * @param timers the time
-   * @param control the control thread
-   * @param connector makes a worker service from an address
+   * @param settings the lease and renewal times
+   * @param timers the clock and timers
+   * @param control executes tasks on the control thread
+   * @param connector creates a worker client from an address
    * @param view the view of the other instances
    * @param self this instance's name and incarnation
    */
@@ -78,20 +79,20 @@
   }
 
   /**
-   * Starts the regular renewals.
+   * Starts the periodic checks and renewals.
    *
-   * @param fleetListener hears what becomes of the workers
+   * @param fleetListener is notified of the workers' status and loss
    */
   public void start(WorkerFleetListener fleetListener) {
     listener = fleetListener;
-    timers.every(LOOK_PERIOD, this::tick);
+    timers.every(CHECK_PERIOD, this::checkWorkers);
   }
 
   /**
-   * Takes in the platform's list. A worker that is no longer listed gets no new work; it is
-   * forgotten once its leases have run out.
+   * Updates the workers from the platform's instance list. A worker that is no longer listed gets
+   * no new work and is removed once its leases have expired.
    *
-   * @param instances the whole list
+   * @param instances the whole instance list
    */
   public void onInstanceList(List<ListedInstance> instances) {
     listRead = true;
@@ -100,21 +101,21 @@
     for (ListedInstance instance : instances) {
       if (instance.kind() == InstanceKind.WORKER) {
         listed.add(instance.name());
-        isNew |= putListed(instance);
+        isNew |= updateListed(instance);
       }
     }
     for (ControlledWorker worker : workers.values()) {
       if (!listed.contains(worker.name()) && worker.isListed()) {
         worker.setListed(false, true);
-        close(worker, "no longer listed");
+        reportClosed(worker, "no longer listed");
       }
     }
     if (isNew) {
-      tick();
+      checkWorkers();
     }
   }
 
-  private boolean putListed(ListedInstance instance) {
+  private boolean updateListed(ListedInstance instance) {
     ControlledWorker known = workers.get(instance.name());
     boolean isNew = known == null || !known.address().equals(instance.address());
     if (isNew) {
@@ -127,67 +128,68 @@
     boolean wasLeaving = known.isLeaving();
     known.setListed(true, leaving);
     if (leaving && !wasLeaving) {
-      close(known, "listed as leaving");
+      reportClosed(known, "listed as leaving");
     }
     return isNew;
   }
 
   /**
-   * Tells whether the platform's list has been taken in.
+   * Returns whether the platform's instance list has been read.
    *
-   * @return false for a moment after the start
+   * @return false until the first list arrives after the start
    */
   public boolean isListRead() {
     return listRead;
   }
 
   /**
-   * Returns our control of a worker.
+   * Returns this instance's control of a worker.
    *
    * @param worker the worker's name
-   * @return the control, or empty if we do not hold it
+   * @return the control grant, or empty if this instance does not control the worker
    */
-  public Optional<WorkerHold> hold(String worker) {
+  public Optional<ControlGrant> controlGrant(String worker) {
     ControlledWorker known = workers.get(worker);
-    if (known == null || !known.isHeld()) {
+    if (known == null || !known.isControlled()) {
       return Optional.empty();
     }
-    return Optional.of(new WorkerHold(known.service(), known.token()));
+    return Optional.of(new ControlGrant(known.service(), known.token()));
   }
 
   /**
-   * Returns the worker itself, held or not, to ask after tasks.
+   * Returns the client of a worker for status queries, whoever controls the worker.
    *
    * @param worker the worker's name
-   * @return the worker, or empty if it was never listed
+   * @return the client, or empty if the worker is not known
    */
   public Optional<WorkerService> service(String worker) {
     return Optional.ofNullable(workers.get(worker)).map(ControlledWorker::service);
   }
 
   /**
-   * Returns the names of the workers that we hold.
+   * Returns the names of the workers that this instance controls.
    *
-   * @return a copy
+   * @return an immutable copy
    */
-  public List<String> held() {
+  public List<String> controlledWorkers() {
     return workers.values().stream()
-        .filter(ControlledWorker::isHeld)
+        .filter(ControlledWorker::isControlled)
         .map(ControlledWorker::name)
         .toList();
   }
 
   /**
-   * Returns every listed worker, held or not, to ask all of them.
+   * Returns the clients of all listed workers, whoever controls them. A worker that has not
+   * answered for longer than a lease and its margin is omitted, because its tasks have ended.
    *
-   * @return the workers by name
+   * @return the clients by worker name
    */
-  public Map<String, WorkerService> listed() {
+  public Map<String, WorkerService> listedWorkers() {
     Map<String, WorkerService> listed = new HashMap<>();
     for (ControlledWorker worker : workers.values()) {
-      long leases = settings.leaseMillis() + settings.marginMillis();
-      boolean isEmpty = worker.millisFailing(timers.nowMillis()) > leases;
-      if (worker.isListed() && !isEmpty) {
+      long leaseExpiryMillis = settings.leaseMillis() + settings.marginMillis();
+      boolean areLeasesExpired = worker.failingForMillis(timers.nowMillis()) > leaseExpiryMillis;
+      if (worker.isListed() && !areLeasesExpired) {
         listed.put(worker.name(), worker.service());
       }
     }
@@ -195,120 +197,121 @@
   }
 
   /**
-   * Tells whether the tasks of every worker that we should control are known: each such worker is
-   * held by us or by another live instance, or its leases have run out.
+   * Returns whether the tasks of every worker that this instance should control are known: each
+   * such worker is controlled by this or another live instance, or its leases have expired.
    *
-   * @return false while a takeover is under way, and until the workers are listed
+   * @return false during a takeover, and until the workers are listed
    */
-  public boolean isComplete() {
-    return listRead && workers.values().stream().allMatch(this::isKnown);
+  public boolean areTasksKnown() {
+    return listRead && workers.values().stream().allMatch(this::areTasksKnown);
   }
 
-  private boolean isKnown(ControlledWorker worker) {
-    long leases = settings.leaseMillis() + settings.marginMillis();
-    return worker.isHeld()
+  private boolean areTasksKnown(ControlledWorker worker) {
+    long leaseExpiryMillis = settings.leaseMillis() + settings.marginMillis();
+    return worker.isControlled()
         || !worker.isListed()
         || isControlledElsewhere(worker)
-        || !view.isWanted(worker.name())
-        || worker.millisFailing(timers.nowMillis()) > leases;
+        || !view.shouldControl(worker.name())
+        || worker.failingForMillis(timers.nowMillis()) > leaseExpiryMillis;
   }
 
-  // An instance that controlled the worker when it was last asked is no proof once it is gone: its
-  // tasks are found only when the worker is asked again, up to a look later.
+  // The controller seen at the last status query does not count once it is no longer live: the
+  // worker's tasks become known only with the next query, up to one check period later.
   private boolean isControlledElsewhere(ControlledWorker worker) {
     return !worker.otherController().isEmpty() && view.isLive(worker.otherController());
   }
 
   /**
-   * Notes that an order which may have taken effect was sent, so its lease counts from now.
+   * Records that a command which may have taken effect was sent, so that its lease counts from now.
    *
    * @param worker the worker's name
    */
-  public void ordered(String worker) {
+  public void recordCommand(String worker) {
     ControlledWorker known = workers.get(worker);
     if (known != null) {
-      known.ordered(timers.nowMillis());
+      known.recordCommand(timers.nowMillis());
     }
   }
 
   /**
-   * Notes that the worker refused our token.
+   * Releases the control of a worker that rejected this instance's token.
    *
    * @param worker the worker's name
    */
-  public void refusedToken(String worker) {
+  public void onTokenRefused(String worker) {
     ControlledWorker known = workers.get(worker);
     if (known != null) {
-      superseded(known);
+      loseControl(known);
     }
   }
 
   /**
-   * Takes a worker whose controller offers it to us.
+   * Claims a worker whose controller offers it to this instance.
    *
    * @param worker the worker's name
    */
-  public void offered(String worker) {
+  public void onOffered(String worker) {
     ControlledWorker known = workers.get(worker);
-    if (known != null && !known.isHeld() && !known.isCallOpen()) {
-      observe(known, true);
+    if (known != null && !known.isControlled() && !known.isCallPending()) {
+      queryStatus(known, true);
     }
   }
 
-  /** Looks after every worker once: renew, claim, offer or give up. */
-  public void tick() {
+  /** Checks every worker once: renews, claims, offers or expires it. */
+  public void checkWorkers() {
     for (ControlledWorker worker : new ArrayList<>(workers.values())) {
-      if (!worker.isCallOpen()) {
-        visit(worker);
+      if (!worker.isCallPending()) {
+        check(worker);
       }
     }
   }
 
-  private void visit(ControlledWorker worker) {
-    if (giveUpIfSilent(worker)) {
+  private void check(ControlledWorker worker) {
+    if (expireIfSilent(worker)) {
       return;
     }
-    if (worker.isHeld()) {
-      visitHeld(worker);
-    } else if (worker.isListed() && view.isWanted(worker.name())) {
-      observe(worker, false);
+    if (worker.isControlled()) {
+      checkControlled(worker);
+    } else if (worker.isListed() && view.shouldControl(worker.name())) {
+      queryStatus(worker, false);
     }
   }
 
-  private void visitHeld(ControlledWorker worker) {
-    if (!view.isWanted(worker.name()) && !worker.isLeaving()) {
-      close(worker, "offered to its wanted controller");
+  private void checkControlled(ControlledWorker worker) {
+    if (!view.shouldControl(worker.name()) && !worker.isLeaving()) {
+      reportClosed(worker, "offered to its wanted controller");
       view.offer(worker.name());
     }
-    if (worker.failures() >= FAILURES_BEFORE_CLOSED) {
-      // A renewal to a worker that does not answer may still take effect there and lengthen the
-      // leases, so we could never say when its tasks have ended. Asking changes nothing.
-      observe(worker, false);
+    if (worker.consecutiveFailures() >= FAILURES_BEFORE_CLOSED) {
+      // A renewal to a worker that does not answer may still take effect and extend the leases, so
+      // that the end of its tasks would remain unknown. A status query has no side effects.
+      queryStatus(worker, false);
     } else if (isRenewalDue(worker)) {
       renew(worker);
     }
   }
 
   private boolean isRenewalDue(ControlledWorker worker) {
-    long sinceHeard = timers.nowMillis() - worker.lastHeardMillis();
-    // Room for one period of looking, so that renewals never come later than their period.
-    return worker.failures() > 0
-        || sinceHeard > settings.renewalMillis() - LOOK_PERIOD.toMillis()
-        || !view.isWanted(worker.name());
+    long sinceResponseMillis = timers.nowMillis() - worker.lastResponseMillis();
+    // One check period is subtracted, so that no renewal is later than the renewal period.
+    return worker.consecutiveFailures() > 0
+        || sinceResponseMillis > settings.renewalMillis() - CHECK_PERIOD.toMillis()
+        || !view.shouldControl(worker.name());
   }
 
-  private boolean giveUpIfSilent(ControlledWorker worker) {
-    boolean silent = worker.failures() >= FAILURES_BEFORE_CLOSED || !worker.isListed();
-    long leasesEnd = worker.lastOrderMillis() + settings.leaseMillis() + settings.marginMillis();
-    boolean heardLately =
-        worker.failures() == 0
-            && timers.nowMillis() - worker.lastHeardMillis() < settings.leaseMillis();
-    if (!silent || heardLately || timers.nowMillis() < leasesEnd) {
+  private boolean expireIfSilent(ControlledWorker worker) {
+    boolean silent = worker.consecutiveFailures() >= FAILURES_BEFORE_CLOSED || !worker.isListed();
+    long leasesEndMillis =
+        worker.lastCommandMillis() + settings.leaseMillis() + settings.marginMillis();
+    boolean respondedRecently =
+        worker.consecutiveFailures() == 0
+            && timers.nowMillis() - worker.lastResponseMillis() < settings.leaseMillis();
+    if (!silent || respondedRecently || timers.nowMillis() < leasesEndMillis) {
       return false;
     }
-    if (worker.isHeld()) {
+    if (worker.isControlled()) {
       LOGGER.log(Level.WARNING, "worker: {0} lost, its leases have run out", worker.name());
-      worker.release();
+      worker.clearToken();
       listener.onLost(worker.name());
     }
     if (!worker.isListed()) {
@@ -319,29 +322,29 @@
   }
 
   private void renew(ControlledWorker worker) {
-    worker.ordered(timers.nowMillis());
+    worker.recordCommand(timers.nowMillis());
     long token = worker.token();
     call(
         worker,
         worker.service().renew(token, settings.leaseMillis()),
         status -> {
           if (worker.token() == token) {
-            report(worker, status);
+            reportStatus(worker, status);
           }
         });
   }
 
-  private void observe(ControlledWorker worker, boolean isOffered) {
-    call(worker, worker.service().status(), status -> decideClaim(worker, status, isOffered));
+  private void queryStatus(ControlledWorker worker, boolean isOffered) {
+    call(worker, worker.service().status(), status -> claimIfFree(worker, status, isOffered));
   }
 
-  private void decideClaim(ControlledWorker worker, WorkerStatus status, boolean isOffered) {
-    if (worker.isHeld() && status.token() == worker.token()) {
+  private void claimIfFree(ControlledWorker worker, WorkerStatus status, boolean isOffered) {
+    if (worker.isControlled() && status.token() == worker.token()) {
       renew(worker);
       return;
     }
-    if (worker.isHeld()) {
-      superseded(worker);
+    if (worker.isControlled()) {
+      loseControl(worker);
     }
     boolean isFree =
         status.controller().isEmpty()
@@ -355,7 +358,7 @@
   }
 
   private void claim(ControlledWorker worker, long observedToken) {
-    worker.ordered(timers.nowMillis());
+    worker.recordCommand(timers.nowMillis());
     call(
         worker,
         worker.service().claim(self, observedToken),
@@ -363,65 +366,65 @@
           if (!status.controller().equals(self)) {
             return;
           }
-          worker.granted(status.token());
+          worker.setToken(status.token());
           LOGGER.log(Level.INFO, "worker: {0} taken with token {1}", worker.name(), status.token());
-          report(worker, status);
+          reportStatus(worker, status);
           renew(worker);
         });
   }
 
-  private void report(ControlledWorker worker, WorkerStatus status) {
+  private void reportStatus(ControlledWorker worker, WorkerStatus status) {
     boolean open =
         !worker.isLeaving()
             && !view.isDrained(worker.name())
-            && view.isWanted(worker.name())
-            && worker.isHeld();
-    worker.description().ifPresent(text -> listener.onStatus(text, status, open));
+            && view.shouldControl(worker.name())
+            && worker.isControlled();
+    worker.description().ifPresent(description -> listener.onStatus(description, status, open));
   }
 
-  private void superseded(ControlledWorker worker) {
-    if (worker.isHeld()) {
+  private void loseControl(ControlledWorker worker) {
+    if (worker.isControlled()) {
       LOGGER.log(Level.INFO, "worker: {0} has another controller", worker.name());
-      worker.release();
-      close(worker, "has another controller");
+      worker.clearToken();
+      reportClosed(worker, "has another controller");
     }
   }
 
-  private void close(ControlledWorker worker, String reason) {
+  private void reportClosed(ControlledWorker worker, String reason) {
     listener.onClosed(worker.name(), reason);
   }
 
   private void call(
-      ControlledWorker worker, Uni<WorkerStatus> call, Consumer<WorkerStatus> answered) {
-    worker.setCallOpen(true);
+      ControlledWorker worker, Uni<WorkerStatus> call, Consumer<WorkerStatus> onStatus) {
+    worker.setCallPending(true);
     call.subscribe()
         .with(
             status ->
                 control.execute(
                     () -> {
-                      worker.setCallOpen(false);
-                      worker.heard(status, timers.nowMillis());
-                      answered.accept(status);
+                      worker.setCallPending(false);
+                      worker.recordStatus(status, timers.nowMillis());
+                      onStatus.accept(status);
                     }),
             error ->
                 control.execute(
                     () -> {
-                      worker.setCallOpen(false);
-                      failed(worker, error);
+                      worker.setCallPending(false);
+                      onCallFailed(worker, error);
                     }));
   }
 
-  private void failed(ControlledWorker worker, Throwable error) {
+  private void onCallFailed(ControlledWorker worker, Throwable error) {
     if (error instanceof WorkerException workerError
         && workerError.kind() == WorkerErrorKind.STALE_TOKEN) {
-      superseded(worker);
+      loseControl(worker);
       return;
     }
-    worker.failed(timers.nowMillis());
+    worker.recordFailure(timers.nowMillis());
     LOGGER.log(Level.DEBUG, "worker: {0} did not answer: {1}", worker.name(), error.getMessage());
-    if (worker.failures() == FAILURES_BEFORE_CLOSED && worker.isHeld()) {
+    if (worker.consecutiveFailures() == FAILURES_BEFORE_CLOSED && worker.isControlled()) {
       LOGGER.log(Level.WARNING, "worker: {0} does not answer", worker.name());
-      close(worker, "does not answer");
+      reportClosed(worker, "does not answer");
     }
   }
 }
