--- a/acceptance/src/test/java/org/hickorypier/acceptance/control/ControllerNode.java
+++ b/acceptance/src/test/java/org/hickorypier/acceptance/control/ControllerNode.java
@@ -239,7 +239,7 @@
 
     @Override
     public void onStatus(WorkerDescription worker, WorkerStatus status, boolean open) {
-      dispatcher.onStatus(status);
+      dispatcher.onWorkerStatus(status);
     }
 
     @Override
@@ -249,7 +249,7 @@
 
     @Override
     public void onLost(String worker) {
-      dispatcher.onLost(worker);
+      dispatcher.onWorkerLost(worker);
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
@@ -64,7 +64,7 @@
 import org.hickorypier.daemon.time.ControlThread;
 import org.hickorypier.daemon.work.DispatchSettings;
 import org.hickorypier.daemon.work.Dispatcher;
-import org.hickorypier.daemon.work.FirstTries;
+import org.hickorypier.daemon.work.FirstTryTracker;
 import org.hickorypier.daemon.work.TaskAdopter;
 import org.hickorypier.daemon.work.WorkObserver;
 import org.hickorypier.daemon.work.WorkService;
@@ -115,8 +115,9 @@
   private final HomeHistory history;
   private final HistoryExchange historyExchange;
   private final HomeIntake intake;
-  private final FirstTries firstTries =
-      new FirstTries(DaemonConstants.ANSWER_KEEP_MILLIS, DaemonConstants.RECENT_REQUESTS_LIMIT);
+  private final FirstTryTracker firstTries =
+      new FirstTryTracker(
+          DaemonConstants.ANSWER_KEEP_MILLIS, DaemonConstants.RECENT_REQUESTS_LIMIT);
   private final JournalService journal = new JournalService();
   private final LogStream<JournalRecord> journalStream;
   private final AttemptRecorder recorder;
@@ -199,7 +200,7 @@
             scheduler,
             control,
             control,
-            (placement, verdict) -> recorder().request(placement, verdict),
+            (placement, verdict) -> recorder().requestStart(placement, verdict),
             new WorkMetrics(registry).andThen(rows).andThen(new PermitSeeker()));
     fleet =
         new WorkerFleet(
@@ -232,7 +233,12 @@
     permits =
         new PermitService(
             new Holder(own.name(), own.incarnation()),
-            new PermitDemands(scheduler, digests, owners, work, worker -> adopter().reopen(worker)),
+            new PermitDemands(
+                scheduler,
+                digests,
+                owners,
+                work,
+                worker -> adopter().openIfAwaitingPermission(worker)),
             control,
             control);
     permitStream =
@@ -462,7 +468,7 @@
         () -> {
           readiness.shutDown();
           cluster.shutDown();
-          work.refuseWaiting();
+          work.refuseQueuedWork();
         });
     new GracefulShutdown(control, readiness, work, front, DaemonConstants.ABANDON_MILLIS).run();
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeIntake.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeIntake.java
@@ -16,7 +16,7 @@
 import org.hickorypier.core.model.RefusalReason;
 import org.hickorypier.core.model.WorkKey;
 import org.hickorypier.daemon.time.TimerService;
-import org.hickorypier.daemon.work.FirstTries;
+import org.hickorypier.daemon.work.FirstTryTracker;
 import org.hickorypier.daemon.work.Submission;
 import org.hickorypier.daemon.work.WorkResult;
 import org.hickorypier.daemon.work.WorkService;
@@ -48,7 +48,7 @@
   private final BooleanSupplier workersComplete;
   private final long comeBackMillis;
   private final BiConsumer<Submission, Consumer<WorkResult>> once;
-  private final FirstTries firstTries;
+  private final FirstTryTracker firstTries;
 
   /**
    * Creates the intake.
@@ -72,7 +72,7 @@
       Executor control,
       BooleanSupplier workersComplete,
       long comeBackMillis,
-      FirstTries firstTries,
+      FirstTryTracker firstTries,
       BiConsumer<Submission, Consumer<WorkResult>> once) {
     this.cluster = cluster;
     this.history = history;
@@ -113,7 +113,7 @@
   // What an earlier life of this instance started may run for longer than callers come back.
   private boolean neverTaken(WorkKey key) {
     FormerHomes former = history.formerHomes(key.toString(), timers.nowMillis());
-    return lately(key).complete() && !former.ownEarlierLife() && work.neverTaken(key);
+    return lately(key).complete() && !former.ownEarlierLife() && work.wasNeverTaken(key);
   }
 
   private FormerHomes lately(WorkKey key) {
@@ -153,7 +153,7 @@
   }
 
   private void run(Submission tried, Consumer<WorkResult> answer) {
-    Submission submission = firstTries.note(tried, timers.nowMillis());
+    Submission submission = firstTries.recordTry(tried, timers.nowMillis());
     if (submission.item().idempotent()) {
       work.submit(submission, answer);
     } else {
@@ -200,7 +200,7 @@
       case JOIN -> join(submission, replies, answer);
       case WAIT -> answer.accept(notYet(replies));
       case ASK_ALL -> ask(submission, former, cluster.liveOthers(), answer);
-      case RUN_AFTER_EARLIER_TRY -> run(submission.afterEarlierTry(), answer);
+      case RUN_AFTER_EARLIER_TRY -> run(submission.withPossibleEarlierRun(), answer);
       case RUN -> run(submission, answer);
       default -> throw new IllegalStateException("unknown step");
     }
@@ -238,6 +238,6 @@
   private Submission withFirstTry(Submission submission, List<KnowsReply> replies) {
     long longest = replies.stream().mapToLong(KnowsReply::triedForMillis).max().orElse(0);
     long first = Math.min(submission.item().firstTriedMillis(), timers.nowMillis() - longest);
-    return submission.firstTriedAt(first);
+    return submission.withFirstTriedMillis(first);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PermitDemands.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PermitDemands.java
@@ -79,7 +79,7 @@
   @Override
   public void use(String team, int permits) {
     scheduler.putPermits(team, permits);
-    work.pump();
+    work.placeQueuedWork();
   }
 
   @Override
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
@@ -113,7 +113,7 @@
     if (!(route instanceof Route.Forward forward)) {
       return false;
     }
-    return work.shift(
+    return work.moveToPeer(
         item.key(),
         submission ->
             cluster
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
@@ -16,7 +16,7 @@
 import org.hickorypier.daemon.configuration.ConfigurationService;
 import org.hickorypier.daemon.job.JobService;
 import org.hickorypier.daemon.time.TimerService;
-import org.hickorypier.daemon.work.FirstTries;
+import org.hickorypier.daemon.work.FirstTryTracker;
 import org.hickorypier.daemon.work.Submission;
 import org.hickorypier.daemon.work.WorkResult;
 
@@ -34,7 +34,7 @@
   private final ConfigurationService configuration;
   private final Readiness readiness;
   private final HomeRouting routing;
-  private final FirstTries firstTries;
+  private final FirstTryTracker firstTries;
   private final JobService jobs;
 
   /**
@@ -54,7 +54,7 @@
       ConfigurationService configuration,
       Readiness readiness,
       HomeRouting routing,
-      FirstTries firstTries,
+      FirstTryTracker firstTries,
       JobService jobs) {
     this.control = control;
     this.timers = timers;
@@ -70,7 +70,7 @@
     return onControl(
         emitter -> {
           Submission submission = admitted(presentedKey, request);
-          routing.route(firstTries.note(submission, timers.nowMillis()), emitter::complete);
+          routing.route(firstTries.recordTry(submission, timers.nowMillis()), emitter::complete);
         });
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
@@ -111,7 +111,7 @@
       boolean lost = result.refusal().isEmpty() && result.outcome() == Outcome.UNKNOWN;
       if (lost) {
         losses++;
-        submission = submission.afterEarlierTry();
+        submission = submission.withPossibleEarlierRun();
       }
       boolean again = lost ? mayRunAgain() : isPassing(result);
       long until = lost ? submission.item().deadlineMillis() : untilMillis;
--- a/daemon/src/main/java/org/hickorypier/daemon/job/AttemptRecorder.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/job/AttemptRecorder.java
@@ -68,7 +68,7 @@
   }
 
   @Override
-  public void request(Placement placement, Consumer<Boolean> verdict) {
+  public void requestStart(Placement placement, Consumer<Boolean> verdict) {
     Optional<AttemptKey> key = AttemptKey.parse(placement.item().key());
     if (key.isEmpty()) {
       verdict.accept(true);
--- a/daemon/src/main/java/org/hickorypier/daemon/work/AnswerCache.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/AnswerCache.java
@@ -18,20 +18,20 @@
 
   private static final int ENTRY_OVERHEAD_BYTES = 200;
 
-  private final long keepMillis;
-  private final long keepBytes;
-  private final Map<WorkKey, Kept> kept = new HashMap<>();
-  private final Deque<Kept> order = new ArrayDeque<>();
+  private final long retentionMillis;
+  private final long maxBytes;
+  private final Map<WorkKey, CachedAnswer> answersByKey = new HashMap<>();
+  private final Deque<CachedAnswer> oldestFirst = new ArrayDeque<>();
   private long bytes;
 
   AnswerCache(long keepMillis, long keepBytes) {
-    this.keepMillis = keepMillis;
-    this.keepBytes = keepBytes;
+    this.retentionMillis = keepMillis;
+    this.maxBytes = keepBytes;
   }
 
   Optional<WorkResult> find(WorkKey key, long now) {
-    dropOld(now);
-    return Optional.ofNullable(kept.get(key)).map(Kept::result);
+    evictOldest(now);
+    return Optional.ofNullable(answersByKey.get(key)).map(CachedAnswer::result);
   }
 
   void put(WorkKey key, WorkResult result, long now) {
@@ -39,20 +39,21 @@
     if (result instanceof WorkResult.Answered answered) {
       size += answered.body().length;
     }
-    Kept entry = new Kept(key, result, size, now + keepMillis);
-    kept.put(key, entry);
-    order.add(entry);
+    CachedAnswer entry = new CachedAnswer(key, result, size, now + retentionMillis);
+    answersByKey.put(key, entry);
+    oldestFirst.add(entry);
     bytes += size;
-    dropOld(now);
+    evictOldest(now);
   }
 
-  private void dropOld(long now) {
-    while (!order.isEmpty() && (order.peek().expires() <= now || bytes > keepBytes)) {
-      Kept oldest = order.poll();
-      bytes -= oldest.size();
-      kept.remove(oldest.key(), oldest);
+  private void evictOldest(long now) {
+    while (!oldestFirst.isEmpty()
+        && (oldestFirst.peek().expiryMillis() <= now || bytes > maxBytes)) {
+      CachedAnswer oldest = oldestFirst.poll();
+      bytes -= oldest.sizeBytes();
+      answersByKey.remove(oldest.key(), oldest);
     }
   }
 
-  private record Kept(WorkKey key, WorkResult result, int size, long expires) {}
+  private record CachedAnswer(WorkKey key, WorkResult result, int sizeBytes, long expiryMillis) {}
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/AttemptGate.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/AttemptGate.java
@@ -22,5 +22,5 @@
    * @param verdict is told once, on the control thread: true to start, false if the attempt was not
    *     taken and must not start
    */
-  void request(Placement placement, Consumer<Boolean> verdict);
+  void requestStart(Placement placement, Consumer<Boolean> verdict);
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/DispatchSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/DispatchSettings.java
@@ -6,9 +6,9 @@
  * <p>Immutable.
  *
  * @param leaseMillis the lease with which tasks start
- * @param retryMillis the first wait before an uncertain order is asked after
- * @param retryDoublings how often that wait doubles at the most
- * @param pollMillis how often tasks are asked after on workers that others control
+ * @param initialRetryMillis the first wait before an uncertain order is asked after
+ * @param maxRetryDoublings how often that wait doubles at the most
+ * @param foreignPollMillis how often tasks are asked after on workers that others control
  */
 public record DispatchSettings(
-    long leaseMillis, long retryMillis, int retryDoublings, long pollMillis) {}
+    long leaseMillis, long initialRetryMillis, int maxRetryDoublings, long foreignPollMillis) {}
--- a/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
@@ -44,7 +44,7 @@
   private final WorkerFleet fleet;
   private final TimerService timers;
   private final Executor control;
-  private final String self;
+  private final String controllerId;
   private final StartRule startRule;
   private final TaskListener listener;
   private final Map<TaskId, TaskRun> runs = new LinkedHashMap<>();
@@ -72,14 +72,14 @@
     this.fleet = fleet;
     this.timers = timers;
     this.control = control;
-    this.self = self;
+    this.controllerId = self;
     this.startRule = startRule;
     this.listener = listener;
   }
 
   /** Starts the regular questions after tasks on workers that others control. */
   public void start() {
-    timers.every(Duration.ofMillis(settings.pollMillis()), this::pollForeign);
+    timers.every(Duration.ofMillis(settings.foreignPollMillis()), this::pollForeignTasks);
   }
 
   /**
@@ -104,7 +104,7 @@
       TaskRun run = new TaskRun(task, TaskReport.NO_BODY);
       run.setStarted();
       runs.put(task.taskId(), run);
-      awaitIfWanted(run);
+      collectAnswerIfWanted(run);
     }
   }
 
@@ -134,10 +134,10 @@
       retryLater(run, () -> stop(taskId, checkpoint));
       return;
     }
-    ask(
+    callWorker(
         run,
         hold.get().service().stop(taskId.text(), hold.get().token(), checkpoint),
-        status -> learn(run, status),
+        status -> applyStatus(run, status),
         error -> retryLater(run, () -> stop(taskId, checkpoint)));
   }
 
@@ -146,20 +146,20 @@
    *
    * @param status what the worker says
    */
-  public void onStatus(WorkerStatus status) {
+  public void onWorkerStatus(WorkerStatus status) {
     Set<TaskId> named = new HashSet<>();
     for (TaskStatus task : status.tasks()) {
-      named.add(parse(task.taskId()));
-      TaskRun run = task.state().isEnded() ? runs.get(parse(task.taskId())) : null;
+      named.add(parseOrNull(task.taskId()));
+      TaskRun run = task.state().isEnded() ? runs.get(parseOrNull(task.taskId())) : null;
       if (run != null && !run.wantsAnswer()) {
-        learn(run, task);
+        applyStatus(run, task);
       }
     }
     // A worker that has restarted and was claimed again at once renews its leases as before, and
     // says nothing of the tasks that it has forgotten. They would fill it for ever.
-    for (TaskRun run : on(status.name())) {
-      if (run.isStarted() && !run.isAsking() && !named.contains(run.task().taskId())) {
-        settle(run);
+    for (TaskRun run : runsOnWorker(status.name())) {
+      if (run.isStarted() && !run.isCallPending() && !named.contains(run.task().taskId())) {
+        queryTask(run);
       }
     }
   }
@@ -169,17 +169,17 @@
    *
    * @param worker the worker's name
    */
-  public void onLost(String worker) {
-    for (TaskRun run : on(worker)) {
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker was lost"));
+  public void onWorkerLost(String worker) {
+    for (TaskRun run : runsOnWorker(worker)) {
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker was lost"));
     }
   }
 
-  private List<TaskRun> on(String worker) {
-    return select(run -> run.task().worker().equals(worker));
+  private List<TaskRun> runsOnWorker(String worker) {
+    return selectRuns(run -> run.task().worker().equals(worker));
   }
 
-  private List<TaskRun> select(Predicate<TaskRun> wanted) {
+  private List<TaskRun> selectRuns(Predicate<TaskRun> wanted) {
     return new ArrayList<>(runs.values().stream().filter(wanted).toList());
   }
 
@@ -189,42 +189,46 @@
     Optional<WorkerHold> found =
         fleet.hold(worker).filter(hold -> startRule.mayStartOn(worker, hold.token()));
     if (found.isEmpty()) {
-      withoutHold(run);
+      handleMissingHold(run);
       return;
     }
     WorkerHold hold = found.get();
-    run.sentWith(hold.token());
+    run.recordOrderToken(hold.token());
     fleet.ordered(run.task().worker());
     PlacedTask task = run.task();
     StartOrder order =
         new StartOrder(
             task.taskId().text(),
             hold.token(),
-            self,
+            controllerId,
             task.workClass().name(),
             task.reserved().milliProcessors(),
             task.reserved().memoryMebibytes(),
             task.reserved().accelerators(),
             settings.leaseMillis(),
             run.payload());
-    ask(run, hold.service().start(order), status -> learn(run, status), e -> startFailed(run, e));
+    callWorker(
+        run,
+        hold.service().start(order),
+        status -> applyStatus(run, status),
+        e -> handleStartFailure(run, e));
   }
 
-  private void withoutHold(TaskRun run) {
+  private void handleMissingHold(TaskRun run) {
     if (run.isOrderUncertain()) {
-      retryLater(run, () -> settle(run));
+      retryLater(run, () -> queryTask(run));
     } else {
-      finish(run, TaskReport.without(TaskEnd.NOT_STARTED, "the worker has another controller"));
+      finish(run, TaskReport.withoutBody(TaskEnd.NOT_STARTED, "the worker has another controller"));
     }
   }
 
-  private void startFailed(TaskRun run, Throwable error) {
+  private void handleStartFailure(TaskRun run, Throwable error) {
     boolean noEffect = error instanceof WorkerException known && known.kind().hadNoEffect();
-    if (isStale(error)) {
+    if (isStaleToken(error)) {
       fleet.refusedToken(run.task().worker());
     }
     if (noEffect && !run.isOrderUncertain()) {
-      finish(run, TaskReport.without(TaskEnd.NOT_STARTED, error.getMessage()));
+      finish(run, TaskReport.withoutBody(TaskEnd.NOT_STARTED, error.getMessage()));
       return;
     }
     // The order may have started the task although no answer came. If its room were given away
@@ -236,32 +240,32 @@
         "dispatch: start of {0} on {1} is uncertain, asking",
         run.task().taskId().text(),
         run.task().worker());
-    retryLater(run, () -> settle(run));
+    retryLater(run, () -> queryTask(run));
   }
 
-  private void settle(TaskRun run) {
+  private void queryTask(TaskRun run) {
     WorkerService service = fleet.service(run.task().worker()).orElse(null);
     if (service == null) {
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker was lost"));
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker was lost"));
       return;
     }
-    ask(
+    callWorker(
         run,
         service.task(run.task().taskId().text()),
-        status -> settled(run, status),
-        error -> retryLater(run, () -> settle(run)));
+        status -> handleQueriedStatus(run, status),
+        error -> retryLater(run, () -> queryTask(run)));
   }
 
-  private void settled(TaskRun run, TaskStatus status) {
+  private void handleQueriedStatus(TaskRun run, TaskStatus status) {
     if (status.state() != TaskState.UNKNOWN) {
-      learn(run, status);
+      applyStatus(run, status);
     } else if (run.isStarted()) {
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker no longer knows the task"));
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker no longer knows the task"));
     } else if (status.token() > run.highestToken()) {
       // The worker refuses every order that we sent, even one that is still under way: nothing
       // runs. But it may have restarted and forgotten a task that ran before, so this is not proof
       // that it never did.
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker does not know the task"));
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker does not know the task"));
     } else {
       // The order may still be under way. The same order again, with the same task id, starts it
       // at most once and brings an answer.
@@ -269,7 +273,7 @@
     }
   }
 
-  private void learn(TaskRun run, TaskStatus status) {
+  private void applyStatus(TaskRun run, TaskStatus status) {
     if (run.isEnded()) {
       return;
     }
@@ -278,37 +282,37 @@
       listener.onStarted(run.task().taskId());
     }
     switch (status.state()) {
-      case RUNNING -> awaitIfWanted(run);
-      case COMPLETED -> collectOrFinish(run, TaskEnd.COMPLETED, "");
-      case FAILED -> collectOrFinish(run, TaskEnd.FAILED, "the task failed");
-      case STOPPED -> finish(run, TaskReport.without(TaskEnd.STOPPED, "the task was stopped"));
-      case LAPSED -> finish(run, TaskReport.without(TaskEnd.LOST, "the task's lease ran out"));
-      case UNKNOWN -> settled(run, status);
+      case RUNNING -> collectAnswerIfWanted(run);
+      case COMPLETED -> collectAnswerOrFinish(run, TaskEnd.COMPLETED, "");
+      case FAILED -> collectAnswerOrFinish(run, TaskEnd.FAILED, "the task failed");
+      case STOPPED -> finish(run, TaskReport.withoutBody(TaskEnd.STOPPED, "the task was stopped"));
+      case LAPSED -> finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the task's lease ran out"));
+      case UNKNOWN -> handleQueriedStatus(run, status);
       default -> throw new IllegalStateException("task state " + status.state());
     }
   }
 
-  private void awaitIfWanted(TaskRun run) {
+  private void collectAnswerIfWanted(TaskRun run) {
     if (run.wantsAnswer()) {
-      collect(run);
+      collectAnswer(run);
     }
   }
 
-  private void collectOrFinish(TaskRun run, TaskEnd end, String detail) {
+  private void collectAnswerOrFinish(TaskRun run, TaskEnd end, String detail) {
     if (run.wantsAnswer()) {
-      collect(run);
+      collectAnswer(run);
     } else {
-      finish(run, TaskReport.without(end, detail));
+      finish(run, TaskReport.withoutBody(end, detail));
     }
   }
 
-  private void collect(TaskRun run) {
-    if (run.isAsking()) {
+  private void collectAnswer(TaskRun run) {
+    if (run.isCallPending()) {
       return;
     }
     WorkerService service = fleet.service(run.task().worker()).orElse(null);
     if (service == null) {
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker was lost"));
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker was lost"));
       return;
     }
     Uni<byte[]> whole =
@@ -319,32 +323,34 @@
             .map(ByteArrayOutputStream::toByteArray);
     Uni<TaskReport> report =
         whole.flatMap(
-            body -> service.task(run.task().taskId().text()).map(status -> reported(status, body)));
-    ask(run, report, end -> finish(run, end), error -> retryLater(run, () -> settle(run)));
+            body -> service.task(run.task().taskId().text()).map(status -> toReport(status, body)));
+    callWorker(
+        run, report, end -> finish(run, end), error -> retryLater(run, () -> queryTask(run)));
   }
 
-  private static TaskReport reported(TaskStatus status, byte[] body) {
+  private static TaskReport toReport(TaskStatus status, byte[] body) {
     return switch (status.state()) {
       case COMPLETED -> new TaskReport(TaskEnd.COMPLETED, "", body);
       case FAILED -> new TaskReport(TaskEnd.FAILED, "the task failed", body);
-      case STOPPED -> TaskReport.without(TaskEnd.STOPPED, "the task was stopped");
-      case LAPSED -> TaskReport.without(TaskEnd.LOST, "the task's lease ran out");
-      default -> TaskReport.without(TaskEnd.LOST, "the worker no longer knows the task");
+      case STOPPED -> TaskReport.withoutBody(TaskEnd.STOPPED, "the task was stopped");
+      case LAPSED -> TaskReport.withoutBody(TaskEnd.LOST, "the task's lease ran out");
+      default -> TaskReport.withoutBody(TaskEnd.LOST, "the worker no longer knows the task");
     };
   }
 
-  private void pollForeign() {
-    for (TaskRun run : select(run -> !run.wantsAnswer() && run.isStarted() && !run.isAsking())) {
+  private void pollForeignTasks() {
+    for (TaskRun run :
+        selectRuns(run -> !run.wantsAnswer() && run.isStarted() && !run.isCallPending())) {
       if (fleet.hold(run.task().worker()).isEmpty()) {
-        settle(run);
+        queryTask(run);
       }
     }
   }
 
   private void retryLater(TaskRun run, Runnable step) {
-    int doublings = Math.min(run.nextTry(), settings.retryDoublings());
+    int doublings = Math.min(run.nextRetryNumber(), settings.maxRetryDoublings());
     timers.after(
-        Duration.ofMillis(settings.retryMillis() << doublings),
+        Duration.ofMillis(settings.initialRetryMillis() << doublings),
         () -> {
           if (!run.isEnded()) {
             step.run();
@@ -361,26 +367,27 @@
     listener.onEnded(run.task().taskId(), report);
   }
 
-  private <T> void ask(TaskRun run, Uni<T> call, Consumer<T> answered, Consumer<Throwable> failed) {
-    run.setAsking(true);
+  private <T> void callWorker(
+      TaskRun run, Uni<T> call, Consumer<T> answered, Consumer<Throwable> failed) {
+    run.setCallPending(true);
     call.subscribe()
         .with(
-            value -> control.execute(() -> answered(run, () -> answered.accept(value))),
-            error -> control.execute(() -> answered(run, () -> failed.accept(error))));
+            value -> control.execute(() -> handleReply(run, () -> answered.accept(value))),
+            error -> control.execute(() -> handleReply(run, () -> failed.accept(error))));
   }
 
-  private static void answered(TaskRun run, Runnable next) {
-    run.setAsking(false);
+  private static void handleReply(TaskRun run, Runnable next) {
+    run.setCallPending(false);
     if (!run.isEnded()) {
       next.run();
     }
   }
 
-  private static boolean isStale(Throwable error) {
+  private static boolean isStaleToken(Throwable error) {
     return error instanceof WorkerException known && known.kind() == WorkerErrorKind.STALE_TOKEN;
   }
 
-  private static TaskId parse(String text) {
+  private static TaskId parseOrNull(String text) {
     try {
       return TaskId.parse(text);
     } catch (IllegalArgumentException error) {
--- a/daemon/src/main/java/org/hickorypier/daemon/work/FoundEnds.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/EndedForeignTasks.java
@@ -16,42 +16,42 @@
  * <p>Belongs to the control thread. Invariant: never more than the limit; ends found beyond it are
  * passed over, and their requests are run again if asked for.
  */
-final class FoundEnds {
+final class EndedForeignTasks {
 
-  private final long keepMillis;
+  private final long retentionMillis;
   private final int limit;
-  private final Map<WorkKey, Found> found = new LinkedHashMap<>();
+  private final Map<WorkKey, EndedTask> tasksByKey = new LinkedHashMap<>();
 
-  FoundEnds(long keepMillis, int limit) {
-    this.keepMillis = keepMillis;
+  EndedForeignTasks(long keepMillis, int limit) {
+    this.retentionMillis = keepMillis;
     this.limit = limit;
   }
 
   /** Notes a task that has ended. A worker lists the same end many times; the first counts. */
   void put(PlacedTask task, long now) {
-    dropOld(now);
-    if (found.size() < limit) {
-      found.putIfAbsent(task.taskId().key(), new Found(task, now + keepMillis));
+    removeExpired(now);
+    if (tasksByKey.size() < limit) {
+      tasksByKey.putIfAbsent(task.taskId().key(), new EndedTask(task, now + retentionMillis));
     }
   }
 
   boolean contains(WorkKey key, long now) {
-    dropOld(now);
-    return found.containsKey(key);
+    removeExpired(now);
+    return tasksByKey.containsKey(key);
   }
 
   /** Takes an end out, to fetch its answer. */
-  Optional<PlacedTask> take(WorkKey key, long now) {
-    dropOld(now);
-    return Optional.ofNullable(found.remove(key)).map(Found::task);
+  Optional<PlacedTask> remove(WorkKey key, long now) {
+    removeExpired(now);
+    return Optional.ofNullable(tasksByKey.remove(key)).map(EndedTask::task);
   }
 
-  private void dropOld(long now) {
-    Iterator<Found> oldestFirst = found.values().iterator();
-    while (oldestFirst.hasNext() && oldestFirst.next().expires <= now) {
+  private void removeExpired(long now) {
+    Iterator<EndedTask> oldestFirst = tasksByKey.values().iterator();
+    while (oldestFirst.hasNext() && oldestFirst.next().expiryMillis <= now) {
       oldestFirst.remove();
     }
   }
 
-  private record Found(PlacedTask task, long expires) {}
+  private record EndedTask(PlacedTask task, long expiryMillis) {}
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/FirstTries.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/FirstTryTracker.java
@@ -15,11 +15,11 @@
  * <p>Belongs to the control thread. Invariant: never more than the limit; whoever was not heard for
  * the longest time goes first.
  */
-public final class FirstTries {
+public final class FirstTryTracker {
 
-  private final long keepMillis;
+  private final long retentionMillis;
   private final int limit;
-  private final Map<WorkKey, Tried> tried = new LinkedHashMap<>();
+  private final Map<WorkKey, TryTimes> triesByKey = new LinkedHashMap<>();
 
   /**
    * Creates a memory without requests.
@@ -27,8 +27,8 @@
    * @param keepMillis how long after a try its caller may come back
    * @param limit how many requests are remembered
    */
-  public FirstTries(long keepMillis, int limit) {
-    this.keepMillis = keepMillis;
+  public FirstTryTracker(long keepMillis, int limit) {
+    this.retentionMillis = keepMillis;
     this.limit = limit;
   }
 
@@ -39,16 +39,16 @@
    * @param now the time
    * @return the request with the time of its first try, as far as known here
    */
-  public Submission note(Submission submission, long now) {
+  public Submission recordTry(Submission submission, long now) {
     WorkKey key = submission.item().key();
     long first = submission.item().firstTriedMillis();
-    Tried before = tried.remove(key);
-    if (before != null && now - before.lastMillis <= keepMillis) {
+    TryTimes before = triesByKey.remove(key);
+    if (before != null && now - before.lastMillis <= retentionMillis) {
       first = Math.min(first, before.firstMillis);
     }
-    tried.put(key, new Tried(first, now));
-    dropOld(now);
-    return submission.firstTriedAt(first);
+    triesByKey.put(key, new TryTimes(first, now));
+    evictOldest(now);
+    return submission.withFirstTriedMillis(first);
   }
 
   /**
@@ -59,21 +59,21 @@
    * @return milliseconds since its first try, 0 if none is known
    */
   public long triedForMillis(WorkKey key, long now) {
-    dropOld(now);
-    Tried known = tried.get(key);
+    evictOldest(now);
+    TryTimes known = triesByKey.get(key);
     return known == null ? 0 : now - known.firstMillis;
   }
 
-  private void dropOld(long now) {
-    Iterator<Tried> oldest = tried.values().iterator();
+  private void evictOldest(long now) {
+    Iterator<TryTimes> oldest = triesByKey.values().iterator();
     while (oldest.hasNext()) {
-      boolean isOld = now - oldest.next().lastMillis > keepMillis;
-      if (!isOld && tried.size() <= limit) {
+      boolean isOld = now - oldest.next().lastMillis > retentionMillis;
+      if (!isOld && triesByKey.size() <= limit) {
         return;
       }
       oldest.remove();
     }
   }
 
-  private record Tried(long firstMillis, long lastMillis) {}
+  private record TryTimes(long firstMillis, long lastMillis) {}
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/RecentRequests.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/RecentRequests.java
@@ -17,44 +17,45 @@
  */
 final class RecentRequests {
 
-  private final long keepMillis;
+  private final long retentionMillis;
   private final int limit;
-  private final Map<WorkKey, Kept> kept = new HashMap<>();
-  private final Deque<Kept> order = new ArrayDeque<>();
+  private final Map<WorkKey, RecentRequest> latestByKey = new HashMap<>();
+  private final Deque<RecentRequest> oldestFirst = new ArrayDeque<>();
   private long uncertainUntilMillis = Long.MIN_VALUE;
 
   RecentRequests(long keepMillis, int limit) {
-    this.keepMillis = keepMillis;
+    this.retentionMillis = keepMillis;
     this.limit = limit;
   }
 
   /** Notes the end of a request. What may have run once stays so. */
-  void put(WorkKey key, boolean mayHaveRun, long now) {
-    dropOld(now);
-    Kept before = kept.get(key);
+  void recordEnd(WorkKey key, boolean mayHaveRun, long now) {
+    evictOldest(now);
+    RecentRequest before = latestByKey.get(key);
     boolean everMayHaveRun = mayHaveRun || before != null && before.mayHaveRun;
-    Kept entry = new Kept(key, everMayHaveRun, now + keepMillis);
-    kept.put(key, entry);
-    order.add(entry);
-    dropOld(now);
+    RecentRequest entry = new RecentRequest(key, everMayHaveRun, now + retentionMillis);
+    latestByKey.put(key, entry);
+    oldestFirst.add(entry);
+    evictOldest(now);
   }
 
   /** Tells whether an earlier try of a request may have run here. */
   boolean mayHaveRun(WorkKey key, long now) {
-    dropOld(now);
-    Kept entry = kept.get(key);
+    evictOldest(now);
+    RecentRequest entry = latestByKey.get(key);
     return entry != null ? entry.mayHaveRun : now < uncertainUntilMillis;
   }
 
-  private void dropOld(long now) {
-    while (!order.isEmpty() && (order.peek().expires <= now || order.size() > limit)) {
-      Kept oldest = order.poll();
-      boolean isLatest = kept.remove(oldest.key, oldest);
-      if (isLatest && oldest.mayHaveRun && oldest.expires > now) {
-        uncertainUntilMillis = Math.max(uncertainUntilMillis, oldest.expires);
+  private void evictOldest(long now) {
+    while (!oldestFirst.isEmpty()
+        && (oldestFirst.peek().expiryMillis <= now || oldestFirst.size() > limit)) {
+      RecentRequest oldest = oldestFirst.poll();
+      boolean isLatest = latestByKey.remove(oldest.key, oldest);
+      if (isLatest && oldest.mayHaveRun && oldest.expiryMillis > now) {
+        uncertainUntilMillis = Math.max(uncertainUntilMillis, oldest.expiryMillis);
       }
     }
   }
 
-  private record Kept(WorkKey key, boolean mayHaveRun, long expires) {}
+  private record RecentRequest(WorkKey key, boolean mayHaveRun, long expiryMillis) {}
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/Submission.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/Submission.java
@@ -28,7 +28,7 @@
    *
    * @return the copy
    */
-  public Submission afterEarlierTry() {
+  public Submission withPossibleEarlierRun() {
     return new Submission(item, payload, true);
   }
 
@@ -38,7 +38,7 @@
    * @param millis the time
    * @return the copy
    */
-  public Submission firstTriedAt(long millis) {
+  public Submission withFirstTriedMillis(long millis) {
     return new Submission(item.withFirstTriedMillis(millis), payload, mayHaveRun);
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskAdopter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskAdopter.java
@@ -37,9 +37,9 @@
   private final TimerService timers;
   private final PermitService permits;
   private final TaskOwners owners;
-  private final String self;
-  private final Map<String, WorkerDescription> known = new HashMap<>();
-  private final Set<String> waitingForWord = new HashSet<>();
+  private final String controllerId;
+  private final Map<String, WorkerDescription> descriptions = new HashMap<>();
+  private final Set<String> awaitingStartPermission = new HashSet<>();
 
   /**
    * Creates the adopter.
@@ -66,28 +66,28 @@
     this.timers = timers;
     this.permits = permits;
     this.owners = owners;
-    this.self = self;
+    this.controllerId = self;
   }
 
   @Override
   public void onStatus(WorkerDescription worker, WorkerStatus status, boolean open) {
-    known.put(worker.name(), worker);
+    descriptions.put(worker.name(), worker);
     boolean spoken = permits.mayStartOn(worker.name(), status.token());
     scheduler.putWorker(worker, open && spoken);
-    waitingForWord.remove(worker.name());
+    awaitingStartPermission.remove(worker.name());
     if (open && !spoken) {
-      waitingForWord.add(worker.name());
+      awaitingStartPermission.add(worker.name());
     }
     for (TaskStatus task : status.tasks()) {
       if (task.state() == TaskState.RUNNING) {
-        running(worker.name(), task);
-      } else if (hasAnswer(task) && !task.owner().equals(self)) {
-        ended(worker.name(), task);
+        handleRunningTask(worker.name(), task);
+      } else if (hasAnswer(task) && !task.owner().equals(controllerId)) {
+        handleEndedTask(worker.name(), task);
       }
     }
     permits.speakFor(worker.name(), status.token(), status.tasks());
-    dispatcher.onStatus(status);
-    work.pump();
+    dispatcher.onWorkerStatus(status);
+    work.placeQueuedWork();
   }
 
   /**
@@ -95,17 +95,17 @@
    *
    * @param worker the worker's name
    */
-  public void reopen(String worker) {
-    if (waitingForWord.remove(worker)) {
-      scheduler.putWorker(known.get(worker), true);
-      work.pump();
+  public void openIfAwaitingPermission(String worker) {
+    if (awaitingStartPermission.remove(worker)) {
+      scheduler.putWorker(descriptions.get(worker), true);
+      work.placeQueuedWork();
     }
   }
 
   @Override
   public void onClosed(String worker, String reason) {
-    WorkerDescription description = known.get(worker);
-    waitingForWord.remove(worker);
+    WorkerDescription description = descriptions.get(worker);
+    awaitingStartPermission.remove(worker);
     if (description != null) {
       LOGGER.log(Level.INFO, "work: worker {0} closed, {1}", worker, reason);
       scheduler.putWorker(description, false);
@@ -114,34 +114,34 @@
 
   @Override
   public void onLost(String worker) {
-    dispatcher.onLost(worker);
+    dispatcher.onWorkerLost(worker);
     scheduler.removeWorker(worker);
-    known.remove(worker);
-    waitingForWord.remove(worker);
+    descriptions.remove(worker);
+    awaitingStartPermission.remove(worker);
   }
 
   private static boolean hasAnswer(TaskStatus task) {
     return task.state() == TaskState.COMPLETED || task.state() == TaskState.FAILED;
   }
 
-  private void ended(String worker, TaskStatus task) {
+  private void handleEndedTask(String worker, TaskStatus task) {
     try {
       TaskId taskId = TaskId.parse(task.taskId());
       if (!dispatcher.isFollowed(taskId)) {
-        work.foundEnded(placed(worker, taskId, task));
+        work.recordEndedForeignTask(toPlacedTask(worker, taskId, task));
       }
     } catch (IllegalArgumentException error) {
       LOGGER.log(Level.WARNING, "work: worker {0} ran {1}, not one of ours", worker, task.taskId());
     }
   }
 
-  private static PlacedTask placed(String worker, TaskId taskId, TaskStatus task) {
+  private static PlacedTask toPlacedTask(String worker, TaskId taskId, TaskStatus task) {
     Resources reserved =
         new Resources(task.milliProcessors(), task.memoryMebibytes(), task.accelerators());
     return new PlacedTask(taskId, worker, WorkClass.valueOf(task.workClass()), reserved);
   }
 
-  private void running(String worker, TaskStatus task) {
+  private void handleRunningTask(String worker, TaskStatus task) {
     try {
       TaskId taskId = TaskId.parse(task.taskId());
       if (dispatcher.isFollowed(taskId)) {
@@ -157,7 +157,7 @@
   }
 
   private void adopt(String worker, TaskId taskId, TaskStatus task) {
-    PlacedTask placed = placed(worker, taskId, task);
+    PlacedTask placed = toPlacedTask(worker, taskId, task);
     long now = timers.nowMillis();
     WorkItem item =
         new WorkItem(
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskReport.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskReport.java
@@ -13,7 +13,7 @@
 
   static final byte[] NO_BODY = {};
 
-  static TaskReport without(TaskEnd end, String detail) {
+  static TaskReport withoutBody(TaskEnd end, String detail) {
     return new TaskReport(end, detail, NO_BODY);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskRun.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskRun.java
@@ -15,9 +15,9 @@
   private boolean orderUncertain;
   private boolean started;
   private boolean ended;
-  private boolean asking;
+  private boolean callPending;
   private long highestToken;
-  private int tries;
+  private int retries;
 
   TaskRun(PlacedTask task, byte[] payload) {
     this.task = task;
@@ -47,7 +47,7 @@
   void setStarted() {
     started = true;
     orderUncertain = false;
-    tries = 0;
+    retries = 0;
   }
 
   boolean isEnded() {
@@ -58,24 +58,24 @@
     ended = true;
   }
 
-  boolean isAsking() {
-    return asking;
+  boolean isCallPending() {
+    return callPending;
   }
 
-  void setAsking(boolean open) {
-    asking = open;
+  void setCallPending(boolean open) {
+    callPending = open;
   }
 
   long highestToken() {
     return highestToken;
   }
 
-  void sentWith(long token) {
+  void recordOrderToken(long token) {
     highestToken = Math.max(highestToken, token);
   }
 
-  int nextTry() {
-    return tries++;
+  int nextRetryNumber() {
+    return retries++;
   }
 
   boolean wantsAnswer() {
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkEntry.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkEntry.java
@@ -20,7 +20,7 @@
 
   private final Submission submission;
   private final List<Consumer<WorkResult>> waiters = new ArrayList<>();
-  private final Map<TaskId, PlacedTask> live = new HashMap<>();
+  private final Map<TaskId, PlacedTask> liveTasks = new HashMap<>();
   private final List<TaskReport> reports = new ArrayList<>();
   private WorkResult result;
   private boolean cancelled;
@@ -83,19 +83,19 @@
     queued = inQueue;
   }
 
-  void placed(List<PlacedTask> tasks, long now) {
+  void recordPlacement(List<PlacedTask> tasks, long now) {
     queued = false;
     placedMillis = now;
     startedTasks = 0;
     reports.clear();
-    tasks.forEach(task -> live.put(task.taskId(), task));
+    tasks.forEach(task -> liveTasks.put(task.taskId(), task));
   }
 
   long placedMillis() {
     return placedMillis;
   }
 
-  void started() {
+  void recordStart() {
     startedTasks++;
   }
 
@@ -103,18 +103,18 @@
     return startedTasks > 0;
   }
 
-  List<PlacedTask> live() {
-    return List.copyOf(live.values());
+  List<PlacedTask> liveTasks() {
+    return List.copyOf(liveTasks.values());
   }
 
   /** Returns true if the task was one of the live ones and none is left. */
-  boolean taskEnded(TaskId taskId, TaskReport report) {
-    if (live.remove(taskId) == null) {
+  boolean recordEnd(TaskId taskId, TaskReport report) {
+    if (liveTasks.remove(taskId) == null) {
       return false;
     }
     reports.add(report);
     mayHaveRun |= report.end() != TaskEnd.NOT_STARTED;
-    return live.isEmpty();
+    return liveTasks.isEmpty();
   }
 
   List<TaskReport> reports() {
@@ -130,7 +130,7 @@
     return cancelled;
   }
 
-  void cancel() {
+  void markCancelled() {
     cancelled = true;
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
@@ -39,10 +39,10 @@
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
   /** A peer may first have to ask the log for permits, some tens of milliseconds. */
-  private static final Duration RETURN_AFTER = Duration.ofMillis(250);
+  private static final Duration RETURN_TIMEOUT = Duration.ofMillis(250);
 
   /** After these the work has not run at the peer and waits at its home again. */
-  private static final Set<RefusalReason> RETURNED =
+  private static final Set<RefusalReason> RETURN_REASONS =
       Set.of(
           RefusalReason.NO_ROOM,
           RefusalReason.QUEUE_FULL,
@@ -50,7 +50,7 @@
           RefusalReason.NOT_READY,
           RefusalReason.SHUTTING_DOWN);
 
-  private static final Duration OVERLONG_PERIOD = Duration.ofSeconds(5);
+  private static final Duration OVERLONG_CHECK_INTERVAL = Duration.ofSeconds(5);
 
   private final WorkSettings settings;
   private final Scheduler scheduler;
@@ -59,13 +59,13 @@
   private final AttemptGate gate;
   private final WorkObserver observer;
   private final AnswerCache answers;
-  private final RecentRequests recent;
-  private final FoundEnds foundEnds;
+  private final RecentRequests recentRequests;
+  private final EndedForeignTasks endedForeignTasks;
   private final Map<WorkKey, WorkEntry> entries = new HashMap<>();
   private Dispatcher dispatcher;
   private Runnable beforePlacing = () -> {};
   private LongPredicate soleHomeSince = since -> true;
-  private boolean pumping;
+  private boolean placing;
 
   /**
    * Creates a service without work.
@@ -90,9 +90,11 @@
     this.control = control;
     this.gate = gate;
     this.observer = observer;
-    this.answers = new AnswerCache(settings.answerKeepMillis(), settings.answerKeepBytes());
-    this.foundEnds = new FoundEnds(settings.answerKeepMillis(), settings.recentRequestsLimit());
-    this.recent = new RecentRequests(settings.answerKeepMillis(), settings.recentRequestsLimit());
+    this.answers = new AnswerCache(settings.answerRetentionMillis(), settings.answerCacheBytes());
+    this.endedForeignTasks =
+        new EndedForeignTasks(settings.answerRetentionMillis(), settings.recentRequestsLimit());
+    this.recentRequests =
+        new RecentRequests(settings.answerRetentionMillis(), settings.recentRequestsLimit());
   }
 
   /**
@@ -102,8 +104,8 @@
    */
   public void start(Dispatcher taskDispatcher) {
     dispatcher = taskDispatcher;
-    timers.every(Duration.ofMillis(settings.tickMillis()), this::tick);
-    timers.every(OVERLONG_PERIOD, this::stopOverlong);
+    timers.every(Duration.ofMillis(settings.queueCheckMillis()), this::checkQueue);
+    timers.every(OVERLONG_CHECK_INTERVAL, this::stopOverlong);
   }
 
   /**
@@ -136,12 +138,12 @@
     if (join(submission, answer)) {
       return;
     }
-    boolean mayHaveRun = recent.mayHaveRun(key, timers.nowMillis());
-    WorkEntry entry = new WorkEntry(mayHaveRun ? submission.afterEarlierTry() : submission);
+    boolean mayHaveRun = recentRequests.mayHaveRun(key, timers.nowMillis());
+    WorkEntry entry = new WorkEntry(mayHaveRun ? submission.withPossibleEarlierRun() : submission);
     entries.put(key, entry);
     entry.addWaiter(answer);
     enqueue(entry);
-    pump();
+    placeQueuedWork();
   }
 
   /**
@@ -160,22 +162,22 @@
     }
     WorkEntry entry = entries.get(key);
     if (entry == null) {
-      return joinEnded(submission, answer);
+      return joinEndedForeignTask(submission, answer);
     }
     entry.addWaiter(answer);
     return true;
   }
 
-  private boolean joinEnded(Submission submission, Consumer<WorkResult> answer) {
+  private boolean joinEndedForeignTask(Submission submission, Consumer<WorkResult> answer) {
     long now = timers.nowMillis();
-    Optional<PlacedTask> ended = foundEnds.take(submission.item().key(), now);
+    Optional<PlacedTask> ended = endedForeignTasks.remove(submission.item().key(), now);
     ended.ifPresent(
         task -> {
-          WorkEntry entry = new WorkEntry(submission.afterEarlierTry());
+          WorkEntry entry = new WorkEntry(submission.withPossibleEarlierRun());
           entries.put(submission.item().key(), entry);
           entry.addWaiter(answer);
-          entry.placed(List.of(task), now);
-          entry.started();
+          entry.recordPlacement(List.of(task), now);
+          entry.recordStart();
           dispatcher.adopt(task);
         });
     return ended.isPresent();
@@ -197,7 +199,7 @@
       return;
     }
     entry.setMovable(false);
-    timers.after(RETURN_AFTER, () -> returnIfQueued(entry));
+    timers.after(RETURN_TIMEOUT, () -> returnIfQueued(entry));
   }
 
   private void returnIfQueued(WorkEntry entry) {
@@ -213,7 +215,7 @@
    * @param send sends it and gives its answer
    * @return false if it does not wait here or may not be moved
    */
-  public boolean shift(WorkKey key, Function<Submission, Uni<WorkResult>> send) {
+  public boolean moveToPeer(WorkKey key, Function<Submission, Uni<WorkResult>> send) {
     WorkEntry entry = entries.get(key);
     if (entry == null || !entry.isMovable() || !scheduler.cancelQueued(key)) {
       return false;
@@ -221,18 +223,18 @@
     entry.setQueued(false);
     send.apply(entry.submission())
         .subscribe()
-        .with(result -> control.execute(() -> shifted(entry, result)));
+        .with(result -> control.execute(() -> handleMoveResult(entry, result)));
     return true;
   }
 
-  private void shifted(WorkEntry entry, WorkResult result) {
+  private void handleMoveResult(WorkEntry entry, WorkResult result) {
     boolean returned =
-        result.refusal().map(refusal -> RETURNED.contains(refusal.reason())).orElse(false);
+        result.refusal().map(refusal -> RETURN_REASONS.contains(refusal.reason())).orElse(false);
     if (returned && entry.isCancelled()) {
       refuse(entry, new Refusal(RefusalReason.CANCELLED, "cancelled while it waited", 0));
     } else if (returned) {
       enqueue(entry);
-      pump();
+      placeQueuedWork();
     } else {
       finish(entry, result);
     }
@@ -253,10 +255,10 @@
     WorkEntry entry =
         entries.computeIfAbsent(
             item.key(), key -> new WorkEntry(new Submission(item, TaskReport.NO_BODY)));
-    List<PlacedTask> live = new ArrayList<>(entry.live());
+    List<PlacedTask> live = new ArrayList<>(entry.liveTasks());
     live.add(task);
-    entry.placed(live, now);
-    entry.started();
+    entry.recordPlacement(live, now);
+    entry.recordStart();
     dispatcher.adopt(task);
   }
 
@@ -266,11 +268,11 @@
    *
    * @param task the task
    */
-  public void foundEnded(PlacedTask task) {
+  public void recordEndedForeignTask(PlacedTask task) {
     WorkKey key = task.taskId().key();
     boolean isRequest = task.workClass().isSynchronous() && AttemptKey.parse(key).isEmpty();
     if (isRequest && !entries.containsKey(key)) {
-      foundEnds.put(task, timers.nowMillis());
+      endedForeignTasks.put(task, timers.nowMillis());
     }
   }
 
@@ -286,11 +288,11 @@
     if (entry == null || entry.isFinished()) {
       return false;
     }
-    entry.cancel();
+    entry.markCancelled();
     if (scheduler.cancelQueued(key)) {
       refuse(entry, new Refusal(RefusalReason.CANCELLED, detail, 0));
     } else {
-      entry.live().forEach(task -> dispatcher.stop(task.taskId(), false));
+      entry.liveTasks().forEach(task -> dispatcher.stop(task.taskId(), false));
     }
     return true;
   }
@@ -299,7 +301,7 @@
    * Sends all requests that have not started away, as this instance can start nothing any more. It
    * was fenced off, so others were home of them meanwhile and may have run them.
    */
-  public void refuseWaiting() {
+  public void refuseQueuedWork() {
     for (WorkEntry entry : List.copyOf(entries.values())) {
       if (entry.isQueued() && scheduler.cancelQueued(entry.item().key())) {
         String detail = "this instance starts anew";
@@ -333,7 +335,7 @@
     long now = timers.nowMillis();
     return entries.containsKey(key)
         || answers.find(key, now).isPresent()
-        || foundEnds.contains(key, now);
+        || endedForeignTasks.contains(key, now);
   }
 
   /**
@@ -342,22 +344,22 @@
    * @param key the work
    * @return false if it was, or if too much was taken in since to tell
    */
-  public boolean neverTaken(WorkKey key) {
-    return !knows(key) && !recent.mayHaveRun(key, timers.nowMillis());
+  public boolean wasNeverTaken(WorkKey key) {
+    return !knows(key) && !recentRequests.mayHaveRun(key, timers.nowMillis());
   }
 
   /** Places what can be placed now. Called whenever room, permits or work have come. */
-  public void pump() {
-    if (pumping || dispatcher == null) {
+  public void placeQueuedWork() {
+    if (placing || dispatcher == null) {
       return;
     }
-    pumping = true;
+    placing = true;
     try {
       beforePlacing.run();
       List<Placement> placements = scheduler.place(timers.nowMillis());
-      placements.forEach(this::begin);
+      placements.forEach(this::requestStart);
     } finally {
-      pumping = false;
+      placing = false;
     }
   }
 
@@ -368,19 +370,19 @@
     for (WorkEntry entry : entries.values()) {
       boolean overlong = entry.hasStarted() && entry.placedMillis() < started;
       if (overlong && entry.item().workClass().isSynchronous()) {
-        entry.live().forEach(task -> dispatcher.stop(task.taskId(), false));
+        entry.liveTasks().forEach(task -> dispatcher.stop(task.taskId(), false));
       }
     }
   }
 
-  private void tick() {
+  private void checkQueue() {
     for (GivenUp givenUp : scheduler.expire(timers.nowMillis())) {
       WorkEntry entry = entries.get(givenUp.item().key());
       if (entry != null) {
         refuse(entry, givenUp.refusal());
       }
     }
-    pump();
+    placeQueuedWork();
   }
 
   private void enqueue(WorkEntry entry) {
@@ -393,20 +395,20 @@
     }
   }
 
-  private void begin(Placement placement) {
+  private void requestStart(Placement placement) {
     WorkEntry entry = entries.get(placement.item().key());
-    entry.placed(placement.tasks(), timers.nowMillis());
-    gate.request(placement, taken -> opened(entry, placement, taken));
+    entry.recordPlacement(placement.tasks(), timers.nowMillis());
+    gate.requestStart(placement, taken -> handleStartDecision(entry, placement, taken));
   }
 
-  private void opened(WorkEntry entry, Placement placement, boolean taken) {
+  private void handleStartDecision(WorkEntry entry, Placement placement, boolean taken) {
     if (taken && !entry.isCancelled()) {
       placement.tasks().forEach(task -> dispatcher.start(task, entry.submission().payload()));
       return;
     }
     String detail = taken ? "cancelled before it started" : "the attempt was not taken";
     for (PlacedTask task : placement.tasks()) {
-      onEnded(task.taskId(), TaskReport.without(TaskEnd.NOT_STARTED, detail));
+      onEnded(task.taskId(), TaskReport.withoutBody(TaskEnd.NOT_STARTED, detail));
     }
   }
 
@@ -419,7 +421,7 @@
     if (!entry.hasStarted()) {
       observer.onStarted(entry.item(), timers.nowMillis() - entry.item().submittedMillis());
     }
-    entry.started();
+    entry.recordStart();
   }
 
   @Override
@@ -427,29 +429,29 @@
     scheduler.ended(taskId, report.end(), timers.nowMillis());
     WorkEntry entry = entries.get(taskId.key());
     if (entry != null) {
-      boolean allEnded = entry.taskEnded(taskId, report);
+      boolean allEnded = entry.recordEnd(taskId, report);
       if (allEnded) {
         conclude(entry);
       } else if (report.end() != TaskEnd.COMPLETED && entry.item().workClass() == WorkClass.GANG) {
-        stopRest(entry);
+        stopRemainingTasks(entry);
       }
     }
-    pump();
+    placeQueuedWork();
   }
 
   // A gang's tasks wait for each other. If one is gone the others would hold their room for ever.
-  private void stopRest(WorkEntry entry) {
-    entry.live().forEach(task -> dispatcher.stop(task.taskId(), false));
+  private void stopRemainingTasks(WorkEntry entry) {
+    entry.liveTasks().forEach(task -> dispatcher.stop(task.taskId(), false));
   }
 
   private void conclude(WorkEntry entry) {
     List<TaskReport> reports = entry.reports();
-    if (all(reports, TaskEnd.COMPLETED)) {
+    if (allEndedAs(reports, TaskEnd.COMPLETED)) {
       answer(entry, Outcome.COMPLETED, "", reports.get(0).body());
-    } else if (has(reports, TaskEnd.FAILED)) {
-      TaskReport failed = first(reports, TaskEnd.FAILED);
+    } else if (anyEndedAs(reports, TaskEnd.FAILED)) {
+      TaskReport failed = firstEndedAs(reports, TaskEnd.FAILED);
       answer(entry, Outcome.FAILED, failed.detail(), failed.body());
-    } else if (all(reports, TaskEnd.NOT_STARTED)) {
+    } else if (allEndedAs(reports, TaskEnd.NOT_STARTED)) {
       retryOrRefuse(entry, reports.get(0).detail());
     } else if (entry.isCancelled()) {
       answer(entry, Outcome.FAILED, "cancelled while it ran", TaskReport.NO_BODY);
@@ -485,15 +487,15 @@
     enqueue(entry);
   }
 
-  private static boolean all(List<TaskReport> reports, TaskEnd end) {
+  private static boolean allEndedAs(List<TaskReport> reports, TaskEnd end) {
     return reports.stream().allMatch(report -> report.end() == end);
   }
 
-  private static boolean has(List<TaskReport> reports, TaskEnd end) {
+  private static boolean anyEndedAs(List<TaskReport> reports, TaskEnd end) {
     return reports.stream().anyMatch(report -> report.end() == end);
   }
 
-  private static TaskReport first(List<TaskReport> reports, TaskEnd end) {
+  private static TaskReport firstEndedAs(List<TaskReport> reports, TaskEnd end) {
     return reports.stream().filter(report -> report.end() == end).findFirst().orElseThrow();
   }
 
@@ -518,7 +520,7 @@
     }
     if (entry.item().workClass().isSynchronous() && !entry.submission().isJournaled()) {
       boolean mayHaveRun = !(result instanceof WorkResult.Refused);
-      recent.put(entry.item().key(), mayHaveRun, now);
+      recentRequests.recordEnd(entry.item().key(), mayHaveRun, now);
     }
     observer.onFinished(entry.item(), result, now - entry.item().submittedMillis());
     entry.finish(result);
--- a/daemon/src/test/java/org/hickorypier/daemon/work/WorkBench.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/work/WorkServiceFixture.java
@@ -41,21 +41,21 @@
  * One instance's work, decisions and permits, on fake time, with one worker. Placed tasks stop at
  * the gate; a test says how they end. Not thread safe.
  */
-final class WorkBench {
+final class WorkServiceFixture {
 
   static final String TEAM = "norte";
-  static final String OTHER = "entry-2#1";
+  static final String OTHER_CONTROLLER = "entry-2#1";
 
   private static final Holder SELF = new Holder("entry-1", 1);
-  private static final Resources SMALL = new Resources(1_000, 1_024, 0);
+  private static final Resources TASK_RESOURCES = new Resources(1_000, 1_024, 0);
   private static final WorkerDescription WORKER =
       new WorkerDescription("worker-1", "dc1", "rack1", new Resources(16_000, 65_536, 0), 8);
   private static final long LEASE_MILLIS = 5_000;
   private static final long DEADLINE_MILLIS = 10_000;
-  private static final int ANSWER_BYTES = 1_024;
+  private static final int ANSWER_CACHE_BYTES = 1_024;
 
   /** Each takes some 200 bytes. */
-  static final int ANSWERS_KEPT = ANSWER_BYTES / 200;
+  static final int MAX_CACHED_ANSWERS = ANSWER_CACHE_BYTES / 200;
 
   final ManualTimerService timers = new ManualTimerService();
   final List<PlacedTask> placed = new ArrayList<>();
@@ -68,10 +68,10 @@
       new TaskOwners((worker, owner) -> permits().covers(worker, owner));
   private long offset;
 
-  WorkBench() {
+  WorkServiceFixture() {
     work =
         new WorkService(
-            new WorkSettings(3, 60_000, ANSWER_BYTES, 1_000, 50, 600_000),
+            new WorkSettings(3, 60_000, ANSWER_CACHE_BYTES, 1_000, 50, 600_000),
             scheduler,
             timers,
             timers,
@@ -91,7 +91,7 @@
             timers,
             timers,
             address -> null,
-            new NobodyElse(),
+            new SoleController(),
             SELF.toString());
     work.start(
         new Dispatcher(
@@ -111,9 +111,9 @@
   }
 
   /** Folds a limit of the team, and this instance's hold of some permits below it. */
-  void hold(int limit, int count) {
+  void setLimitAndHold(int limit, int count) {
     permits.onRecord(offset++, new Limit(TEAM, 1, limit));
-    plan();
+    planPermits();
     permits.onRecord(offset++, new Hold(SELF.instance(), SELF.incarnation(), offset, TEAM, count));
   }
 
@@ -124,7 +124,7 @@
             new WorkKey(TEAM, requestId),
             WorkClass.REQUEST,
             "",
-            SMALL,
+            TASK_RESOURCES,
             1,
             idempotent,
             now,
@@ -134,29 +134,31 @@
   }
 
   /** Finds a task that another instance started, and whose permit that instance still holds. */
-  TaskId findTaskOfAnother(String requestId) {
+  TaskId adoptForeignTask(String requestId) {
     TaskId taskId = new TaskId(new WorkKey(TEAM, requestId), 1, 0);
     long now = timers.nowMillis();
-    WorkItem item = new WorkItem(taskId.key(), WorkClass.BATCH, "", SMALL, 1, false, now, now, 0);
-    owners.put(taskId, OTHER);
-    work.adopt(new PlacedTask(taskId, WORKER.name(), WorkClass.BATCH, SMALL), item);
-    plan();
+    WorkItem item =
+        new WorkItem(taskId.key(), WorkClass.BATCH, "", TASK_RESOURCES, 1, false, now, now, 0);
+    owners.put(taskId, OTHER_CONTROLLER);
+    work.adopt(new PlacedTask(taskId, WORKER.name(), WorkClass.BATCH, TASK_RESOURCES), item);
+    planPermits();
     return taskId;
   }
 
   /** Finds the end of a request that another instance ran. */
-  void findEndOfAnother(String requestId) {
+  void recordEndedForeignTask(String requestId) {
     TaskId taskId = new TaskId(new WorkKey(TEAM, requestId), 1, 0);
-    work.foundEnded(new PlacedTask(taskId, "worker that has left", WorkClass.REQUEST, SMALL));
+    work.recordEndedForeignTask(
+        new PlacedTask(taskId, "worker that has left", WorkClass.REQUEST, TASK_RESOURCES));
   }
 
-  private void plan() {
+  private void planPermits() {
     permits.planSoon(TEAM);
     timers.advance(Duration.ZERO);
   }
 
-  void end(TaskId taskId, TaskEnd end) {
-    work.onEnded(taskId, TaskReport.without(end, "as the test says"));
+  void endTask(TaskId taskId, TaskEnd end) {
+    work.onEnded(taskId, TaskReport.withoutBody(end, "as the test says"));
   }
 
   List<String> placedRequests() {
@@ -165,7 +167,7 @@
 
   private void openLog() {
     MessagePackCodec<PermitRecord> codec = new MessagePackCodec<>(PermitRecord.class);
-    LogService log = new QuietLog();
+    LogService log = new SilentLog();
     LogFollower<PermitRecord> follower =
         new LogFollower<>(
             log, "permits", codec, timers, timers, new Random(7), FollowSettings.DEFAULT);
@@ -184,9 +186,9 @@
   }
 
   /** Has nothing to read and answers no append; the tests fold records themselves. */
-  private static final class QuietLog implements LogService {
+  private static final class SilentLog implements LogService {
 
-    private boolean heard;
+    private boolean firstReadAnswered;
 
     @Override
     public Uni<Long> append(String stream, List<byte[]> records) {
@@ -195,10 +197,10 @@
 
     @Override
     public Uni<LogPage> read(String stream, long from, int limit, Duration wait) {
-      if (heard) {
+      if (firstReadAnswered) {
         return Uni.createFrom().nothing();
       }
-      heard = true;
+      firstReadAnswered = true;
       return Uni.createFrom().item(new LogPage(List.of(), from));
     }
 
@@ -208,7 +210,7 @@
     }
   }
 
-  private static final class NobodyElse implements ControlView {
+  private static final class SoleController implements ControlView {
 
     @Override
     public boolean isWanted(String worker) {
--- a/daemon/src/test/java/org/hickorypier/daemon/work/WorkServiceTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/work/WorkServiceTest.java
@@ -11,124 +11,124 @@
 
 class WorkServiceTest {
 
-  private static final Duration PAST_THE_DEADLINE = Duration.ofSeconds(11);
+  private static final Duration PAST_DEADLINE = Duration.ofSeconds(11);
 
-  private final WorkBench bench = new WorkBench();
+  private final WorkServiceFixture fixture = new WorkServiceFixture();
 
   // A permit that another instance holds and uses again was used here too: the team ran over its
   // limit.
   @Test
-  void endOfAnotherInstancesTaskStartsNothingBeyondOwnPermits() {
-    bench.hold(2, 1);
-    final TaskId foreign = bench.findTaskOfAnother("foreign");
-    bench.submit("first", true);
-    bench.submit("second", true);
-    assertThat(bench.placedRequests()).containsExactly("first");
+  void endOfForeignTaskStartsNothingBeyondHeldPermits() {
+    fixture.setLimitAndHold(2, 1);
+    final TaskId foreign = fixture.adoptForeignTask("foreign");
+    fixture.submit("first", true);
+    fixture.submit("second", true);
+    assertThat(fixture.placedRequests()).containsExactly("first");
 
-    bench.end(foreign, TaskEnd.COMPLETED);
+    fixture.endTask(foreign, TaskEnd.COMPLETED);
 
-    assertThat(bench.placedRequests()).containsExactly("first");
+    assertThat(fixture.placedRequests()).containsExactly("first");
   }
 
   // A request whose first run was lost was said not to have run once its second found no place.
   @Test
   void requestThatMayHaveRunIsNotRefusedAsNotRun() {
-    bench.hold(1, 1);
-    bench.submit("first", true);
-    TaskId run = bench.placed.get(0).taskId();
-    bench.submit("second", true);
+    fixture.setLimitAndHold(1, 1);
+    fixture.submit("first", true);
+    TaskId run = fixture.placed.get(0).taskId();
+    fixture.submit("second", true);
 
-    bench.end(run, TaskEnd.LOST);
-    bench.timers.advance(PAST_THE_DEADLINE);
+    fixture.endTask(run, TaskEnd.LOST);
+    fixture.timers.advance(PAST_DEADLINE);
 
-    assertThat(bench.placedRequests()).containsExactly("first", "second");
-    assertThat(bench.answers).extracting(WorkResult::outcome).containsExactly(Outcome.UNKNOWN);
+    assertThat(fixture.placedRequests()).containsExactly("first", "second");
+    assertThat(fixture.answers).extracting(WorkResult::outcome).containsExactly(Outcome.UNKNOWN);
   }
 
   // The same request, refused before anything of it was ordered, did not run.
   @Test
   void requestThatNeverStartedIsRefusedAsNotRun() {
-    bench.hold(1, 1);
-    bench.submit("first", true);
-    bench.submit("second", true);
+    fixture.setLimitAndHold(1, 1);
+    fixture.submit("first", true);
+    fixture.submit("second", true);
 
-    bench.timers.advance(PAST_THE_DEADLINE);
+    fixture.timers.advance(PAST_DEADLINE);
 
-    assertThat(bench.answers).extracting(WorkResult::outcome).containsExactly(Outcome.NOT_RUN);
+    assertThat(fixture.answers).extracting(WorkResult::outcome).containsExactly(Outcome.NOT_RUN);
   }
 
   // An instance that was fenced off can start nothing; its callers waited for their deadlines. It
   // was paused, so another home may have run their repeats: it cannot call them not run.
   @Test
-  void waitingRequestsAreSentAwayAtOnceWhenAnInstanceStartsAnew() {
-    bench.hold(1, 1);
-    bench.submit("running", true);
-    bench.submit("waiting", true);
+  void fencedInstanceAnswersQueuedRequestsAsUnknownWithoutWaitingForDeadlines() {
+    fixture.setLimitAndHold(1, 1);
+    fixture.submit("running", true);
+    fixture.submit("waiting", true);
 
-    bench.work.refuseWaiting();
+    fixture.work.refuseQueuedWork();
 
-    assertThat(bench.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
-    assertThat(bench.answers).extracting(WorkResult::outcome).containsExactly(Outcome.UNKNOWN);
+    assertThat(fixture.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
+    assertThat(fixture.answers).extracting(WorkResult::outcome).containsExactly(Outcome.UNKNOWN);
   }
 
   /** Guards against "not run" for a request whose first try was told as unknown by this home. */
   @Test
-  void repeatOfAnUnknownRequestIsNotRefusedAsNotRun() {
-    bench.hold(1, 1);
-    bench.submit("first", true);
-    TaskId run = bench.placed.get(0).taskId();
-    bench.submit("second", true);
-    bench.end(run, TaskEnd.LOST);
-    bench.timers.advance(PAST_THE_DEADLINE);
-    bench.answers.clear();
-
-    bench.submit("first", true);
-    bench.timers.advance(PAST_THE_DEADLINE);
-
-    assertThat(bench.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
+  void repeatOfRequestWithUnknownOutcomeIsNotRefusedAsNotRun() {
+    fixture.setLimitAndHold(1, 1);
+    fixture.submit("first", true);
+    TaskId run = fixture.placed.get(0).taskId();
+    fixture.submit("second", true);
+    fixture.endTask(run, TaskEnd.LOST);
+    fixture.timers.advance(PAST_DEADLINE);
+    fixture.answers.clear();
+
+    fixture.submit("first", true);
+    fixture.timers.advance(PAST_DEADLINE);
+
+    assertThat(fixture.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
   }
 
   /** Guards against "not run" for a request that ran, and whose answer had no room to be kept. */
   @Test
-  void repeatAfterDroppedAnswerIsNotRefusedAsNotRun() {
-    bench.hold(1, 1);
-    bench.submit("ran", true);
-    bench.end(bench.placed.get(0).taskId(), TaskEnd.COMPLETED);
-    for (int number = 0; number < WorkBench.ANSWERS_KEPT; number++) {
-      bench.submit("later-" + number, true);
-      bench.end(bench.placed.get(number + 1).taskId(), TaskEnd.COMPLETED);
+  void repeatAfterEvictedAnswerIsNotRefusedAsNotRun() {
+    fixture.setLimitAndHold(1, 1);
+    fixture.submit("ran", true);
+    fixture.endTask(fixture.placed.get(0).taskId(), TaskEnd.COMPLETED);
+    for (int number = 0; number < WorkServiceFixture.MAX_CACHED_ANSWERS; number++) {
+      fixture.submit("later-" + number, true);
+      fixture.endTask(fixture.placed.get(number + 1).taskId(), TaskEnd.COMPLETED);
     }
-    bench.submit("in the way", true);
-    bench.answers.clear();
+    fixture.submit("in the way", true);
+    fixture.answers.clear();
 
-    bench.submit("ran", true);
-    bench.timers.advance(PAST_THE_DEADLINE);
+    fixture.submit("ran", true);
+    fixture.timers.advance(PAST_DEADLINE);
 
-    assertThat(bench.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
+    assertThat(fixture.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
   }
 
   /** Guards against "not run" by a home that was paused while others were home of its work. */
   @Test
-  void refusalAfterPauseIsNotCertain() {
-    bench.hold(1, 1);
-    bench.submit("running", true);
-    bench.submit("waiting", true);
-    bench.work.soleHomeSince(since -> since > 0);
+  void refusalAfterPauseHasUnknownOutcome() {
+    fixture.setLimitAndHold(1, 1);
+    fixture.submit("running", true);
+    fixture.submit("waiting", true);
+    fixture.work.soleHomeSince(since -> since > 0);
 
-    bench.timers.advance(PAST_THE_DEADLINE);
+    fixture.timers.advance(PAST_DEADLINE);
 
-    assertThat(bench.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
+    assertThat(fixture.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
   }
 
   /** Guards against a request that waits for ever for the answer of a worker that has left. */
   @Test
-  void requestThatEndedOnWorkerThatHasLeftIsRunAgain() {
-    bench.hold(1, 1);
-    bench.findEndOfAnother("ran");
-    assertThat(bench.work.knows(new WorkKey(WorkBench.TEAM, "ran"))).isTrue();
+  void requestThatEndedOnDepartedWorkerIsRunAgain() {
+    fixture.setLimitAndHold(1, 1);
+    fixture.recordEndedForeignTask("ran");
+    assertThat(fixture.work.knows(new WorkKey(WorkServiceFixture.TEAM, "ran"))).isTrue();
 
-    bench.submit("ran", true);
+    fixture.submit("ran", true);
 
-    assertThat(bench.placedRequests()).containsExactly("ran");
+    assertThat(fixture.placedRequests()).containsExactly("ran");
   }
 }
