--- a/daemon/src/main/java/org/hickorypier/daemon/work/AnswerCache.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/AnswerCache.java
@@ -8,11 +8,11 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * Final answers kept for a while, so that a caller who repeats a request gets the first answer and
- * no second run.
+ * Caches final answers for a limited time, so that a repeated request gets the first answer and
+ * does not run again.
  *
- * <p>Belongs to the control thread. Invariant: the bytes kept never exceed the limit; the oldest
- * answer goes first.
+ * <p>Confined to the control thread. Invariant: the cached bytes never exceed the limit; the oldest
+ * answer is evicted first.
  */
 final class AnswerCache {
 
--- a/daemon/src/main/java/org/hickorypier/daemon/work/AttemptGate.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/AttemptGate.java
@@ -4,23 +4,23 @@
 import org.hickorypier.core.scheduling.Placement;
 
 /**
- * Says when a placement may be ordered from its workers.
+ * Decides when the tasks of a placement may be started on their workers.
  *
- * <p>Work that runs at most once is journaled first: its start may be ordered only after its
- * attempt has been read back from the log as taken.
+ * <p>Work that runs at most once is journaled first: its tasks may start only after the attempt has
+ * been read back from the log as taken.
  */
 @FunctionalInterface
 public interface AttemptGate {
 
-  /** A gate for work that needs no record. */
-  AttemptGate OPEN = (placement, verdict) -> verdict.accept(true);
+  /** Allows every start at once, for work whose attempts are not journaled. */
+  AttemptGate OPEN = (placement, decision) -> decision.accept(true);
 
   /**
-   * Asks for leave to start.
+   * Requests permission to start a placement.
    *
-   * @param placement what is to start
-   * @param verdict is told once, on the control thread: true to start, false if the attempt was not
-   *     taken and must not start
+   * @param placement the placement to start
+   * @param decision receives one value on the control thread: true to start, false if the attempt
+   *     was not taken and must not start
    */
-  void requestStart(Placement placement, Consumer<Boolean> verdict);
+  void requestStart(Placement placement, Consumer<Boolean> decision);
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/DispatchSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/DispatchSettings.java
@@ -6,9 +6,10 @@
  * <p>Immutable.
  *
  * @param leaseMillis the lease with which tasks start
- * @param initialRetryMillis the first wait before an uncertain order is asked after
- * @param maxRetryDoublings how often that wait doubles at the most
- * @param foreignPollMillis how often tasks are asked after on workers that others control
+ * @param initialRetryMillis the delay before the first retry of a call or a status query
+ * @param maxRetryDoublings how often that delay doubles at most
+ * @param foreignPollMillis the interval of status queries for tasks on workers that this instance
+ *     does not control
  */
 public record DispatchSettings(
     long leaseMillis, long initialRetryMillis, int maxRetryDoublings, long foreignPollMillis) {}
--- a/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
@@ -30,11 +30,11 @@
 import org.hickorypier.platform.worker.WorkerStatus;
 
 /**
- * Orders placed tasks from their workers and finds out what became of each.
+ * Starts placed tasks on their workers and determines how each task ends.
  *
- * <p>Belongs to the control thread. Invariants: a task is reported {@code NOT_STARTED} only if no
- * byte of an order left or the worker refused every order sent. It is reported {@code LOST} only if
- * nothing of it can run any more. Until one of the two is known its room stays taken.
+ * <p>Confined to the control thread. Invariants: a task is reported {@code NOT_STARTED} only if no
+ * byte of a start order was sent or the worker refused every order. It is reported {@code LOST}
+ * only if no part of it can still run. Its reservation is held until its end is known.
  */
 public final class Dispatcher {
 
@@ -54,39 +54,41 @@
    *
    * @param settings its limits
    * @param fleet the workers
-   * @param timers the time
+   * @param timers the clock and timers
    * @param control the control thread
-   * @param self this instance's name and incarnation
-   * @param startRule says whether tasks may start on a worker
-   * @param listener hears how the tasks go
+   * @param controllerId this instance's name and incarnation
+   * @param startRule decides whether tasks may start on a worker
+   * @param listener is notified of starts and ends of tasks
    */
   public Dispatcher(
       DispatchSettings settings,
       WorkerFleet fleet,
       TimerService timers,
       Executor control,
-      String self,
+      String controllerId,
       StartRule startRule,
       TaskListener listener) {
     this.settings = settings;
     this.fleet = fleet;
     this.timers = timers;
     this.control = control;
-    this.controllerId = self;
+    this.controllerId = controllerId;
     this.startRule = startRule;
     this.listener = listener;
   }
 
-  /** Starts the regular questions after tasks on workers that others control. */
+  /**
+   * Starts the periodic status queries for tasks on workers that this instance does not control.
+   */
   public void start() {
     timers.every(Duration.ofMillis(settings.foreignPollMillis()), this::pollForeignTasks);
   }
 
   /**
-   * Orders the start of a task.
+   * Starts a task on its worker.
    *
    * @param task the task and its worker
-   * @param payload what the task is given
+   * @param payload the input of the task
    */
   public void start(PlacedTask task, byte[] payload) {
     TaskRun run = new TaskRun(task, payload);
@@ -95,7 +97,7 @@
   }
 
   /**
-   * Follows a task that already runs, found after a takeover.
+   * Follows a task that was already started, found after a takeover.
    *
    * @param task the task and its worker
    */
@@ -119,10 +121,10 @@
   }
 
   /**
-   * Orders a running task to stop. Its end is reported as usual.
+   * Stops a running task. The listener is notified of its end.
    *
-   * @param taskId the task
-   * @param checkpoint whether to keep a checkpoint
+   * @param taskId the task; nothing is done if it is not followed
+   * @param checkpoint whether the worker keeps a checkpoint
    */
   public void stop(TaskId taskId, boolean checkpoint) {
     TaskRun run = runs.get(taskId);
@@ -142,30 +144,30 @@
   }
 
   /**
-   * Learns the ends of tasks from a worker's status.
+   * Applies the task states in a worker's status report.
    *
-   * @param status what the worker says
+   * @param status the report
    */
   public void onWorkerStatus(WorkerStatus status) {
-    Set<TaskId> named = new HashSet<>();
+    Set<TaskId> reported = new HashSet<>();
     for (TaskStatus task : status.tasks()) {
-      named.add(parseOrNull(task.taskId()));
+      reported.add(parseOrNull(task.taskId()));
       TaskRun run = task.state().isEnded() ? runs.get(parseOrNull(task.taskId())) : null;
       if (run != null && !run.wantsAnswer()) {
         applyStatus(run, task);
       }
     }
-    // A worker that has restarted and was claimed again at once renews its leases as before, and
-    // says nothing of the tasks that it has forgotten. They would fill it for ever.
+    // A worker that has restarted and was claimed again at once renews its leases as before, but no
+    // longer reports the tasks that it ran. Their reservations would never be released.
     for (TaskRun run : runsOnWorker(status.name())) {
-      if (run.isStarted() && !run.isCallPending() && !named.contains(run.task().taskId())) {
+      if (run.isStarted() && !run.isCallPending() && !reported.contains(run.task().taskId())) {
         queryTask(run);
       }
     }
   }
 
   /**
-   * Settles every task on a worker whose leases have run out.
+   * Reports every task on a worker as lost, after the worker's leases have expired.
    *
    * @param worker the worker's name
    */
@@ -179,12 +181,12 @@
     return selectRuns(run -> run.task().worker().equals(worker));
   }
 
-  private List<TaskRun> selectRuns(Predicate<TaskRun> wanted) {
-    return new ArrayList<>(runs.values().stream().filter(wanted).toList());
+  private List<TaskRun> selectRuns(Predicate<TaskRun> condition) {
+    return new ArrayList<>(runs.values().stream().filter(condition).toList());
   }
 
   private void sendStart(TaskRun run) {
-    // The worker may have been lost and claimed again since the task was placed on it.
+    // The worker may have been lost and claimed again since the task was placed.
     String worker = run.task().worker();
     Optional<WorkerHold> found =
         fleet.hold(worker).filter(hold -> startRule.mayStartOn(worker, hold.token()));
@@ -231,13 +233,13 @@
       finish(run, TaskReport.withoutBody(TaskEnd.NOT_STARTED, error.getMessage()));
       return;
     }
-    // The order may have started the task although no answer came. If its room were given away
-    // now, the worker could be overfull; if it were ordered elsewhere, it could run twice. The
-    // room stays taken until the worker itself has said what became of the order.
+    // The order may have started the task although no reply came. Releasing the reservation now
+    // could overcommit the worker, and starting the task elsewhere could run it twice. The
+    // reservation is held until the worker has reported the effect of the order.
     run.setOrderUncertain(true);
     LOGGER.log(
         Level.INFO,
-        "dispatch: start of {0} on {1} is uncertain, asking",
+        "dispatch: start of task {0} on worker {1} is uncertain; querying the worker",
         run.task().taskId().text(),
         run.task().worker());
     retryLater(run, () -> queryTask(run));
@@ -262,13 +264,13 @@
     } else if (run.isStarted()) {
       finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker no longer knows the task"));
     } else if (status.token() > run.highestToken()) {
-      // The worker refuses every order that we sent, even one that is still under way: nothing
-      // runs. But it may have restarted and forgotten a task that ran before, so this is not proof
-      // that it never did.
+      // The worker's newer fencing token makes it refuse every order sent, even one in transit, so
+      // nothing runs. It may have restarted since it ran the task, so this does not prove that the
+      // task never ran.
       finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker does not know the task"));
     } else {
-      // The order may still be under way. The same order again, with the same task id, starts it
-      // at most once and brings an answer.
+      // The order may still be in transit. Sending it again with the same task id starts the task
+      // at most once and brings a reply.
       sendStart(run);
     }
   }
@@ -315,14 +317,14 @@
       finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker was lost"));
       return;
     }
-    Uni<byte[]> whole =
+    Uni<byte[]> wholeBody =
         service
             .answer(run.task().taskId().text())
             .collect()
             .in(ByteArrayOutputStream::new, ByteArrayOutputStream::writeBytes)
             .map(ByteArrayOutputStream::toByteArray);
     Uni<TaskReport> report =
-        whole.flatMap(
+        wholeBody.flatMap(
             body -> service.task(run.task().taskId().text()).map(status -> toReport(status, body)));
     callWorker(
         run, report, end -> finish(run, end), error -> retryLater(run, () -> queryTask(run)));
@@ -347,13 +349,13 @@
     }
   }
 
-  private void retryLater(TaskRun run, Runnable step) {
+  private void retryLater(TaskRun run, Runnable action) {
     int doublings = Math.min(run.nextRetryNumber(), settings.maxRetryDoublings());
     timers.after(
         Duration.ofMillis(settings.initialRetryMillis() << doublings),
         () -> {
           if (!run.isEnded()) {
-            step.run();
+            action.run();
           }
         });
   }
@@ -368,18 +370,18 @@
   }
 
   private <T> void callWorker(
-      TaskRun run, Uni<T> call, Consumer<T> answered, Consumer<Throwable> failed) {
+      TaskRun run, Uni<T> call, Consumer<T> onReply, Consumer<Throwable> onFailure) {
     run.setCallPending(true);
     call.subscribe()
         .with(
-            value -> control.execute(() -> handleReply(run, () -> answered.accept(value))),
-            error -> control.execute(() -> handleReply(run, () -> failed.accept(error))));
+            value -> control.execute(() -> handleReply(run, () -> onReply.accept(value))),
+            error -> control.execute(() -> handleReply(run, () -> onFailure.accept(error))));
   }
 
-  private static void handleReply(TaskRun run, Runnable next) {
+  private static void handleReply(TaskRun run, Runnable action) {
     run.setCallPending(false);
     if (!run.isEnded()) {
-      next.run();
+      action.run();
     }
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/work/EndedForeignTasks.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/EndedForeignTasks.java
@@ -8,13 +8,14 @@
 import org.hickorypier.core.scheduling.PlacedTask;
 
 /**
- * Ends of requests that other instances ran, found on workers after a takeover.
+ * Ended tasks of requests that other instances ran, found on workers after a takeover.
  *
- * <p>Failure prevented: an instance is lost with an answer that its worker still holds; the request
- * would be run a second time, while its caller waits, or be called not run.
+ * <p>When an instance is lost, a worker may still hold the answer to one of its requests. Without
+ * this record the request would run a second time while its caller waits, or be reported as not
+ * run.
  *
- * <p>Belongs to the control thread. Invariant: never more than the limit; ends found beyond it are
- * passed over, and their requests are run again if asked for.
+ * <p>Confined to the control thread. Invariant: at most the limit of tasks is kept; tasks found
+ * beyond it are ignored, and their requests run again if they are repeated.
  */
 final class EndedForeignTasks {
 
@@ -22,12 +23,12 @@
   private final int limit;
   private final Map<WorkKey, EndedTask> tasksByKey = new LinkedHashMap<>();
 
-  EndedForeignTasks(long keepMillis, int limit) {
-    this.retentionMillis = keepMillis;
+  EndedForeignTasks(long retentionMillis, int limit) {
+    this.retentionMillis = retentionMillis;
     this.limit = limit;
   }
 
-  /** Notes a task that has ended. A worker lists the same end many times; the first counts. */
+  /** Adds an ended task. A worker reports the same end many times; only the first report counts. */
   void put(PlacedTask task, long now) {
     removeExpired(now);
     if (tasksByKey.size() < limit) {
@@ -40,7 +41,7 @@
     return tasksByKey.containsKey(key);
   }
 
-  /** Takes an end out, to fetch its answer. */
+  /** Removes and returns an ended task, so that its answer can be fetched. */
   Optional<PlacedTask> remove(WorkKey key, long now) {
     removeExpired(now);
     return Optional.ofNullable(tasksByKey.remove(key)).map(EndedTask::task);
--- a/daemon/src/main/java/org/hickorypier/daemon/work/FirstTryTracker.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/FirstTryTracker.java
@@ -6,14 +6,15 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * Remembers when callers first asked this instance, as home of their requests or on the way there,
- * whatever became of their tries.
+ * Tracks when callers first tried their requests at this instance, be it the home of the request or
+ * an instance on the way there, whatever the outcome of each try.
  *
- * <p>Load: a demand above the capacity, with callers whose tries were refused, or ended as unknown
- * with a lost instance. Harm prevented: whoever comes back would be the newest again.
+ * <p>When demand exceeds capacity, callers retry after a refusal, or after an unknown outcome
+ * caused by a lost instance. Without the time of the first try, each retry would count as the
+ * newest request.
  *
- * <p>Belongs to the control thread. Invariant: never more than the limit; whoever was not heard for
- * the longest time goes first.
+ * <p>Confined to the control thread. Invariant: at most the limit of requests is tracked; the least
+ * recently tried request is evicted first.
  */
 public final class FirstTryTracker {
 
@@ -22,29 +23,29 @@
   private final Map<WorkKey, TryTimes> triesByKey = new LinkedHashMap<>();
 
   /**
-   * Creates a memory without requests.
+   * Creates an empty tracker.
    *
-   * @param keepMillis how long after a try its caller may come back
-   * @param limit how many requests are remembered
+   * @param retentionMillis how long a request is tracked after its latest try
+   * @param limit the maximum number of tracked requests
    */
-  public FirstTryTracker(long keepMillis, int limit) {
-    this.retentionMillis = keepMillis;
+  public FirstTryTracker(long retentionMillis, int limit) {
+    this.retentionMillis = retentionMillis;
     this.limit = limit;
   }
 
   /**
-   * Notes a try.
+   * Records a try of a request.
    *
    * @param submission the request
-   * @param now the time
-   * @return the request with the time of its first try, as far as known here
+   * @param now the current time in milliseconds
+   * @return the request with the time of its earliest known try
    */
   public Submission recordTry(Submission submission, long now) {
     WorkKey key = submission.item().key();
     long first = submission.item().firstTriedMillis();
-    TryTimes before = triesByKey.remove(key);
-    if (before != null && now - before.lastMillis <= retentionMillis) {
-      first = Math.min(first, before.firstMillis);
+    TryTimes previous = triesByKey.remove(key);
+    if (previous != null && now - previous.lastMillis <= retentionMillis) {
+      first = Math.min(first, previous.firstMillis);
     }
     triesByKey.put(key, new TryTimes(first, now));
     evictOldest(now);
@@ -52,10 +53,10 @@
   }
 
   /**
-   * Tells for how long a caller has been asking.
+   * Returns for how long a request has been tried.
    *
    * @param key the request
-   * @param now the time
+   * @param now the current time in milliseconds
    * @return milliseconds since its first try, 0 if none is known
    */
   public long triedForMillis(WorkKey key, long now) {
@@ -67,8 +68,8 @@
   private void evictOldest(long now) {
     Iterator<TryTimes> oldest = triesByKey.values().iterator();
     while (oldest.hasNext()) {
-      boolean isOld = now - oldest.next().lastMillis > retentionMillis;
-      if (!isOld && triesByKey.size() <= limit) {
+      boolean isExpired = now - oldest.next().lastMillis > retentionMillis;
+      if (!isExpired && triesByKey.size() <= limit) {
         return;
       }
       oldest.remove();
--- a/daemon/src/main/java/org/hickorypier/daemon/work/RecentRequests.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/RecentRequests.java
@@ -7,13 +7,15 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * Remembers which requests were answered or refused here lately, longer than their answers.
+ * Tracks which requests this instance recently answered or refused, even after their answers have
+ * been evicted from the cache.
  *
- * <p>Failure prevented: a caller whose first try had an unknown outcome, or whose answer was lost,
- * comes back and is told that its request was not run, although it was.
+ * <p>Without it, a caller that repeats a request after an unknown outcome or a lost answer would be
+ * told that the request was not run, although it was.
  *
- * <p>Belongs to the control thread. Invariant: never more than the limit; what is forgotten before
- * its time makes everything uncertain until that time.
+ * <p>Confined to the control thread. Invariant: at most the limit of requests is tracked. If an
+ * entry that may have run is evicted before it expires, every untracked request counts as possibly
+ * run until that expiry time.
  */
 final class RecentRequests {
 
@@ -23,23 +25,23 @@
   private final Deque<RecentRequest> oldestFirst = new ArrayDeque<>();
   private long uncertainUntilMillis = Long.MIN_VALUE;
 
-  RecentRequests(long keepMillis, int limit) {
-    this.retentionMillis = keepMillis;
+  RecentRequests(long retentionMillis, int limit) {
+    this.retentionMillis = retentionMillis;
     this.limit = limit;
   }
 
-  /** Notes the end of a request. What may have run once stays so. */
+  /** Records the end of a request. A later end never clears an earlier possible run. */
   void recordEnd(WorkKey key, boolean mayHaveRun, long now) {
     evictOldest(now);
-    RecentRequest before = latestByKey.get(key);
-    boolean everMayHaveRun = mayHaveRun || before != null && before.mayHaveRun;
+    RecentRequest previous = latestByKey.get(key);
+    boolean everMayHaveRun = mayHaveRun || previous != null && previous.mayHaveRun;
     RecentRequest entry = new RecentRequest(key, everMayHaveRun, now + retentionMillis);
     latestByKey.put(key, entry);
     oldestFirst.add(entry);
     evictOldest(now);
   }
 
-  /** Tells whether an earlier try of a request may have run here. */
+  /** Returns whether an earlier try of a request may have run here. */
   boolean mayHaveRun(WorkKey key, long now) {
     evictOldest(now);
     RecentRequest entry = latestByKey.get(key);
--- a/daemon/src/main/java/org/hickorypier/daemon/work/StartRule.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/StartRule.java
@@ -1,15 +1,15 @@
 package org.hickorypier.daemon.work;
 
-/** Says whether tasks may start on a worker. Called on the control thread. */
+/** Decides whether tasks may start on a worker. Called on the control thread. */
 @FunctionalInterface
 public interface StartRule {
 
   /**
-   * Tells whether tasks may start on a worker under a control token.
+   * Returns whether tasks may start on a worker under a fencing token.
    *
    * @param worker the worker's name
-   * @param token our control token
-   * @return true if this instance's word for the worker has been read back
+   * @param token the fencing token under which this instance controls the worker
+   * @return true if this instance's adoption of the worker has been read back from the permit log
    */
   boolean mayStartOn(String worker, long token);
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/Submission.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/Submission.java
@@ -4,27 +4,27 @@
 import org.hickorypier.core.model.WorkItem;
 
 /**
- * A piece of work with what its tasks are given. The bytes must not be changed.
+ * A work item with the input of its tasks. The bytes must not be changed.
  *
- * @param item the work as the decisions see it
- * @param payload what the caller sent for the tasks
- * @param mayHaveRun whether an earlier try of the same work may have run, so that a refusal would
- *     not be certain
+ * @param item the work as the scheduler sees it
+ * @param payload the input of the tasks, as sent by the caller
+ * @param mayHaveRun whether an earlier try of the same work may have run, so that a refusal does
+ *     not prove that the work was not run
  */
 public record Submission(WorkItem item, byte[] payload, boolean mayHaveRun) {
 
   /**
-   * Creates one of which no earlier try is known.
+   * Creates a submission without a known earlier try.
    *
-   * @param item the work as the decisions see it
-   * @param payload what the caller sent for the tasks
+   * @param item the work as the scheduler sees it
+   * @param payload the input of the tasks, as sent by the caller
    */
   public Submission(WorkItem item, byte[] payload) {
     this(item, payload, false);
   }
 
   /**
-   * Returns the same work, of which an earlier try may have run.
+   * Returns a copy that is marked as possibly run by an earlier try.
    *
    * @return the copy
    */
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Returns the same work with another time of its caller's first try.
+   * Returns a copy with another time of the caller's first try.
    *
-   * @param millis the time
+   * @param millis the time in milliseconds
    * @return the copy
    */
   public Submission withFirstTriedMillis(long millis) {
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Tells whether this is one attempt of journaled work. The journal then decides on further
-   * attempts and remembers the outcome.
+   * Returns whether this is an attempt of journaled work. The journal then decides on further
+   * attempts and records the outcome.
    *
    * @return true if the key is that of an attempt
    */
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskAdopter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskAdopter.java
@@ -22,10 +22,10 @@
 import org.hickorypier.platform.worker.WorkerStatus;
 
 /**
- * Carries what is learned of workers into the decisions, and counts tasks found running there.
+ * Passes worker status on to the scheduler and adopts tasks that are found running on workers.
  *
- * <p>Belongs to the control thread. A task that another instance started still fills the worker; if
- * it were not counted, the worker would be given more than it holds.
+ * <p>Confined to the control thread. A task that another instance started still uses resources of
+ * the worker; if it were not counted, the worker would be overcommitted.
  */
 public final class TaskAdopter implements WorkerFleetListener {
 
@@ -44,13 +44,13 @@
   /**
    * Creates the adopter.
    *
-   * @param scheduler the decisions
-   * @param work the work decided here
+   * @param scheduler receives workers and resource usage
+   * @param work receives adopted and ended tasks
    * @param dispatcher follows tasks
-   * @param timers the time
-   * @param permits speaks for our workers
-   * @param owners who started the tasks on our workers
-   * @param self this instance's name and incarnation
+   * @param timers the clock
+   * @param permits adopts workers for this instance and decides whether tasks may start on them
+   * @param owners records which instance started each task on this instance's workers
+   * @param controllerId this instance's name and incarnation
    */
   public TaskAdopter(
       Scheduler scheduler,
@@ -59,23 +59,23 @@
       TimerService timers,
       PermitService permits,
       TaskOwners owners,
-      String self) {
+      String controllerId) {
     this.scheduler = scheduler;
     this.work = work;
     this.dispatcher = dispatcher;
     this.timers = timers;
     this.permits = permits;
     this.owners = owners;
-    this.controllerId = self;
+    this.controllerId = controllerId;
   }
 
   @Override
   public void onStatus(WorkerDescription worker, WorkerStatus status, boolean open) {
     descriptions.put(worker.name(), worker);
-    boolean spoken = permits.mayStartOn(worker.name(), status.token());
-    scheduler.putWorker(worker, open && spoken);
+    boolean mayStart = permits.mayStartOn(worker.name(), status.token());
+    scheduler.putWorker(worker, open && mayStart);
     awaitingStartPermission.remove(worker.name());
-    if (open && !spoken) {
+    if (open && !mayStart) {
       awaitingStartPermission.add(worker.name());
     }
     for (TaskStatus task : status.tasks()) {
@@ -91,7 +91,7 @@
   }
 
   /**
-   * Opens a worker on which tasks may start now, if only that was missing.
+   * Opens a worker to new tasks if it was closed only because tasks could not start on it yet.
    *
    * @param worker the worker's name
    */
@@ -107,7 +107,7 @@
     WorkerDescription description = descriptions.get(worker);
     awaitingStartPermission.remove(worker);
     if (description != null) {
-      LOGGER.log(Level.INFO, "work: worker {0} closed, {1}", worker, reason);
+      LOGGER.log(Level.INFO, "work: worker {0} accepts no new tasks: {1}", worker, reason);
       scheduler.putWorker(description, false);
     }
   }
@@ -131,7 +131,11 @@
         work.recordEndedForeignTask(toPlacedTask(worker, taskId, task));
       }
     } catch (IllegalArgumentException error) {
-      LOGGER.log(Level.WARNING, "work: worker {0} ran {1}, not one of ours", worker, task.taskId());
+      LOGGER.log(
+          Level.WARNING,
+          "work: worker {0} ended task {1}, which is not a task of this scheduler",
+          worker,
+          task.taskId());
     }
   }
 
@@ -152,7 +156,10 @@
       }
     } catch (IllegalArgumentException error) {
       LOGGER.log(
-          Level.WARNING, "work: worker {0} runs {1}, not one of ours", worker, task.taskId());
+          Level.WARNING,
+          "work: worker {0} runs task {1}, which is not a task of this scheduler",
+          worker,
+          task.taskId());
     }
   }
 
@@ -163,7 +170,7 @@
         new WorkItem(
             taskId.key(), placed.workClass(), "", placed.reserved(), 1, false, now, now, 0);
     owners.put(taskId, task.owner());
-    LOGGER.log(Level.INFO, "work: adopted {0} on {1}", task.taskId(), worker);
+    LOGGER.log(Level.INFO, "work: adopted task {0} on worker {1}", task.taskId(), worker);
     work.adopt(placed, item);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskListener.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskListener.java
@@ -2,21 +2,21 @@
 
 import org.hickorypier.core.model.TaskId;
 
-/** Hears how tasks go. Called on the control thread. */
+/** Receives starts and ends of tasks. Called on the control thread. */
 public interface TaskListener {
 
   /**
-   * The worker has confirmed that the task runs, or ran.
+   * Called when the worker confirms that the task runs, or ran.
    *
    * @param taskId the task
    */
   void onStarted(TaskId taskId);
 
   /**
-   * The task's fate is settled; nothing more will be heard of it.
+   * Called when the task's end is known; no further call follows for the task.
    *
    * @param taskId the task
-   * @param end how it ended
+   * @param end the report on its end
    */
   void onEnded(TaskId taskId, TaskReport end);
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskReport.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskReport.java
@@ -6,8 +6,8 @@
  * How one task ended. The bytes must not be changed.
  *
  * @param end the kind of end
- * @param detail a sentence for the caller, empty if completed
- * @param body the whole answer, empty if none was asked for
+ * @param detail a message for the caller, empty if completed
+ * @param body the whole answer, empty if none was requested
  */
 public record TaskReport(TaskEnd end, String detail, byte[] body) {
 
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskRun.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskRun.java
@@ -3,10 +3,10 @@
 import org.hickorypier.core.scheduling.PlacedTask;
 
 /**
- * One task between its placement and the moment its fate is settled.
+ * The state of one task from its placement until its end is known.
  *
- * <p>Belongs to the control thread. Invariant: {@code orderUncertain} stays true from the first
- * order whose effect is unknown until the worker has said what became of it.
+ * <p>Confined to the control thread. Invariant: {@code orderUncertain} stays true from the first
+ * start order whose effect is unknown until the worker has reported its effect.
  */
 final class TaskRun {
 
@@ -62,8 +62,8 @@
     return callPending;
   }
 
-  void setCallPending(boolean open) {
-    callPending = open;
+  void setCallPending(boolean pending) {
+    callPending = pending;
   }
 
   long highestToken() {
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkEntry.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkEntry.java
@@ -11,10 +11,10 @@
 import org.hickorypier.core.scheduling.TaskEnd;
 
 /**
- * One piece of work at this instance, from its submission until its answer is forgotten.
+ * The state of one work item at this instance, from its submission until its final answer.
  *
- * <p>Belongs to the control thread. Invariant: once {@code result} is set it never changes, and
- * every waiter has been told of it exactly once.
+ * <p>Confined to the control thread. Invariant: once {@code result} is set it never changes, and
+ * every waiter receives it exactly once.
  */
 final class WorkEntry {
 
@@ -57,12 +57,12 @@
       return;
     }
     result = finalResult;
-    List<Consumer<WorkResult>> toTell = List.copyOf(waiters);
+    List<Consumer<WorkResult>> toNotify = List.copyOf(waiters);
     waiters.clear();
-    toTell.forEach(waiter -> waiter.accept(finalResult));
+    toNotify.forEach(waiter -> waiter.accept(finalResult));
   }
 
-  /** Whether it may be sent to a peer; work that was sent here by its home may not. */
+  /** Returns whether the work may be sent to a peer; work that its home sent here may not. */
   boolean isMovable() {
     return movable;
   }
@@ -107,7 +107,7 @@
     return List.copyOf(liveTasks.values());
   }
 
-  /** Returns true if the task was one of the live ones and none is left. */
+  /** Records the end of a task and returns true if it was the last live task. */
   boolean recordEnd(TaskId taskId, TaskReport report) {
     if (liveTasks.remove(taskId) == null) {
       return false;
@@ -121,7 +121,7 @@
     return List.copyOf(reports);
   }
 
-  /** Whether an earlier attempt or try may have run, so that "not run" would not be true. */
+  /** Returns whether an earlier attempt or try may have run, so that "not run" may be false. */
   boolean mayHaveRun() {
     return mayHaveRun;
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkObserver.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkObserver.java
@@ -2,38 +2,38 @@
 
 import org.hickorypier.core.model.WorkItem;
 
-/** Hears of the steps of work, for metrics and the operators' record of refusals. */
+/** Observes the progress of work, for metrics and the operators' record of refusals. */
 public interface WorkObserver {
 
   /**
-   * The work waits in its queue.
+   * Called when the work enters its queue.
    *
    * @param item the work
    */
   default void onQueued(WorkItem item) {}
 
   /**
-   * A task of the work was confirmed by its worker for the first time.
+   * Called when a worker confirms the start of the first task of the work.
    *
    * @param item the work
-   * @param waitedMillis the time since it was submitted
+   * @param waitedMillis the time since its submission
    */
   default void onStarted(WorkItem item, long waitedMillis) {}
 
   /**
-   * The work has its final answer.
+   * Called when the work has its final answer.
    *
    * @param item the work
    * @param result the answer
-   * @param totalMillis the time since it was submitted
+   * @param totalMillis the time since its submission
    */
   default void onFinished(WorkItem item, WorkResult result, long totalMillis) {}
 
   /**
-   * Returns an observer that tells this one and then another.
+   * Returns an observer that notifies this one and then another.
    *
-   * @param next the other
-   * @return both in one
+   * @param next the other observer
+   * @return the combined observer
    */
   default WorkObserver andThen(WorkObserver next) {
     WorkObserver first = this;
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkResult.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkResult.java
@@ -4,20 +4,20 @@
 import org.hickorypier.core.model.Outcome;
 import org.hickorypier.core.model.Refusal;
 
-/** The final answer to one piece of work. Immutable. */
+/** The final answer to a work item. Immutable. */
 public sealed interface WorkResult {
 
   /**
-   * Returns the outcome in the terms told to callers.
+   * Returns the outcome as reported to callers.
    *
    * @return the outcome
    */
   Outcome outcome();
 
   /**
-   * Returns why the work was not taken this time, and when to come back.
+   * Returns why this try of the work was refused, and when to retry.
    *
-   * @return empty if it was taken
+   * @return empty if the try was accepted
    */
   default Optional<Refusal> refusal() {
     return Optional.empty();
@@ -27,16 +27,16 @@
    * The work ran, or may have run. The bytes must not be changed.
    *
    * @param outcome completed, failed or unknown
-   * @param detail a sentence for the caller, empty if completed
+   * @param detail a message for the caller, empty if completed
    * @param body the whole answer of the work, empty if there is none
    */
   record Answered(Outcome outcome, String detail, byte[] body) implements WorkResult {}
 
   /**
    * The work was certainly not run, neither by this try of its caller nor by an earlier one. Only a
-   * home that knows who was home before may say so.
+   * home that knows which instances were home before may return this result.
    *
-   * @param cause why, and when to come back
+   * @param cause why the work was not run, and when to retry
    */
   record Refused(Refusal cause) implements WorkResult {
     @Override
@@ -51,10 +51,10 @@
   }
 
   /**
-   * This try was not run, but an earlier one of the same caller may have been: nobody who can be
-   * asked knows.
+   * This try was not run, but an earlier try of the same caller may have been: no reachable
+   * instance knows.
    *
-   * @param cause why it was not run, and when to come back
+   * @param cause why this try was not run, and when to retry
    */
   record Unsettled(Refusal cause) implements WorkResult {
     @Override
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
@@ -28,9 +28,9 @@
 import org.hickorypier.daemon.time.TimerService;
 
 /**
- * The filters from deduplication to the answer, for work that is decided at this instance.
+ * Processes work that is scheduled at this instance, from deduplication to the final answer.
  *
- * <p>Belongs to the control thread. Invariants: a key is either unknown, waiting, running or
+ * <p>Confined to the control thread. Invariants: a key is either unknown, queued, running or
  * answered here; a second submission of a key joins the first; every submission gets exactly one
  * final answer.
  */
@@ -38,10 +38,10 @@
 
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
-  /** A peer may first have to ask the log for permits, some tens of milliseconds. */
+  /** Leaves a peer time to obtain permits from the log, which takes some tens of milliseconds. */
   private static final Duration RETURN_TIMEOUT = Duration.ofMillis(250);
 
-  /** After these the work has not run at the peer and waits at its home again. */
+  /** Refusals after which the work has not run at the peer and is queued at its home again. */
   private static final Set<RefusalReason> RETURN_REASONS =
       Set.of(
           RefusalReason.NO_ROOM,
@@ -71,11 +71,11 @@
    * Creates a service without work.
    *
    * @param settings its limits
-   * @param scheduler the decisions
-   * @param timers the time
+   * @param scheduler queues and places the work
+   * @param timers the clock and timers
    * @param control the control thread
-   * @param gate says when a placement may be ordered
-   * @param observer hears of the steps
+   * @param gate decides when a placement may start
+   * @param observer is notified of the progress of work
    */
   public WorkService(
       WorkSettings settings,
@@ -98,9 +98,9 @@
   }
 
   /**
-   * Starts the regular look at waiting work.
+   * Starts the periodic checks of queued and running work.
    *
-   * @param taskDispatcher orders the tasks; it reports to this service
+   * @param taskDispatcher starts the tasks and reports to this service
    */
   public void start(Dispatcher taskDispatcher) {
     dispatcher = taskDispatcher;
@@ -109,29 +109,29 @@
   }
 
   /**
-   * Sets what is done each time before work is placed.
+   * Sets the action that runs each time before work is placed.
    *
-   * @param step brings the permits up to date
+   * @param action updates the permits
    */
-  public void beforePlacing(Runnable step) {
-    beforePlacing = step;
+  public void beforePlacing(Runnable action) {
+    beforePlacing = action;
   }
 
   /**
-   * Sets what tells whether no other instance can have become home of this one's work unnoticed
-   * since a time. Without that a refusal is not certain.
+   * Sets the check that no other instance can have become home of this instance's work unnoticed
+   * since a given time. If the check fails, a refusal does not prove that the work was not run.
    *
-   * @param rule is given the time
+   * @param check receives the time in milliseconds
    */
-  public void soleHomeSince(LongPredicate rule) {
-    soleHomeSince = rule;
+  public void soleHomeSince(LongPredicate check) {
+    soleHomeSince = check;
   }
 
   /**
-   * Takes work in, or joins it to the same work taken in before.
+   * Accepts work, or joins it to an earlier submission of the same key.
    *
    * @param submission the work
-   * @param answer is given the final answer, on the control thread
+   * @param answer receives the final answer on the control thread
    */
   public void submit(Submission submission, Consumer<WorkResult> answer) {
     WorkKey key = submission.item().key();
@@ -147,11 +147,11 @@
   }
 
   /**
-   * Joins work that waits or runs here, or was answered here lately.
+   * Joins work that is queued or running here, or was recently answered here.
    *
    * @param submission the work
-   * @param answer is given the final answer, on the control thread
-   * @return false if it is not known here, so that there is nothing to join
+   * @param answer receives the final answer on the control thread
+   * @return false if the key is not known here, so that there is nothing to join
    */
   public boolean join(Submission submission, Consumer<WorkResult> answer) {
     WorkKey key = submission.item().key();
@@ -184,11 +184,11 @@
   }
 
   /**
-   * Takes in work that its home has sent here. It is returned as {@link RefusalReason#NO_ROOM} if
-   * it does not start within a short time, and never sent on.
+   * Accepts work that its home has sent here. It is refused with {@link RefusalReason#NO_ROOM} if
+   * it is still queued after a short time, and is never forwarded.
    *
    * @param submission the work
-   * @param answer is given the final answer, on the control thread
+   * @param answer receives the final answer on the control thread
    */
   public void submitFromHome(Submission submission, Consumer<WorkResult> answer) {
     WorkKey key = submission.item().key();
@@ -204,16 +204,17 @@
 
   private void returnIfQueued(WorkEntry entry) {
     if (entry.isQueued() && scheduler.cancelQueued(entry.item().key())) {
-      refuse(entry, new Refusal(RefusalReason.NO_ROOM, "no room at this instance", 0));
+      refuse(entry, new Refusal(RefusalReason.NO_ROOM, "no capacity at this instance", 0));
     }
   }
 
   /**
-   * Sends waiting work to another instance. What comes back for want of room waits here again.
+   * Sends queued work to another instance. Work that the peer refuses without running it is queued
+   * here again.
    *
    * @param key the work
-   * @param send sends it and gives its answer
-   * @return false if it does not wait here or may not be moved
+   * @param send sends the work and returns its result
+   * @return false if the work is not queued here or may not be moved
    */
   public boolean moveToPeer(WorkKey key, Function<Submission, Uni<WorkResult>> send) {
     WorkEntry entry = entries.get(key);
@@ -241,10 +242,10 @@
   }
 
   /**
-   * Follows a task that was found running on a worker after a takeover.
+   * Adopts a task that was found running on a worker after a takeover.
    *
    * @param task the task
-   * @param item the work it belongs to, as far as it is known
+   * @param item the work that the task belongs to, as far as it is known
    */
   public void adopt(PlacedTask task, WorkItem item) {
     if (dispatcher.isFollowed(task.taskId())) {
@@ -263,8 +264,8 @@
   }
 
   /**
-   * Notes a request that another instance ran, found on a worker after its end. Its answer is
-   * fetched from there when its caller comes back.
+   * Records a request that another instance ran and that was found on a worker after its end. Its
+   * answer is fetched from the worker when the request is repeated.
    *
    * @param task the task
    */
@@ -277,10 +278,10 @@
   }
 
   /**
-   * Cancels work, waiting or running. Idempotent.
+   * Cancels queued or running work. Idempotent.
    *
    * @param key the work
-   * @param detail a sentence for the caller
+   * @param detail a message for the caller
    * @return false if the work is not known here or has its answer already
    */
   public boolean cancel(WorkKey key, String detail) {
@@ -298,13 +299,13 @@
   }
 
   /**
-   * Sends all requests that have not started away, as this instance can start nothing any more. It
-   * was fenced off, so others were home of them meanwhile and may have run them.
+   * Refuses all queued work, because a fenced instance cannot start tasks any more. Other instances
+   * may have become home of the work meanwhile and may have run it, so its outcome is unknown.
    */
   public void refuseQueuedWork() {
     for (WorkEntry entry : List.copyOf(entries.values())) {
       if (entry.isQueued() && scheduler.cancelQueued(entry.item().key())) {
-        String detail = "this instance starts anew";
+        String detail = "this instance was fenced off and restarts";
         finish(
             entry,
             new WorkResult.Unsettled(
@@ -317,7 +318,7 @@
    * Returns the number of synchronous requests without a final answer. Jobs are not counted: they
    * outlive an instance, and a shutdown that waited for a service would never end.
    *
-   * @return waiting and running requests
+   * @return the number of queued and running requests
    */
   public long openRequests() {
     return entries.values().stream()
@@ -326,7 +327,7 @@
   }
 
   /**
-   * Tells whether work waits or runs here, or was answered here lately.
+   * Returns whether work is queued or running here, or was recently answered here.
    *
    * @param key the work
    * @return true if a submission would join it
@@ -339,16 +340,17 @@
   }
 
   /**
-   * Tells whether work was certainly not taken in here for as long as callers come back.
+   * Returns whether work was certainly not accepted here within the time in which callers repeat
+   * requests.
    *
    * @param key the work
-   * @return false if it was, or if too much was taken in since to tell
+   * @return false if it was accepted, or if its entry may have been evicted by later requests
    */
   public boolean wasNeverTaken(WorkKey key) {
     return !knows(key) && !recentRequests.mayHaveRun(key, timers.nowMillis());
   }
 
-  /** Places what can be placed now. Called whenever room, permits or work have come. */
+  /** Places queued work where possible. Called whenever capacity, permits or work are added. */
   public void placeQueuedWork() {
     if (placing || dispatcher == null) {
       return;
@@ -363,12 +365,13 @@
     }
   }
 
-  // A request that runs for ever holds a slot, its caller and its home. Homes ask former homes only
-  // as far back as a request can run, so the bound also keeps repeated requests from running twice.
+  // A request that never ends would hold a slot, its caller and its home. Homes query former homes
+  // only as far back as a request can run, so this limit also keeps repeated requests from running
+  // twice.
   private void stopOverlong() {
-    long started = timers.nowMillis() - settings.longestRunMillis();
+    long oldestStart = timers.nowMillis() - settings.longestRunMillis();
     for (WorkEntry entry : entries.values()) {
-      boolean overlong = entry.hasStarted() && entry.placedMillis() < started;
+      boolean overlong = entry.hasStarted() && entry.placedMillis() < oldestStart;
       if (overlong && entry.item().workClass().isSynchronous()) {
         entry.liveTasks().forEach(task -> dispatcher.stop(task.taskId(), false));
       }
@@ -406,7 +409,8 @@
       placement.tasks().forEach(task -> dispatcher.start(task, entry.submission().payload()));
       return;
     }
-    String detail = taken ? "cancelled before it started" : "the attempt was not taken";
+    String detail =
+        taken ? "cancelled before it started" : "the journal did not accept the attempt";
     for (PlacedTask task : placement.tasks()) {
       onEnded(task.taskId(), TaskReport.withoutBody(TaskEnd.NOT_STARTED, detail));
     }
@@ -439,7 +443,8 @@
     placeQueuedWork();
   }
 
-  // A gang's tasks wait for each other. If one is gone the others would hold their room for ever.
+  // The tasks of a gang wait for each other. After one has ended without completing, the others
+  // would hold their reservations for ever.
   private void stopRemainingTasks(WorkEntry entry) {
     entry.liveTasks().forEach(task -> dispatcher.stop(task.taskId(), false));
   }
@@ -468,7 +473,7 @@
     } else if (canRetry(entry)) {
       retry(entry);
     } else {
-      // Of journaled work only this attempt has ended; the journal's side decides on the next.
+      // For journaled work only this attempt has ended; the journal decides on the next one.
       RefusalReason reason =
           entry.submission().isJournaled() ? RefusalReason.NO_ROOM : RefusalReason.DEADLINE_PASSED;
       refuse(entry, new Refusal(reason, detail, RETRY_AFTER_MILLIS));
@@ -511,8 +516,8 @@
   private void finish(WorkEntry entry, WorkResult result) {
     long now = timers.nowMillis();
     entries.remove(entry.item().key());
-    // A refusal is not kept: the caller may come back under the same id, and the work has not run.
-    // Nor is an unknown outcome of idempotent work, which may be run again.
+    // A refusal is not cached: the work has not run, and the caller may retry with the same id. An
+    // unknown outcome of idempotent work is not cached either, because the work may run again.
     boolean isOpenToRetry = result.outcome() == Outcome.UNKNOWN && entry.item().idempotent();
     boolean isAnswer = result instanceof WorkResult.Answered && !isOpenToRetry;
     if (isAnswer && entry.item().workClass().isSynchronous()) {
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkSettings.java
@@ -5,12 +5,12 @@
  *
  * <p>Immutable.
  *
- * @param retryLimit how often one piece of work is placed again after an attempt that did not start
- *     or was lost
- * @param answerRetentionMillis how long a final answer is kept for a repeated request
- * @param answerCacheBytes how many bytes of final answers are kept at the most
- * @param recentRequestsLimit how many answered or refused requests are remembered at the most
- * @param queueCheckMillis how often waiting work is looked at when nothing else happens
+ * @param retryLimit how often a work item is placed again after an attempt that did not start or
+ *     was lost
+ * @param answerRetentionMillis how long a final answer is kept for repeated requests
+ * @param answerCacheBytes the maximum number of bytes of cached final answers
+ * @param recentRequestsLimit the maximum number of tracked answered or refused requests
+ * @param queueCheckMillis the interval at which queued work is checked when no other event occurs
  * @param longestRunMillis how long a synchronous request may run before it is stopped
  */
 public record WorkSettings(
--- a/daemon/src/test/java/org/hickorypier/daemon/work/FirstTryTrackerTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/work/FirstTryTrackerTest.java
@@ -8,13 +8,13 @@
 import org.hickorypier.core.model.WorkKey;
 import org.junit.jupiter.api.Test;
 
-/** When a caller first asked, over its tries. */
+/** Tests the time of the first try over repeated tries of a request. */
 class FirstTryTrackerTest {
 
   private static final long RETENTION_MILLIS = 60_000;
   private final FirstTryTracker tracker = new FirstTryTracker(RETENTION_MILLIS, 2);
 
-  /** Guards against a caller who comes back and counts as the newest of all. */
+  /** Guards against a retry that counts as the newest request, because its first try is lost. */
   @Test
   void repeatedRequestKeepsTimeOfFirstTry() {
     assertThat(recordTry("r1", 1_000)).isEqualTo(1_000);
--- a/daemon/src/test/java/org/hickorypier/daemon/work/RecentRequestsTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/work/RecentRequestsTest.java
@@ -5,7 +5,7 @@
 import org.hickorypier.core.model.WorkKey;
 import org.junit.jupiter.api.Test;
 
-/** What is remembered of requests that were answered or refused. */
+/** Tests the tracking of requests that were answered or refused. */
 class RecentRequestsTest {
 
   private static final long RETENTION_MILLIS = 60_000;
@@ -27,7 +27,7 @@
     assertThat(recent.mayHaveRun(key("r1"), RETENTION_MILLIS)).isFalse();
   }
 
-  /** Guards against "not run" for what had to be forgotten before its time. */
+  /** Guards against "not run" for a request that ran and whose entry was evicted by the limit. */
   @Test
   void unknownRequestsMayHaveRunUntilEvictedEntryWouldExpire() {
     recent.recordEnd(key("r1"), true, 0);
--- a/daemon/src/test/java/org/hickorypier/daemon/work/WorkServiceFixture.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/work/WorkServiceFixture.java
@@ -38,8 +38,8 @@
 import org.hickorypier.wire.record.PermitRecord.Limit;
 
 /**
- * One instance's work, decisions and permits, on fake time, with one worker. Placed tasks stop at
- * the gate; a test says how they end. Not thread safe.
+ * The work service, scheduler and permits of one instance with one worker, on a manual clock.
+ * Placed tasks are never sent to the worker; a test decides how they end. Not thread-safe.
  */
 final class WorkServiceFixture {
 
@@ -54,7 +54,7 @@
   private static final long DEADLINE_MILLIS = 10_000;
   private static final int ANSWER_CACHE_BYTES = 1_024;
 
-  /** Each takes some 200 bytes. */
+  /** Each cached answer takes some 200 bytes. */
   static final int MAX_CACHED_ANSWERS = ANSWER_CACHE_BYTES / 200;
 
   final ManualTimerService timers = new ManualTimerService();
@@ -75,7 +75,7 @@
             scheduler,
             timers,
             timers,
-            (placement, verdict) -> placed.addAll(placement.tasks()),
+            (placement, decision) -> placed.addAll(placement.tasks()),
             new WorkObserver() {});
     permits =
         new PermitService(
@@ -110,7 +110,7 @@
     return permits;
   }
 
-  /** Folds a limit of the team, and this instance's hold of some permits below it. */
+  /** Applies records of the team's limit and of the permits that this instance holds below it. */
   void setLimitAndHold(int limit, int count) {
     permits.onRecord(offset++, new Limit(TEAM, 1, limit));
     planPermits();
@@ -133,7 +133,7 @@
     work.submit(new Submission(item, new byte[0]), answers::add);
   }
 
-  /** Finds a task that another instance started, and whose permit that instance still holds. */
+  /** Adopts a task that another instance started and whose permit that instance still holds. */
   TaskId adoptForeignTask(String requestId) {
     TaskId taskId = new TaskId(new WorkKey(TEAM, requestId), 1, 0);
     long now = timers.nowMillis();
@@ -145,7 +145,7 @@
     return taskId;
   }
 
-  /** Finds the end of a request that another instance ran. */
+  /** Records the end of a request that another instance ran. */
   void recordEndedForeignTask(String requestId) {
     TaskId taskId = new TaskId(new WorkKey(TEAM, requestId), 1, 0);
     work.recordEndedForeignTask(
@@ -158,7 +158,7 @@
   }
 
   void endTask(TaskId taskId, TaskEnd end) {
-    work.onEnded(taskId, TaskReport.withoutBody(end, "as the test says"));
+    work.onEnded(taskId, TaskReport.withoutBody(end, "ended by the test"));
   }
 
   List<String> placedRequests() {
@@ -185,7 +185,7 @@
     follower.start(0);
   }
 
-  /** Has nothing to read and answers no append; the tests fold records themselves. */
+  /** A log without records that answers no append; the tests apply records directly. */
   private static final class SilentLog implements LogService {
 
     private boolean firstReadAnswered;
@@ -229,7 +229,7 @@
 
     @Override
     public void offer(String worker) {
-      // There is nobody to offer it to.
+      // There is no other controller to offer the worker to.
     }
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/work/WorkServiceTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/work/WorkServiceTest.java
@@ -15,22 +15,25 @@
 
   private final WorkServiceFixture fixture = new WorkServiceFixture();
 
-  // A permit that another instance holds and uses again was used here too: the team ran over its
-  // limit.
+  // Guards against a team that exceeds its limit: the permit of an adopted task was reused here
+  // after
+  // the task ended, although another instance holds that permit and reuses it too.
   @Test
   void endOfForeignTaskStartsNothingBeyondHeldPermits() {
     fixture.setLimitAndHold(2, 1);
-    final TaskId foreign = fixture.adoptForeignTask("foreign");
+    final TaskId foreignTask = fixture.adoptForeignTask("foreign");
     fixture.submit("first", true);
     fixture.submit("second", true);
     assertThat(fixture.placedRequests()).containsExactly("first");
 
-    fixture.endTask(foreign, TaskEnd.COMPLETED);
+    fixture.endTask(foreignTask, TaskEnd.COMPLETED);
 
     assertThat(fixture.placedRequests()).containsExactly("first");
   }
 
-  // A request whose first run was lost was said not to have run once its second found no place.
+  // Guards against "not run" for a request whose first run was lost and whose second run could not
+  // be
+  // placed.
   @Test
   void requestThatMayHaveRunIsNotRefusedAsNotRun() {
     fixture.setLimitAndHold(1, 1);
@@ -45,7 +48,7 @@
     assertThat(fixture.answers).extracting(WorkResult::outcome).containsExactly(Outcome.UNKNOWN);
   }
 
-  // The same request, refused before anything of it was ordered, did not run.
+  // A request that is refused before any start order is sent has not run.
   @Test
   void requestThatNeverStartedIsRefusedAsNotRun() {
     fixture.setLimitAndHold(1, 1);
@@ -57,8 +60,9 @@
     assertThat(fixture.answers).extracting(WorkResult::outcome).containsExactly(Outcome.NOT_RUN);
   }
 
-  // An instance that was fenced off can start nothing; its callers waited for their deadlines. It
-  // was paused, so another home may have run their repeats: it cannot call them not run.
+  // Guards against callers that wait for their deadlines although a fenced instance cannot start
+  // their requests. The instance was paused, so another home may have run repeats of the requests:
+  // the outcome is unknown and not "not run".
   @Test
   void fencedInstanceAnswersQueuedRequestsAsUnknownWithoutWaitingForDeadlines() {
     fixture.setLimitAndHold(1, 1);
@@ -71,7 +75,7 @@
     assertThat(fixture.answers).extracting(WorkResult::outcome).containsExactly(Outcome.UNKNOWN);
   }
 
-  /** Guards against "not run" for a request whose first try was told as unknown by this home. */
+  /** Guards against "not run" for a request whose first try this home reported as unknown. */
   @Test
   void repeatOfRequestWithUnknownOutcomeIsNotRefusedAsNotRun() {
     fixture.setLimitAndHold(1, 1);
@@ -88,7 +92,9 @@
     assertThat(fixture.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
   }
 
-  /** Guards against "not run" for a request that ran, and whose answer had no room to be kept. */
+  /**
+   * Guards against "not run" for a request that ran and whose answer was evicted from the cache.
+   */
   @Test
   void repeatAfterEvictedAnswerIsNotRefusedAsNotRun() {
     fixture.setLimitAndHold(1, 1);
@@ -107,7 +113,7 @@
     assertThat(fixture.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
   }
 
-  /** Guards against "not run" by a home that was paused while others were home of its work. */
+  /** Guards against "not run" from a home that was paused while others were home of its work. */
   @Test
   void refusalAfterPauseHasUnknownOutcome() {
     fixture.setLimitAndHold(1, 1);
@@ -120,7 +126,7 @@
     assertThat(fixture.answers).hasOnlyElementsOfType(WorkResult.Unsettled.class);
   }
 
-  /** Guards against a request that waits for ever for the answer of a worker that has left. */
+  /** Guards against a request that waits for ever for the answer of a departed worker. */
   @Test
   void requestThatEndedOnDepartedWorkerIsRunAgain() {
     fixture.setLimitAndHold(1, 1);
