--- a/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
@@ -111,7 +111,7 @@
   }
 
   /**
-   * Tells whether a task is being followed.
+   * Returns whether a task is being followed.
    *
    * @param taskId the task
    * @return true until its end has been reported
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskAdopter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskAdopter.java
@@ -133,7 +133,7 @@
     } catch (IllegalArgumentException error) {
       LOGGER.log(
           Level.WARNING,
-          "work: worker {0} ended task {1}, which is not a task of this scheduler",
+          "work: worker {0} ran task {1}, which is not a task of this scheduler",
           worker,
           task.taskId());
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
@@ -410,7 +410,7 @@
       return;
     }
     String detail =
-        taken ? "cancelled before it started" : "the journal did not accept the attempt";
+        taken ? "cancelled before it started" : "the attempt was not confirmed as taken";
     for (PlacedTask task : placement.tasks()) {
       onEnded(task.taskId(), TaskReport.withoutBody(TaskEnd.NOT_STARTED, detail));
     }
