--- a/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/Dispatcher.java
@@ -30,11 +30,11 @@
 import org.hickorypier.platform.worker.WorkerStatus;
 
 /**
- * Orders placed tasks from their workers and finds out what became of each.
+ * Starts placed tasks on their workers and determines how each task ends.
  *
- * <p>Belongs to the control thread. Invariants: a task is reported {@code NOT_STARTED} only if no
- * byte of an order left or the worker refused every order sent. It is reported {@code LOST} only if
- * nothing of it can run any more. Until one of the two is known its room stays taken.
+ * <p>Confined to the control thread. Invariants: a task is reported {@code NOT_STARTED} only if no
+ * byte of a start order was sent or the worker refused every order. It is reported {@code LOST}
+ * only if no part of it can still run. Its reservation is held until its end is known.
  */
 public final class Dispatcher {
 
@@ -44,7 +44,7 @@
   private final WorkerFleet fleet;
   private final TimerService timers;
   private final Executor control;
-  private final String self;
+  private final String controllerId;
   private final StartRule startRule;
   private final TaskListener listener;
   private final Map<TaskId, TaskRun> runs = new LinkedHashMap<>();
@@ -54,39 +54,41 @@
    *
    * @param settings its limits
    * @param fleet the workers
-   * @param timers the time
+   * @param timers the clock and timers
    * @param control the control thread
-   * @param self this instance's name and incarnation
-   * @param startRule says whether tasks may start on a worker
-   * @param listener hears how the tasks go
+   * @param controllerId this instance's name and incarnation
+   * @param startRule decides whether tasks may start on a worker
+   * @param listener is notified of starts and ends of tasks
    */
   public Dispatcher(
       DispatchSettings settings,
       WorkerFleet fleet,
       TimerService timers,
       Executor control,
-      String self,
+      String controllerId,
       StartRule startRule,
       TaskListener listener) {
     this.settings = settings;
     this.fleet = fleet;
     this.timers = timers;
     this.control = control;
-    this.self = self;
+    this.controllerId = controllerId;
     this.startRule = startRule;
     this.listener = listener;
   }
 
-  /** Starts the regular questions after tasks on workers that others control. */
+  /**
+   * Starts the periodic status queries for tasks on workers that this instance does not control.
+   */
   public void start() {
-    timers.every(Duration.ofMillis(settings.pollMillis()), this::pollForeign);
+    timers.every(Duration.ofMillis(settings.foreignPollMillis()), this::pollForeignTasks);
   }
 
   /**
-   * Orders the start of a task.
+   * Starts a task on its worker.
    *
    * @param task the task and its worker
-   * @param payload what the task is given
+   * @param payload the input of the task
    */
   public void start(PlacedTask task, byte[] payload) {
     TaskRun run = new TaskRun(task, payload);
@@ -95,7 +97,7 @@
   }
 
   /**
-   * Follows a task that already runs, found after a takeover.
+   * Follows a task that was already started, found after a takeover.
    *
    * @param task the task and its worker
    */
@@ -104,12 +106,12 @@
       TaskRun run = new TaskRun(task, TaskReport.NO_BODY);
       run.setStarted();
       runs.put(task.taskId(), run);
-      awaitIfWanted(run);
+      collectAnswerIfWanted(run);
     }
   }
 
   /**
-   * Tells whether a task is being followed.
+   * Returns whether a task is being followed.
    *
    * @param taskId the task
    * @return true until its end has been reported
@@ -119,10 +121,10 @@
   }
 
   /**
-   * Orders a running task to stop. Its end is reported as usual.
+   * Stops a running task. The listener is notified of its end.
    *
-   * @param taskId the task
-   * @param checkpoint whether to keep a checkpoint
+   * @param taskId the task; nothing is done if it is not followed
+   * @param checkpoint whether the worker keeps a checkpoint
    */
   public void stop(TaskId taskId, boolean checkpoint) {
     TaskRun run = runs.get(taskId);
@@ -134,142 +136,146 @@
       retryLater(run, () -> stop(taskId, checkpoint));
       return;
     }
-    ask(
+    callWorker(
         run,
         hold.get().service().stop(taskId.text(), hold.get().token(), checkpoint),
-        status -> learn(run, status),
+        status -> applyStatus(run, status),
         error -> retryLater(run, () -> stop(taskId, checkpoint)));
   }
 
   /**
-   * Learns the ends of tasks from a worker's status.
+   * Applies the task states in a worker's status report.
    *
-   * @param status what the worker says
+   * @param status the report
    */
-  public void onStatus(WorkerStatus status) {
-    Set<TaskId> named = new HashSet<>();
+  public void onWorkerStatus(WorkerStatus status) {
+    Set<TaskId> reported = new HashSet<>();
     for (TaskStatus task : status.tasks()) {
-      named.add(parse(task.taskId()));
-      TaskRun run = task.state().isEnded() ? runs.get(parse(task.taskId())) : null;
+      reported.add(parseOrNull(task.taskId()));
+      TaskRun run = task.state().isEnded() ? runs.get(parseOrNull(task.taskId())) : null;
       if (run != null && !run.wantsAnswer()) {
-        learn(run, task);
+        applyStatus(run, task);
       }
     }
-    // A worker that has restarted and was claimed again at once renews its leases as before, and
-    // says nothing of the tasks that it has forgotten. They would fill it for ever.
-    for (TaskRun run : on(status.name())) {
-      if (run.isStarted() && !run.isAsking() && !named.contains(run.task().taskId())) {
-        settle(run);
+    // A worker that has restarted and was claimed again at once renews its leases as before, but no
+    // longer reports the tasks that it ran. Their reservations would never be released.
+    for (TaskRun run : runsOnWorker(status.name())) {
+      if (run.isStarted() && !run.isCallPending() && !reported.contains(run.task().taskId())) {
+        queryTask(run);
       }
     }
   }
 
   /**
-   * Settles every task on a worker whose leases have run out.
+   * Reports every task on a worker as lost, after the worker's leases have expired.
    *
    * @param worker the worker's name
    */
-  public void onLost(String worker) {
-    for (TaskRun run : on(worker)) {
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker was lost"));
+  public void onWorkerLost(String worker) {
+    for (TaskRun run : runsOnWorker(worker)) {
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker was lost"));
     }
   }
 
-  private List<TaskRun> on(String worker) {
-    return select(run -> run.task().worker().equals(worker));
+  private List<TaskRun> runsOnWorker(String worker) {
+    return selectRuns(run -> run.task().worker().equals(worker));
   }
 
-  private List<TaskRun> select(Predicate<TaskRun> wanted) {
-    return new ArrayList<>(runs.values().stream().filter(wanted).toList());
+  private List<TaskRun> selectRuns(Predicate<TaskRun> condition) {
+    return new ArrayList<>(runs.values().stream().filter(condition).toList());
   }
 
   private void sendStart(TaskRun run) {
-    // The worker may have been lost and claimed again since the task was placed on it.
+    // The worker may have been lost and claimed again since the task was placed.
     String worker = run.task().worker();
     Optional<ControlGrant> found =
         fleet.controlGrant(worker).filter(hold -> startRule.mayStartOn(worker, hold.token()));
     if (found.isEmpty()) {
-      withoutHold(run);
+      handleMissingHold(run);
       return;
     }
     ControlGrant hold = found.get();
-    run.sentWith(hold.token());
+    run.recordOrderToken(hold.token());
     fleet.recordCommand(run.task().worker());
     PlacedTask task = run.task();
     StartOrder order =
         new StartOrder(
             task.taskId().text(),
             hold.token(),
-            self,
+            controllerId,
             task.workClass().name(),
             task.reserved().milliProcessors(),
             task.reserved().memoryMebibytes(),
             task.reserved().accelerators(),
             settings.leaseMillis(),
             run.payload());
-    ask(run, hold.service().start(order), status -> learn(run, status), e -> startFailed(run, e));
+    callWorker(
+        run,
+        hold.service().start(order),
+        status -> applyStatus(run, status),
+        e -> handleStartFailure(run, e));
   }
 
-  private void withoutHold(TaskRun run) {
+  private void handleMissingHold(TaskRun run) {
     if (run.isOrderUncertain()) {
-      retryLater(run, () -> settle(run));
+      retryLater(run, () -> queryTask(run));
     } else {
-      finish(run, TaskReport.without(TaskEnd.NOT_STARTED, "the worker has another controller"));
+      finish(run, TaskReport.withoutBody(TaskEnd.NOT_STARTED, "the worker has another controller"));
     }
   }
 
-  private void startFailed(TaskRun run, Throwable error) {
+  private void handleStartFailure(TaskRun run, Throwable error) {
     boolean noEffect = error instanceof WorkerException known && known.kind().hadNoEffect();
-    if (isStale(error)) {
+    if (isStaleToken(error)) {
       fleet.onTokenRefused(run.task().worker());
     }
     if (noEffect && !run.isOrderUncertain()) {
-      finish(run, TaskReport.without(TaskEnd.NOT_STARTED, error.getMessage()));
+      finish(run, TaskReport.withoutBody(TaskEnd.NOT_STARTED, error.getMessage()));
       return;
     }
-    // The order may have started the task although no answer came. If its room were given away
-    // now, the worker could be overfull; if it were ordered elsewhere, it could run twice. The
-    // room stays taken until the worker itself has said what became of the order.
+    // The order may have started the task although no reply came. Releasing the reservation now
+    // could overcommit the worker, and starting the task elsewhere could run it twice. The
+    // reservation is held until the worker has reported the effect of the order.
     run.setOrderUncertain(true);
     LOGGER.log(
         Level.INFO,
-        "dispatch: start of {0} on {1} is uncertain, asking",
+        "dispatch: start of task {0} on worker {1} is uncertain; querying the worker",
         run.task().taskId().text(),
         run.task().worker());
-    retryLater(run, () -> settle(run));
+    retryLater(run, () -> queryTask(run));
   }
 
-  private void settle(TaskRun run) {
+  private void queryTask(TaskRun run) {
     WorkerService service = fleet.service(run.task().worker()).orElse(null);
     if (service == null) {
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker was lost"));
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker was lost"));
       return;
     }
-    ask(
+    callWorker(
         run,
         service.task(run.task().taskId().text()),
-        status -> settled(run, status),
-        error -> retryLater(run, () -> settle(run)));
+        status -> handleQueriedStatus(run, status),
+        error -> retryLater(run, () -> queryTask(run)));
   }
 
-  private void settled(TaskRun run, TaskStatus status) {
+  private void handleQueriedStatus(TaskRun run, TaskStatus status) {
     if (status.state() != TaskState.UNKNOWN) {
-      learn(run, status);
+      applyStatus(run, status);
     } else if (run.isStarted()) {
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker no longer knows the task"));
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker no longer knows the task"));
     } else if (status.token() > run.highestToken()) {
-      // The worker refuses every order that we sent, even one that is still under way: nothing
-      // runs. But it may have restarted and forgotten a task that ran before, so this is not proof
-      // that it never did.
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker does not know the task"));
+      // The worker's newer fencing token makes it refuse every order sent, even one in transit, so
+      // nothing runs. It may have restarted since it ran the task, so this does not prove that the
+      // task never ran.
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker does not know the task"));
     } else {
-      // The order may still be under way. The same order again, with the same task id, starts it
-      // at most once and brings an answer.
+      // The order may still be in transit. Sending it again with the same task id starts the task
+      // at most once and brings a reply.
       sendStart(run);
     }
   }
 
-  private void learn(TaskRun run, TaskStatus status) {
+  private void applyStatus(TaskRun run, TaskStatus status) {
     if (run.isEnded()) {
       return;
     }
@@ -278,76 +284,78 @@
       listener.onStarted(run.task().taskId());
     }
     switch (status.state()) {
-      case RUNNING -> awaitIfWanted(run);
-      case COMPLETED -> collectOrFinish(run, TaskEnd.COMPLETED, "");
-      case FAILED -> collectOrFinish(run, TaskEnd.FAILED, "the task failed");
-      case STOPPED -> finish(run, TaskReport.without(TaskEnd.STOPPED, "the task was stopped"));
-      case LAPSED -> finish(run, TaskReport.without(TaskEnd.LOST, "the task's lease ran out"));
-      case UNKNOWN -> settled(run, status);
+      case RUNNING -> collectAnswerIfWanted(run);
+      case COMPLETED -> collectAnswerOrFinish(run, TaskEnd.COMPLETED, "");
+      case FAILED -> collectAnswerOrFinish(run, TaskEnd.FAILED, "the task failed");
+      case STOPPED -> finish(run, TaskReport.withoutBody(TaskEnd.STOPPED, "the task was stopped"));
+      case LAPSED -> finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the task's lease ran out"));
+      case UNKNOWN -> handleQueriedStatus(run, status);
       default -> throw new IllegalStateException("task state " + status.state());
     }
   }
 
-  private void awaitIfWanted(TaskRun run) {
+  private void collectAnswerIfWanted(TaskRun run) {
     if (run.wantsAnswer()) {
-      collect(run);
+      collectAnswer(run);
     }
   }
 
-  private void collectOrFinish(TaskRun run, TaskEnd end, String detail) {
+  private void collectAnswerOrFinish(TaskRun run, TaskEnd end, String detail) {
     if (run.wantsAnswer()) {
-      collect(run);
+      collectAnswer(run);
     } else {
-      finish(run, TaskReport.without(end, detail));
+      finish(run, TaskReport.withoutBody(end, detail));
     }
   }
 
-  private void collect(TaskRun run) {
-    if (run.isAsking()) {
+  private void collectAnswer(TaskRun run) {
+    if (run.isCallPending()) {
       return;
     }
     WorkerService service = fleet.service(run.task().worker()).orElse(null);
     if (service == null) {
-      finish(run, TaskReport.without(TaskEnd.LOST, "the worker was lost"));
+      finish(run, TaskReport.withoutBody(TaskEnd.LOST, "the worker was lost"));
       return;
     }
-    Uni<byte[]> whole =
+    Uni<byte[]> wholeBody =
         service
             .answer(run.task().taskId().text())
             .collect()
             .in(ByteArrayOutputStream::new, ByteArrayOutputStream::writeBytes)
             .map(ByteArrayOutputStream::toByteArray);
     Uni<TaskReport> report =
-        whole.flatMap(
-            body -> service.task(run.task().taskId().text()).map(status -> reported(status, body)));
-    ask(run, report, end -> finish(run, end), error -> retryLater(run, () -> settle(run)));
+        wholeBody.flatMap(
+            body -> service.task(run.task().taskId().text()).map(status -> toReport(status, body)));
+    callWorker(
+        run, report, end -> finish(run, end), error -> retryLater(run, () -> queryTask(run)));
   }
 
-  private static TaskReport reported(TaskStatus status, byte[] body) {
+  private static TaskReport toReport(TaskStatus status, byte[] body) {
     return switch (status.state()) {
       case COMPLETED -> new TaskReport(TaskEnd.COMPLETED, "", body);
       case FAILED -> new TaskReport(TaskEnd.FAILED, "the task failed", body);
-      case STOPPED -> TaskReport.without(TaskEnd.STOPPED, "the task was stopped");
-      case LAPSED -> TaskReport.without(TaskEnd.LOST, "the task's lease ran out");
-      default -> TaskReport.without(TaskEnd.LOST, "the worker no longer knows the task");
+      case STOPPED -> TaskReport.withoutBody(TaskEnd.STOPPED, "the task was stopped");
+      case LAPSED -> TaskReport.withoutBody(TaskEnd.LOST, "the task's lease ran out");
+      default -> TaskReport.withoutBody(TaskEnd.LOST, "the worker no longer knows the task");
     };
   }
 
-  private void pollForeign() {
-    for (TaskRun run : select(run -> !run.wantsAnswer() && run.isStarted() && !run.isAsking())) {
+  private void pollForeignTasks() {
+    for (TaskRun run :
+        selectRuns(run -> !run.wantsAnswer() && run.isStarted() && !run.isCallPending())) {
       if (fleet.controlGrant(run.task().worker()).isEmpty()) {
-        settle(run);
+        queryTask(run);
       }
     }
   }
 
-  private void retryLater(TaskRun run, Runnable step) {
-    int doublings = Math.min(run.nextTry(), settings.retryDoublings());
+  private void retryLater(TaskRun run, Runnable action) {
+    int doublings = Math.min(run.nextRetryNumber(), settings.maxRetryDoublings());
     timers.after(
-        Duration.ofMillis(settings.retryMillis() << doublings),
+        Duration.ofMillis(settings.initialRetryMillis() << doublings),
         () -> {
           if (!run.isEnded()) {
-            step.run();
+            action.run();
           }
         });
   }
@@ -361,26 +369,27 @@
     listener.onEnded(run.task().taskId(), report);
   }
 
-  private <T> void ask(TaskRun run, Uni<T> call, Consumer<T> answered, Consumer<Throwable> failed) {
-    run.setAsking(true);
+  private <T> void callWorker(
+      TaskRun run, Uni<T> call, Consumer<T> onReply, Consumer<Throwable> onFailure) {
+    run.setCallPending(true);
     call.subscribe()
         .with(
-            value -> control.execute(() -> answered(run, () -> answered.accept(value))),
-            error -> control.execute(() -> answered(run, () -> failed.accept(error))));
+            value -> control.execute(() -> handleReply(run, () -> onReply.accept(value))),
+            error -> control.execute(() -> handleReply(run, () -> onFailure.accept(error))));
   }
 
-  private static void answered(TaskRun run, Runnable next) {
-    run.setAsking(false);
+  private static void handleReply(TaskRun run, Runnable action) {
+    run.setCallPending(false);
     if (!run.isEnded()) {
-      next.run();
+      action.run();
     }
   }
 
-  private static boolean isStale(Throwable error) {
+  private static boolean isStaleToken(Throwable error) {
     return error instanceof WorkerException known && known.kind() == WorkerErrorKind.STALE_TOKEN;
   }
 
-  private static TaskId parse(String text) {
+  private static TaskId parseOrNull(String text) {
     try {
       return TaskId.parse(text);
     } catch (IllegalArgumentException error) {
--- a/daemon/src/main/java/org/hickorypier/daemon/work/RecentRequests.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/RecentRequests.java
@@ -7,54 +7,57 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * Remembers which requests were answered or refused here lately, longer than their answers.
+ * Tracks which requests this instance recently answered or refused, even after their answers have
+ * been evicted from the cache.
  *
- * <p>Failure prevented: a caller whose first try had an unknown outcome, or whose answer was lost,
- * comes back and is told that its request was not run, although it was.
+ * <p>Without it, a caller that repeats a request after an unknown outcome or a lost answer would be
+ * told that the request was not run, although it was.
  *
- * <p>Belongs to the control thread. Invariant: never more than the limit; what is forgotten before
- * its time makes everything uncertain until that time.
+ * <p>Confined to the control thread. Invariant: at most the limit of requests is tracked. If an
+ * entry that may have run is evicted before it expires, every untracked request counts as possibly
+ * run until that expiry time.
  */
 final class RecentRequests {
 
-  private final long keepMillis;
+  private final long retentionMillis;
   private final int limit;
-  private final Map<WorkKey, Kept> kept = new HashMap<>();
-  private final Deque<Kept> order = new ArrayDeque<>();
+  private final Map<WorkKey, RecentRequest> latestByKey = new HashMap<>();
+  private final Deque<RecentRequest> oldestFirst = new ArrayDeque<>();
   private long uncertainUntilMillis = Long.MIN_VALUE;
 
-  RecentRequests(long keepMillis, int limit) {
-    this.keepMillis = keepMillis;
+  RecentRequests(long retentionMillis, int limit) {
+    this.retentionMillis = retentionMillis;
     this.limit = limit;
   }
 
-  /** Notes the end of a request. What may have run once stays so. */
-  void put(WorkKey key, boolean mayHaveRun, long now) {
-    dropOld(now);
-    Kept before = kept.get(key);
-    boolean everMayHaveRun = mayHaveRun || before != null && before.mayHaveRun;
-    Kept entry = new Kept(key, everMayHaveRun, now + keepMillis);
-    kept.put(key, entry);
-    order.add(entry);
-    dropOld(now);
+  /** Records the end of a request. A later end never clears an earlier possible run. */
+  void recordEnd(WorkKey key, boolean mayHaveRun, long now) {
+    evictOldest(now);
+    RecentRequest previous = latestByKey.get(key);
+    boolean everMayHaveRun = mayHaveRun || previous != null && previous.mayHaveRun;
+    RecentRequest entry = new RecentRequest(key, everMayHaveRun, now + retentionMillis);
+    latestByKey.put(key, entry);
+    oldestFirst.add(entry);
+    evictOldest(now);
   }
 
-  /** Tells whether an earlier try of a request may have run here. */
+  /** Returns whether an earlier try of a request may have run here. */
   boolean mayHaveRun(WorkKey key, long now) {
-    dropOld(now);
-    Kept entry = kept.get(key);
+    evictOldest(now);
+    RecentRequest entry = latestByKey.get(key);
     return entry != null ? entry.mayHaveRun : now < uncertainUntilMillis;
   }
 
-  private void dropOld(long now) {
-    while (!order.isEmpty() && (order.peek().expires <= now || order.size() > limit)) {
-      Kept oldest = order.poll();
-      boolean isLatest = kept.remove(oldest.key, oldest);
-      if (isLatest && oldest.mayHaveRun && oldest.expires > now) {
-        uncertainUntilMillis = Math.max(uncertainUntilMillis, oldest.expires);
+  private void evictOldest(long now) {
+    while (!oldestFirst.isEmpty()
+        && (oldestFirst.peek().expiryMillis <= now || oldestFirst.size() > limit)) {
+      RecentRequest oldest = oldestFirst.poll();
+      boolean isLatest = latestByKey.remove(oldest.key, oldest);
+      if (isLatest && oldest.mayHaveRun && oldest.expiryMillis > now) {
+        uncertainUntilMillis = Math.max(uncertainUntilMillis, oldest.expiryMillis);
       }
     }
   }
 
-  private record Kept(WorkKey key, boolean mayHaveRun, long expires) {}
+  private record RecentRequest(WorkKey key, boolean mayHaveRun, long expiryMillis) {}
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskAdopter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskAdopter.java
@@ -22,10 +22,10 @@
 import org.hickorypier.platform.worker.WorkerStatus;
 
 /**
- * Carries what is learned of workers into the decisions, and counts tasks found running there.
+ * Passes worker status on to the scheduler and adopts tasks that are found running on workers.
  *
- * <p>Belongs to the control thread. A task that another instance started still fills the worker; if
- * it were not counted, the worker would be given more than it holds.
+ * <p>Confined to the control thread. A task that another instance started still uses resources of
+ * the worker; if it were not counted, the worker would be overcommitted.
  */
 public final class TaskAdopter implements WorkerFleetListener {
 
@@ -37,20 +37,20 @@
   private final TimerService timers;
   private final PermitService permits;
   private final TaskOwners owners;
-  private final String self;
-  private final Map<String, WorkerDescription> known = new HashMap<>();
-  private final Set<String> waitingForWord = new HashSet<>();
+  private final String controllerId;
+  private final Map<String, WorkerDescription> descriptions = new HashMap<>();
+  private final Set<String> awaitingStartPermission = new HashSet<>();
 
   /**
    * Creates the adopter.
    *
-   * @param scheduler the decisions
-   * @param work the work decided here
+   * @param scheduler receives workers and resource usage
+   * @param work receives adopted and ended tasks
    * @param dispatcher follows tasks
-   * @param timers the time
-   * @param permits speaks for our workers
-   * @param owners who started the tasks on our workers
-   * @param self this instance's name and incarnation
+   * @param timers the clock
+   * @param permits adopts workers for this instance and decides whether tasks may start on them
+   * @param owners records which instance started each task on this instance's workers
+   * @param controllerId this instance's name and incarnation
    */
   public TaskAdopter(
       Scheduler scheduler,
@@ -59,89 +59,93 @@
       TimerService timers,
       PermitService permits,
       TaskOwners owners,
-      String self) {
+      String controllerId) {
     this.scheduler = scheduler;
     this.work = work;
     this.dispatcher = dispatcher;
     this.timers = timers;
     this.permits = permits;
     this.owners = owners;
-    this.self = self;
+    this.controllerId = controllerId;
   }
 
   @Override
   public void onStatus(WorkerDescription worker, WorkerStatus status, boolean open) {
-    known.put(worker.name(), worker);
-    boolean spoken = permits.mayStartOn(worker.name(), status.token());
-    scheduler.putWorker(worker, open && spoken);
-    waitingForWord.remove(worker.name());
-    if (open && !spoken) {
-      waitingForWord.add(worker.name());
+    descriptions.put(worker.name(), worker);
+    boolean mayStart = permits.mayStartOn(worker.name(), status.token());
+    scheduler.putWorker(worker, open && mayStart);
+    awaitingStartPermission.remove(worker.name());
+    if (open && !mayStart) {
+      awaitingStartPermission.add(worker.name());
     }
     for (TaskStatus task : status.tasks()) {
       if (task.state() == TaskState.RUNNING) {
-        running(worker.name(), task);
-      } else if (hasAnswer(task) && !task.owner().equals(self)) {
-        ended(worker.name(), task);
+        handleRunningTask(worker.name(), task);
+      } else if (hasAnswer(task) && !task.owner().equals(controllerId)) {
+        handleEndedTask(worker.name(), task);
       }
     }
     permits.speakFor(worker.name(), status.token(), status.tasks());
-    dispatcher.onStatus(status);
-    work.pump();
+    dispatcher.onWorkerStatus(status);
+    work.placeQueuedWork();
   }
 
   /**
-   * Opens a worker on which tasks may start now, if only that was missing.
+   * Opens a worker to new tasks if it was closed only because tasks could not start on it yet.
    *
    * @param worker the worker's name
    */
-  public void reopen(String worker) {
-    if (waitingForWord.remove(worker)) {
-      scheduler.putWorker(known.get(worker), true);
-      work.pump();
+  public void openIfAwaitingPermission(String worker) {
+    if (awaitingStartPermission.remove(worker)) {
+      scheduler.putWorker(descriptions.get(worker), true);
+      work.placeQueuedWork();
     }
   }
 
   @Override
   public void onClosed(String worker, String reason) {
-    WorkerDescription description = known.get(worker);
-    waitingForWord.remove(worker);
+    WorkerDescription description = descriptions.get(worker);
+    awaitingStartPermission.remove(worker);
     if (description != null) {
-      LOGGER.log(Level.INFO, "work: worker {0} closed, {1}", worker, reason);
+      LOGGER.log(Level.INFO, "work: worker {0} accepts no new tasks: {1}", worker, reason);
       scheduler.putWorker(description, false);
     }
   }
 
   @Override
   public void onLost(String worker) {
-    dispatcher.onLost(worker);
+    dispatcher.onWorkerLost(worker);
     scheduler.removeWorker(worker);
-    known.remove(worker);
-    waitingForWord.remove(worker);
+    descriptions.remove(worker);
+    awaitingStartPermission.remove(worker);
   }
 
   private static boolean hasAnswer(TaskStatus task) {
     return task.state() == TaskState.COMPLETED || task.state() == TaskState.FAILED;
   }
 
-  private void ended(String worker, TaskStatus task) {
+  private void handleEndedTask(String worker, TaskStatus task) {
     try {
       TaskId taskId = TaskId.parse(task.taskId());
       if (!dispatcher.isFollowed(taskId)) {
-        work.foundEnded(placed(worker, taskId, task));
+        work.recordEndedForeignTask(toPlacedTask(worker, taskId, task));
       }
     } catch (IllegalArgumentException error) {
-      LOGGER.log(Level.WARNING, "work: worker {0} ran {1}, not one of ours", worker, task.taskId());
+      LOGGER.log(
+          Level.WARNING,
+          "work: worker {0} ran task {1}, which is not a task of this scheduler",
+          worker,
+          task.taskId());
     }
   }
 
-  private static PlacedTask placed(String worker, TaskId taskId, TaskStatus task) {
+  private static PlacedTask toPlacedTask(String worker, TaskId taskId, TaskStatus task) {
     Resources reserved =
         new Resources(task.milliProcessors(), task.memoryMebibytes(), task.accelerators());
     return new PlacedTask(taskId, worker, WorkClass.valueOf(task.workClass()), reserved);
   }
 
-  private void running(String worker, TaskStatus task) {
+  private void handleRunningTask(String worker, TaskStatus task) {
     try {
       TaskId taskId = TaskId.parse(task.taskId());
       if (dispatcher.isFollowed(taskId)) {
@@ -152,18 +156,21 @@
       }
     } catch (IllegalArgumentException error) {
       LOGGER.log(
-          Level.WARNING, "work: worker {0} runs {1}, not one of ours", worker, task.taskId());
+          Level.WARNING,
+          "work: worker {0} runs task {1}, which is not a task of this scheduler",
+          worker,
+          task.taskId());
     }
   }
 
   private void adopt(String worker, TaskId taskId, TaskStatus task) {
-    PlacedTask placed = placed(worker, taskId, task);
+    PlacedTask placed = toPlacedTask(worker, taskId, task);
     long now = timers.nowMillis();
     WorkItem item =
         new WorkItem(
             taskId.key(), placed.workClass(), "", placed.reserved(), 1, false, now, now, 0);
     owners.put(taskId, task.owner());
-    LOGGER.log(Level.INFO, "work: adopted {0} on {1}", task.taskId(), worker);
+    LOGGER.log(Level.INFO, "work: adopted task {0} on worker {1}", task.taskId(), worker);
     work.adopt(placed, item);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/work/TaskRun.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/TaskRun.java
@@ -3,10 +3,10 @@
 import org.hickorypier.core.scheduling.PlacedTask;
 
 /**
- * One task between its placement and the moment its fate is settled.
+ * The state of one task from its placement until its end is known.
  *
- * <p>Belongs to the control thread. Invariant: {@code orderUncertain} stays true from the first
- * order whose effect is unknown until the worker has said what became of it.
+ * <p>Confined to the control thread. Invariant: {@code orderUncertain} stays true from the first
+ * start order whose effect is unknown until the worker has reported its effect.
  */
 final class TaskRun {
 
@@ -15,9 +15,9 @@
   private boolean orderUncertain;
   private boolean started;
   private boolean ended;
-  private boolean asking;
+  private boolean callPending;
   private long highestToken;
-  private int tries;
+  private int retries;
 
   TaskRun(PlacedTask task, byte[] payload) {
     this.task = task;
@@ -47,7 +47,7 @@
   void setStarted() {
     started = true;
     orderUncertain = false;
-    tries = 0;
+    retries = 0;
   }
 
   boolean isEnded() {
@@ -58,24 +58,24 @@
     ended = true;
   }
 
-  boolean isAsking() {
-    return asking;
+  boolean isCallPending() {
+    return callPending;
   }
 
-  void setAsking(boolean open) {
-    asking = open;
+  void setCallPending(boolean pending) {
+    callPending = pending;
   }
 
   long highestToken() {
     return highestToken;
   }
 
-  void sentWith(long token) {
+  void recordOrderToken(long token) {
     highestToken = Math.max(highestToken, token);
   }
 
-  int nextTry() {
-    return tries++;
+  int nextRetryNumber() {
+    return retries++;
   }
 
   boolean wantsAnswer() {
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkEntry.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkEntry.java
@@ -11,16 +11,16 @@
 import org.hickorypier.core.scheduling.TaskEnd;
 
 /**
- * One piece of work at this instance, from its submission until its answer is forgotten.
+ * The state of one work item at this instance, from its submission until its final answer.
  *
- * <p>Belongs to the control thread. Invariant: once {@code result} is set it never changes, and
- * every waiter has been told of it exactly once.
+ * <p>Confined to the control thread. Invariant: once {@code result} is set it never changes, and
+ * every waiter receives it exactly once.
  */
 final class WorkEntry {
 
   private final Submission submission;
   private final List<Consumer<WorkResult>> waiters = new ArrayList<>();
-  private final Map<TaskId, PlacedTask> live = new HashMap<>();
+  private final Map<TaskId, PlacedTask> liveTasks = new HashMap<>();
   private final List<TaskReport> reports = new ArrayList<>();
   private WorkResult result;
   private boolean cancelled;
@@ -57,12 +57,12 @@
       return;
     }
     result = finalResult;
-    List<Consumer<WorkResult>> toTell = List.copyOf(waiters);
+    List<Consumer<WorkResult>> toNotify = List.copyOf(waiters);
     waiters.clear();
-    toTell.forEach(waiter -> waiter.accept(finalResult));
+    toNotify.forEach(waiter -> waiter.accept(finalResult));
   }
 
-  /** Whether it may be sent to a peer; work that was sent here by its home may not. */
+  /** Returns whether the work may be sent to a peer; work that its home sent here may not. */
   boolean isMovable() {
     return movable;
   }
@@ -83,19 +83,19 @@
     queued = inQueue;
   }
 
-  void placed(List<PlacedTask> tasks, long now) {
+  void recordPlacement(List<PlacedTask> tasks, long now) {
     queued = false;
     placedMillis = now;
     startedTasks = 0;
     reports.clear();
-    tasks.forEach(task -> live.put(task.taskId(), task));
+    tasks.forEach(task -> liveTasks.put(task.taskId(), task));
   }
 
   long placedMillis() {
     return placedMillis;
   }
 
-  void started() {
+  void recordStart() {
     startedTasks++;
   }
 
@@ -103,25 +103,25 @@
     return startedTasks > 0;
   }
 
-  List<PlacedTask> live() {
-    return List.copyOf(live.values());
+  List<PlacedTask> liveTasks() {
+    return List.copyOf(liveTasks.values());
   }
 
-  /** Returns true if the task was one of the live ones and none is left. */
-  boolean taskEnded(TaskId taskId, TaskReport report) {
-    if (live.remove(taskId) == null) {
+  /** Records the end of a task and returns true if it was the last live task. */
+  boolean recordEnd(TaskId taskId, TaskReport report) {
+    if (liveTasks.remove(taskId) == null) {
       return false;
     }
     reports.add(report);
     mayHaveRun |= report.end() != TaskEnd.NOT_STARTED;
-    return live.isEmpty();
+    return liveTasks.isEmpty();
   }
 
   List<TaskReport> reports() {
     return List.copyOf(reports);
   }
 
-  /** Whether an earlier attempt or try may have run, so that "not run" would not be true. */
+  /** Returns whether an earlier attempt or try may have run, so that "not run" may be false. */
   boolean mayHaveRun() {
     return mayHaveRun;
   }
@@ -130,7 +130,7 @@
     return cancelled;
   }
 
-  void cancel() {
+  void markCancelled() {
     cancelled = true;
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/work/WorkService.java
@@ -28,9 +28,9 @@
 import org.hickorypier.daemon.time.TimerService;
 
 /**
- * The filters from deduplication to the answer, for work that is decided at this instance.
+ * Processes work that is scheduled at this instance, from deduplication to the final answer.
  *
- * <p>Belongs to the control thread. Invariants: a key is either unknown, waiting, running or
+ * <p>Confined to the control thread. Invariants: a key is either unknown, queued, running or
  * answered here; a second submission of a key joins the first; every submission gets exactly one
  * final answer.
  */
@@ -38,11 +38,11 @@
 
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
-  /** A peer may first have to ask the log for permits, some tens of milliseconds. */
-  private static final Duration RETURN_AFTER = Duration.ofMillis(250);
+  /** Leaves a peer time to obtain permits from the log, which takes some tens of milliseconds. */
+  private static final Duration RETURN_TIMEOUT = Duration.ofMillis(250);
 
-  /** After these the work has not run at the peer and waits at its home again. */
-  private static final Set<RefusalReason> RETURNED =
+  /** Refusals after which the work has not run at the peer and is queued at its home again. */
+  private static final Set<RefusalReason> RETURN_REASONS =
       Set.of(
           RefusalReason.NO_ROOM,
           RefusalReason.QUEUE_FULL,
@@ -50,7 +50,7 @@
           RefusalReason.NOT_READY,
           RefusalReason.SHUTTING_DOWN);
 
-  private static final Duration OVERLONG_PERIOD = Duration.ofSeconds(5);
+  private static final Duration OVERLONG_CHECK_INTERVAL = Duration.ofSeconds(5);
 
   private final WorkSettings settings;
   private final Scheduler scheduler;
@@ -59,23 +59,23 @@
   private final AttemptGate gate;
   private final WorkObserver observer;
   private final AnswerCache answers;
-  private final RecentRequests recent;
-  private final FoundEnds foundEnds;
+  private final RecentRequests recentRequests;
+  private final EndedForeignTasks endedForeignTasks;
   private final Map<WorkKey, WorkEntry> entries = new HashMap<>();
   private Dispatcher dispatcher;
   private Runnable beforePlacing = () -> {};
   private LongPredicate soleHomeSince = since -> true;
-  private boolean pumping;
+  private boolean placing;
 
   /**
    * Creates a service without work.
    *
    * @param settings its limits
-   * @param scheduler the decisions
-   * @param timers the time
+   * @param scheduler queues and places the work
+   * @param timers the clock and timers
    * @param control the control thread
-   * @param gate says when a placement may be ordered
-   * @param observer hears of the steps
+   * @param gate decides when a placement may start
+   * @param observer is notified of the progress of work
    */
   public WorkService(
       WorkSettings settings,
@@ -90,66 +90,68 @@
     this.control = control;
     this.gate = gate;
     this.observer = observer;
-    this.answers = new AnswerCache(settings.answerKeepMillis(), settings.answerKeepBytes());
-    this.foundEnds = new FoundEnds(settings.answerKeepMillis(), settings.recentRequestsLimit());
-    this.recent = new RecentRequests(settings.answerKeepMillis(), settings.recentRequestsLimit());
+    this.answers = new AnswerCache(settings.answerRetentionMillis(), settings.answerCacheBytes());
+    this.endedForeignTasks =
+        new EndedForeignTasks(settings.answerRetentionMillis(), settings.recentRequestsLimit());
+    this.recentRequests =
+        new RecentRequests(settings.answerRetentionMillis(), settings.recentRequestsLimit());
   }
 
   /**
-   * Starts the regular look at waiting work.
+   * Starts the periodic checks of queued and running work.
    *
-   * @param taskDispatcher orders the tasks; it reports to this service
+   * @param taskDispatcher starts the tasks and reports to this service
    */
   public void start(Dispatcher taskDispatcher) {
     dispatcher = taskDispatcher;
-    timers.every(Duration.ofMillis(settings.tickMillis()), this::tick);
-    timers.every(OVERLONG_PERIOD, this::stopOverlong);
+    timers.every(Duration.ofMillis(settings.queueCheckMillis()), this::checkQueue);
+    timers.every(OVERLONG_CHECK_INTERVAL, this::stopOverlong);
   }
 
   /**
-   * Sets what is done each time before work is placed.
+   * Sets the action that runs each time before work is placed.
    *
-   * @param step brings the permits up to date
+   * @param action updates the permits
    */
-  public void beforePlacing(Runnable step) {
-    beforePlacing = step;
+  public void beforePlacing(Runnable action) {
+    beforePlacing = action;
   }
 
   /**
-   * Sets what tells whether no other instance can have become home of this one's work unnoticed
-   * since a time. Without that a refusal is not certain.
+   * Sets the check that no other instance can have become home of this instance's work unnoticed
+   * since a given time. If the check fails, a refusal does not prove that the work was not run.
    *
-   * @param rule is given the time
+   * @param check receives the time in milliseconds
    */
-  public void soleHomeSince(LongPredicate rule) {
-    soleHomeSince = rule;
+  public void soleHomeSince(LongPredicate check) {
+    soleHomeSince = check;
   }
 
   /**
-   * Takes work in, or joins it to the same work taken in before.
+   * Accepts work, or joins it to an earlier submission of the same key.
    *
    * @param submission the work
-   * @param answer is given the final answer, on the control thread
+   * @param answer receives the final answer on the control thread
    */
   public void submit(Submission submission, Consumer<WorkResult> answer) {
     WorkKey key = submission.item().key();
     if (join(submission, answer)) {
       return;
     }
-    boolean mayHaveRun = recent.mayHaveRun(key, timers.nowMillis());
-    WorkEntry entry = new WorkEntry(mayHaveRun ? submission.afterEarlierTry() : submission);
+    boolean mayHaveRun = recentRequests.mayHaveRun(key, timers.nowMillis());
+    WorkEntry entry = new WorkEntry(mayHaveRun ? submission.withPossibleEarlierRun() : submission);
     entries.put(key, entry);
     entry.addWaiter(answer);
     enqueue(entry);
-    pump();
+    placeQueuedWork();
   }
 
   /**
-   * Joins work that waits or runs here, or was answered here lately.
+   * Joins work that is queued or running here, or was recently answered here.
    *
    * @param submission the work
-   * @param answer is given the final answer, on the control thread
-   * @return false if it is not known here, so that there is nothing to join
+   * @param answer receives the final answer on the control thread
+   * @return false if the key is not known here, so that there is nothing to join
    */
   public boolean join(Submission submission, Consumer<WorkResult> answer) {
     WorkKey key = submission.item().key();
@@ -160,33 +162,33 @@
     }
     WorkEntry entry = entries.get(key);
     if (entry == null) {
-      return joinEnded(submission, answer);
+      return joinEndedForeignTask(submission, answer);
     }
     entry.addWaiter(answer);
     return true;
   }
 
-  private boolean joinEnded(Submission submission, Consumer<WorkResult> answer) {
+  private boolean joinEndedForeignTask(Submission submission, Consumer<WorkResult> answer) {
     long now = timers.nowMillis();
-    Optional<PlacedTask> ended = foundEnds.take(submission.item().key(), now);
+    Optional<PlacedTask> ended = endedForeignTasks.remove(submission.item().key(), now);
     ended.ifPresent(
         task -> {
-          WorkEntry entry = new WorkEntry(submission.afterEarlierTry());
+          WorkEntry entry = new WorkEntry(submission.withPossibleEarlierRun());
           entries.put(submission.item().key(), entry);
           entry.addWaiter(answer);
-          entry.placed(List.of(task), now);
-          entry.started();
+          entry.recordPlacement(List.of(task), now);
+          entry.recordStart();
           dispatcher.adopt(task);
         });
     return ended.isPresent();
   }
 
   /**
-   * Takes in work that its home has sent here. It is returned as {@link RefusalReason#NO_ROOM} if
-   * it does not start within a short time, and never sent on.
+   * Accepts work that its home has sent here. It is refused with {@link RefusalReason#NO_ROOM} if
+   * it is still queued after a short time, and is never forwarded.
    *
    * @param submission the work
-   * @param answer is given the final answer, on the control thread
+   * @param answer receives the final answer on the control thread
    */
   public void submitFromHome(Submission submission, Consumer<WorkResult> answer) {
     WorkKey key = submission.item().key();
@@ -197,23 +199,24 @@
       return;
     }
     entry.setMovable(false);
-    timers.after(RETURN_AFTER, () -> returnIfQueued(entry));
+    timers.after(RETURN_TIMEOUT, () -> returnIfQueued(entry));
   }
 
   private void returnIfQueued(WorkEntry entry) {
     if (entry.isQueued() && scheduler.cancelQueued(entry.item().key())) {
-      refuse(entry, new Refusal(RefusalReason.NO_ROOM, "no room at this instance", 0));
+      refuse(entry, new Refusal(RefusalReason.NO_ROOM, "no capacity at this instance", 0));
     }
   }
 
   /**
-   * Sends waiting work to another instance. What comes back for want of room waits here again.
+   * Sends queued work to another instance. Work that the peer refuses without running it is queued
+   * here again.
    *
    * @param key the work
-   * @param send sends it and gives its answer
-   * @return false if it does not wait here or may not be moved
+   * @param send sends the work and returns its result
+   * @return false if the work is not queued here or may not be moved
    */
-  public boolean shift(WorkKey key, Function<Submission, Uni<WorkResult>> send) {
+  public boolean moveToPeer(WorkKey key, Function<Submission, Uni<WorkResult>> send) {
     WorkEntry entry = entries.get(key);
     if (entry == null || !entry.isMovable() || !scheduler.cancelQueued(key)) {
       return false;
@@ -221,28 +224,28 @@
     entry.setQueued(false);
     send.apply(entry.submission())
         .subscribe()
-        .with(result -> control.execute(() -> shifted(entry, result)));
+        .with(result -> control.execute(() -> handleMoveResult(entry, result)));
     return true;
   }
 
-  private void shifted(WorkEntry entry, WorkResult result) {
+  private void handleMoveResult(WorkEntry entry, WorkResult result) {
     boolean returned =
-        result.refusal().map(refusal -> RETURNED.contains(refusal.reason())).orElse(false);
+        result.refusal().map(refusal -> RETURN_REASONS.contains(refusal.reason())).orElse(false);
     if (returned && entry.isCancelled()) {
       refuse(entry, new Refusal(RefusalReason.CANCELLED, "cancelled while it waited", 0));
     } else if (returned) {
       enqueue(entry);
-      pump();
+      placeQueuedWork();
     } else {
       finish(entry, result);
     }
   }
 
   /**
-   * Follows a task that was found running on a worker after a takeover.
+   * Adopts a task that was found running on a worker after a takeover.
    *
    * @param task the task
-   * @param item the work it belongs to, as far as it is known
+   * @param item the work that the task belongs to, as far as it is known
    */
   public void adopt(PlacedTask task, WorkItem item) {
     if (dispatcher.isFollowed(task.taskId())) {
@@ -253,32 +256,32 @@
     WorkEntry entry =
         entries.computeIfAbsent(
             item.key(), key -> new WorkEntry(new Submission(item, TaskReport.NO_BODY)));
-    List<PlacedTask> live = new ArrayList<>(entry.live());
+    List<PlacedTask> live = new ArrayList<>(entry.liveTasks());
     live.add(task);
-    entry.placed(live, now);
-    entry.started();
+    entry.recordPlacement(live, now);
+    entry.recordStart();
     dispatcher.adopt(task);
   }
 
   /**
-   * Notes a request that another instance ran, found on a worker after its end. Its answer is
-   * fetched from there when its caller comes back.
+   * Records a request that another instance ran and that was found on a worker after its end. Its
+   * answer is fetched from the worker when the request is repeated.
    *
    * @param task the task
    */
-  public void foundEnded(PlacedTask task) {
+  public void recordEndedForeignTask(PlacedTask task) {
     WorkKey key = task.taskId().key();
     boolean isRequest = task.workClass().isSynchronous() && AttemptKey.parse(key).isEmpty();
     if (isRequest && !entries.containsKey(key)) {
-      foundEnds.put(task, timers.nowMillis());
+      endedForeignTasks.put(task, timers.nowMillis());
     }
   }
 
   /**
-   * Cancels work, waiting or running. Idempotent.
+   * Cancels queued or running work. Idempotent.
    *
    * @param key the work
-   * @param detail a sentence for the caller
+   * @param detail a message for the caller
    * @return false if the work is not known here or has its answer already
    */
   public boolean cancel(WorkKey key, String detail) {
@@ -286,23 +289,23 @@
     if (entry == null || entry.isFinished()) {
       return false;
     }
-    entry.cancel();
+    entry.markCancelled();
     if (scheduler.cancelQueued(key)) {
       refuse(entry, new Refusal(RefusalReason.CANCELLED, detail, 0));
     } else {
-      entry.live().forEach(task -> dispatcher.stop(task.taskId(), false));
+      entry.liveTasks().forEach(task -> dispatcher.stop(task.taskId(), false));
     }
     return true;
   }
 
   /**
-   * Sends all requests that have not started away, as this instance can start nothing any more. It
-   * was fenced off, so others were home of them meanwhile and may have run them.
+   * Refuses all queued work, because a fenced instance cannot start tasks any more. Other instances
+   * may have become home of the work meanwhile and may have run it, so its outcome is unknown.
    */
-  public void refuseWaiting() {
+  public void refuseQueuedWork() {
     for (WorkEntry entry : List.copyOf(entries.values())) {
       if (entry.isQueued() && scheduler.cancelQueued(entry.item().key())) {
-        String detail = "this instance starts anew";
+        String detail = "this instance was fenced off and restarts";
         finish(
             entry,
             new WorkResult.Unsettled(
@@ -315,7 +318,7 @@
    * Returns the number of synchronous requests without a final answer. Jobs are not counted: they
    * outlive an instance, and a shutdown that waited for a service would never end.
    *
-   * @return waiting and running requests
+   * @return the number of queued and running requests
    */
   public long openRequests() {
     return entries.values().stream()
@@ -324,7 +327,7 @@
   }
 
   /**
-   * Tells whether work waits or runs here, or was answered here lately.
+   * Returns whether work is queued or running here, or was recently answered here.
    *
    * @param key the work
    * @return true if a submission would join it
@@ -333,54 +336,56 @@
     long now = timers.nowMillis();
     return entries.containsKey(key)
         || answers.find(key, now).isPresent()
-        || foundEnds.contains(key, now);
+        || endedForeignTasks.contains(key, now);
   }
 
   /**
-   * Tells whether work was certainly not taken in here for as long as callers come back.
+   * Returns whether work was certainly not accepted here within the time in which callers repeat
+   * requests.
    *
    * @param key the work
-   * @return false if it was, or if too much was taken in since to tell
+   * @return false if it was accepted, or if its entry may have been evicted by later requests
    */
-  public boolean neverTaken(WorkKey key) {
-    return !knows(key) && !recent.mayHaveRun(key, timers.nowMillis());
+  public boolean wasNeverTaken(WorkKey key) {
+    return !knows(key) && !recentRequests.mayHaveRun(key, timers.nowMillis());
   }
 
-  /** Places what can be placed now. Called whenever room, permits or work have come. */
-  public void pump() {
-    if (pumping || dispatcher == null) {
+  /** Places queued work where possible. Called whenever capacity, permits or work are added. */
+  public void placeQueuedWork() {
+    if (placing || dispatcher == null) {
       return;
     }
-    pumping = true;
+    placing = true;
     try {
       beforePlacing.run();
       List<Placement> placements = scheduler.place(timers.nowMillis());
-      placements.forEach(this::begin);
+      placements.forEach(this::requestStart);
     } finally {
-      pumping = false;
+      placing = false;
     }
   }
 
-  // A request that runs for ever holds a slot, its caller and its home. Homes ask former homes only
-  // as far back as a request can run, so the bound also keeps repeated requests from running twice.
+  // A request that never ends would hold a slot, its caller and its home. Homes query former homes
+  // only as far back as a request can run, so this limit also keeps repeated requests from running
+  // twice.
   private void stopOverlong() {
-    long started = timers.nowMillis() - settings.longestRunMillis();
+    long oldestStart = timers.nowMillis() - settings.longestRunMillis();
     for (WorkEntry entry : entries.values()) {
-      boolean overlong = entry.hasStarted() && entry.placedMillis() < started;
+      boolean overlong = entry.hasStarted() && entry.placedMillis() < oldestStart;
       if (overlong && entry.item().workClass().isSynchronous()) {
-        entry.live().forEach(task -> dispatcher.stop(task.taskId(), false));
+        entry.liveTasks().forEach(task -> dispatcher.stop(task.taskId(), false));
       }
     }
   }
 
-  private void tick() {
+  private void checkQueue() {
     for (GivenUp givenUp : scheduler.expire(timers.nowMillis())) {
       WorkEntry entry = entries.get(givenUp.item().key());
       if (entry != null) {
         refuse(entry, givenUp.refusal());
       }
     }
-    pump();
+    placeQueuedWork();
   }
 
   private void enqueue(WorkEntry entry) {
@@ -393,20 +398,21 @@
     }
   }
 
-  private void begin(Placement placement) {
+  private void requestStart(Placement placement) {
     WorkEntry entry = entries.get(placement.item().key());
-    entry.placed(placement.tasks(), timers.nowMillis());
-    gate.request(placement, taken -> opened(entry, placement, taken));
+    entry.recordPlacement(placement.tasks(), timers.nowMillis());
+    gate.requestStart(placement, taken -> handleStartDecision(entry, placement, taken));
   }
 
-  private void opened(WorkEntry entry, Placement placement, boolean taken) {
+  private void handleStartDecision(WorkEntry entry, Placement placement, boolean taken) {
     if (taken && !entry.isCancelled()) {
       placement.tasks().forEach(task -> dispatcher.start(task, entry.submission().payload()));
       return;
     }
-    String detail = taken ? "cancelled before it started" : "the attempt was not taken";
+    String detail =
+        taken ? "cancelled before it started" : "the attempt was not confirmed as taken";
     for (PlacedTask task : placement.tasks()) {
-      onEnded(task.taskId(), TaskReport.without(TaskEnd.NOT_STARTED, detail));
+      onEnded(task.taskId(), TaskReport.withoutBody(TaskEnd.NOT_STARTED, detail));
     }
   }
 
@@ -419,7 +425,7 @@
     if (!entry.hasStarted()) {
       observer.onStarted(entry.item(), timers.nowMillis() - entry.item().submittedMillis());
     }
-    entry.started();
+    entry.recordStart();
   }
 
   @Override
@@ -427,29 +433,30 @@
     scheduler.taskEnded(taskId, report.end(), timers.nowMillis());
     WorkEntry entry = entries.get(taskId.key());
     if (entry != null) {
-      boolean allEnded = entry.taskEnded(taskId, report);
+      boolean allEnded = entry.recordEnd(taskId, report);
       if (allEnded) {
         conclude(entry);
       } else if (report.end() != TaskEnd.COMPLETED && entry.item().workClass() == WorkClass.GANG) {
-        stopRest(entry);
+        stopRemainingTasks(entry);
       }
     }
-    pump();
+    placeQueuedWork();
   }
 
-  // A gang's tasks wait for each other. If one is gone the others would hold their room for ever.
-  private void stopRest(WorkEntry entry) {
-    entry.live().forEach(task -> dispatcher.stop(task.taskId(), false));
+  // The tasks of a gang wait for each other. After one has ended without completing, the others
+  // would hold their reservations for ever.
+  private void stopRemainingTasks(WorkEntry entry) {
+    entry.liveTasks().forEach(task -> dispatcher.stop(task.taskId(), false));
   }
 
   private void conclude(WorkEntry entry) {
     List<TaskReport> reports = entry.reports();
-    if (all(reports, TaskEnd.COMPLETED)) {
+    if (allEndedAs(reports, TaskEnd.COMPLETED)) {
       answer(entry, Outcome.COMPLETED, "", reports.get(0).body());
-    } else if (has(reports, TaskEnd.FAILED)) {
-      TaskReport failed = first(reports, TaskEnd.FAILED);
+    } else if (anyEndedAs(reports, TaskEnd.FAILED)) {
+      TaskReport failed = firstEndedAs(reports, TaskEnd.FAILED);
       answer(entry, Outcome.FAILED, failed.detail(), failed.body());
-    } else if (all(reports, TaskEnd.NOT_STARTED)) {
+    } else if (allEndedAs(reports, TaskEnd.NOT_STARTED)) {
       retryOrRefuse(entry, reports.get(0).detail());
     } else if (entry.isCancelled()) {
       answer(entry, Outcome.FAILED, "cancelled while it ran", TaskReport.NO_BODY);
@@ -466,7 +473,7 @@
     } else if (canRetry(entry)) {
       retry(entry);
     } else {
-      // Of journaled work only this attempt has ended; the journal's side decides on the next.
+      // For journaled work only this attempt has ended; the journal decides on the next one.
       RefusalReason reason =
           entry.submission().isJournaled() ? RefusalReason.NO_ROOM : RefusalReason.DEADLINE_PASSED;
       refuse(entry, new Refusal(reason, detail, RETRY_AFTER_MILLIS));
@@ -485,15 +492,15 @@
     enqueue(entry);
   }
 
-  private static boolean all(List<TaskReport> reports, TaskEnd end) {
+  private static boolean allEndedAs(List<TaskReport> reports, TaskEnd end) {
     return reports.stream().allMatch(report -> report.end() == end);
   }
 
-  private static boolean has(List<TaskReport> reports, TaskEnd end) {
+  private static boolean anyEndedAs(List<TaskReport> reports, TaskEnd end) {
     return reports.stream().anyMatch(report -> report.end() == end);
   }
 
-  private static TaskReport first(List<TaskReport> reports, TaskEnd end) {
+  private static TaskReport firstEndedAs(List<TaskReport> reports, TaskEnd end) {
     return reports.stream().filter(report -> report.end() == end).findFirst().orElseThrow();
   }
 
@@ -509,8 +516,8 @@
   private void finish(WorkEntry entry, WorkResult result) {
     long now = timers.nowMillis();
     entries.remove(entry.item().key());
-    // A refusal is not kept: the caller may come back under the same id, and the work has not run.
-    // Nor is an unknown outcome of idempotent work, which may be run again.
+    // A refusal is not cached: the work has not run, and the caller may retry with the same id. An
+    // unknown outcome of idempotent work is not cached either, because the work may run again.
     boolean isOpenToRetry = result.outcome() == Outcome.UNKNOWN && entry.item().idempotent();
     boolean isAnswer = result instanceof WorkResult.Answered && !isOpenToRetry;
     if (isAnswer && entry.item().workClass().isSynchronous()) {
@@ -518,7 +525,7 @@
     }
     if (entry.item().workClass().isSynchronous() && !entry.submission().isJournaled()) {
       boolean mayHaveRun = !(result instanceof WorkResult.Refused);
-      recent.put(entry.item().key(), mayHaveRun, now);
+      recentRequests.recordEnd(entry.item().key(), mayHaveRun, now);
     }
     observer.onFinished(entry.item(), result, now - entry.item().submittedMillis());
     entry.finish(result);
