--- a/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
@@ -24,18 +24,18 @@
 import org.hickorypier.daemon.cluster.Cluster;
 import org.hickorypier.daemon.cluster.ClusterJobScope;
 import org.hickorypier.daemon.cluster.ConfigurationGossip;
-import org.hickorypier.daemon.cluster.DigestBoard;
 import org.hickorypier.daemon.cluster.FleetQueries;
-import org.hickorypier.daemon.cluster.FleetWork;
+import org.hickorypier.daemon.cluster.FleetWorkOperations;
 import org.hickorypier.daemon.cluster.FreshnessService;
 import org.hickorypier.daemon.cluster.HistoryExchange;
-import org.hickorypier.daemon.cluster.HomeIntake;
-import org.hickorypier.daemon.cluster.LocalRows;
-import org.hickorypier.daemon.cluster.PeerRequests;
+import org.hickorypier.daemon.cluster.HomeAdmission;
+import org.hickorypier.daemon.cluster.LocalQueryRows;
+import org.hickorypier.daemon.cluster.PeerDigests;
+import org.hickorypier.daemon.cluster.PeerRequestDispatcher;
 import org.hickorypier.daemon.cluster.PermitDemands;
 import org.hickorypier.daemon.cluster.QuestionKind;
 import org.hickorypier.daemon.cluster.WorkShifter;
-import org.hickorypier.daemon.cluster.WorkerSightings;
+import org.hickorypier.daemon.cluster.WorkerObservationCollector;
 import org.hickorypier.daemon.configuration.ConfigurationService;
 import org.hickorypier.daemon.entry.EntryService;
 import org.hickorypier.daemon.entry.HomeRouting;
@@ -110,11 +110,11 @@
   private final SnapshotKeeper keeper;
   private final Cluster cluster;
   private final PeerNetwork network;
-  private final LocalRows rows;
+  private final LocalQueryRows rows;
   private final FreshnessService freshness;
   private final HomeHistory history;
   private final HistoryExchange historyExchange;
-  private final HomeIntake intake;
+  private final HomeAdmission intake;
   private final FirstTries firstTries =
       new FirstTries(DaemonConstants.ANSWER_KEEP_MILLIS, DaemonConstants.RECENT_REQUESTS_LIMIT);
   private final JournalService journal = new JournalService();
@@ -127,8 +127,8 @@
   private final LogStream<PermitRecord> permitStream;
   private final TaskAdopter adopter;
   private final WorkShifter shifter;
-  private final DigestBoard digests;
-  private final PeerRequests requests;
+  private final PeerDigests digests;
+  private final PeerRequestDispatcher requests;
   private final HttpFront front;
 
   /**
@@ -185,8 +185,9 @@
             random.nextLong());
     owners = new TaskOwners((worker, owner) -> permits().covers(worker, owner));
     rows =
-        new LocalRows(settings.name(), settings.dataCentre(), scheduler, control, owners::isOurs);
-    digests = new DigestBoard(scheduler, owners::isOurs);
+        new LocalQueryRows(
+            settings.name(), settings.dataCentre(), scheduler, control, owners::isOurs);
+    digests = new PeerDigests(scheduler, owners::isOurs);
     work =
         new WorkService(
             new WorkSettings(
@@ -246,8 +247,8 @@
         new SnapshotKeeper(
             configuration, configurationStream, permits, permitStream, digests, cluster);
     adopter = new TaskAdopter(scheduler, work, dispatcher, control, permits, owners, self);
-    requests = new PeerRequests(control, readiness, work);
-    requests.answer(
+    requests = new PeerRequestDispatcher(control, readiness, work);
+    requests.registerQuestionHandler(
         QuestionKind.OFFER,
         worker -> {
           fleet.offered(worker);
@@ -278,7 +279,7 @@
         new HistoryExchange(
             history, cluster, requests, control, control, fleet::isListRead, this::isFirstToServe);
     intake =
-        new HomeIntake(
+        new HomeAdmission(
             cluster,
             history,
             work,
@@ -306,7 +307,7 @@
     jobs =
         new JobService(
             journal, runner, new KeptAnswers(fleet, control), control, this::journalReading);
-    requests.takeInBy(intake, runner::runForHome);
+    requests.setAdmission(intake, runner::runForHome);
     shifter = new WorkShifter(cluster, scheduler, work, control, control, history, random.split());
     network.listen(shifter);
     network.listen(digests);
@@ -358,7 +359,8 @@
             rows::refused,
             () -> rows.workers(fleet),
             () -> List.of(rows.instance(desk::state, configuration.current().offset(), fleet)));
-    FleetWork fleetWork = new FleetWork(cluster, requests, journal, jobs, work, scheduler, control);
+    FleetWorkOperations fleetWork =
+        new FleetWorkOperations(cluster, requests, journal, jobs, work, scheduler, control);
     desk.mount(router, queries, fleetWork);
   }
 
@@ -369,7 +371,7 @@
         control,
         holder -> cluster.isLive(holder.toString()),
         holder -> cluster.isWanted(holder.toString()),
-        answer -> WorkerSightings.askAll(fleet, answer));
+        answer -> WorkerObservationCollector.collect(fleet, answer));
   }
 
   private PermitService permits() {
@@ -410,7 +412,7 @@
 
   private void sendDigest() {
     network.broadcast(
-        digests.own(
+        digests.localDigest(
             configuration.current().offset(),
             freshness.ageMillis(),
             readiness.obstacle().isEmpty()));
--- a/daemon/src/main/java/org/hickorypier/daemon/OperatorDesk.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/OperatorDesk.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import org.hickorypier.core.keys.KeyIssuer;
 import org.hickorypier.daemon.cluster.Cluster;
-import org.hickorypier.daemon.cluster.DigestBoard;
-import org.hickorypier.daemon.cluster.FleetWork;
+import org.hickorypier.daemon.cluster.FleetWorkOperations;
+import org.hickorypier.daemon.cluster.PeerDigests;
 import org.hickorypier.daemon.configuration.ConfigurationService;
 import org.hickorypier.daemon.entry.ReadinessCheck;
 import org.hickorypier.daemon.operator.ConfiguredOperators;
@@ -22,7 +22,7 @@
   private final DaemonSettings settings;
   private final ControlThread control;
   private final Cluster cluster;
-  private final DigestBoard digests;
+  private final PeerDigests digests;
   private final ConfigurationService configuration;
   private final ReadinessCheck readiness;
 
@@ -30,7 +30,7 @@
       DaemonSettings settings,
       ControlThread control,
       Cluster cluster,
-      DigestBoard digests,
+      PeerDigests digests,
       ConfigurationService configuration,
       ReadinessCheck readiness) {
     this.settings = settings;
@@ -41,7 +41,7 @@
     this.readiness = readiness;
   }
 
-  void mount(Router router, FleetView queries, FleetWork work) {
+  void mount(Router router, FleetView queries, FleetWorkOperations work) {
     StatementExecutor executor =
         new StatementExecutor(
             configuration::current,
@@ -70,6 +70,6 @@
   }
 
   private List<String> behind(long offset) {
-    return digests.behind(cluster.liveOthers(), offset);
+    return digests.instancesBehind(cluster.liveOtherInstances(), offset);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/SnapshotKeeper.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/SnapshotKeeper.java
@@ -10,7 +10,7 @@
 import org.hickorypier.core.fold.SnapshotPolicy;
 import org.hickorypier.daemon.LogStreams.LogStream;
 import org.hickorypier.daemon.cluster.Cluster;
-import org.hickorypier.daemon.cluster.DigestBoard;
+import org.hickorypier.daemon.cluster.PeerDigests;
 import org.hickorypier.daemon.configuration.ConfigurationService;
 import org.hickorypier.daemon.log.LogFollower;
 import org.hickorypier.daemon.log.SnapshotPublisher;
@@ -29,7 +29,7 @@
   private final LogFollower<ConfigurationRecord> configurationLog;
   private final PermitService permits;
   private final LogFollower<PermitRecord> permitLog;
-  private final DigestBoard digests;
+  private final PeerDigests digests;
   private final Cluster cluster;
 
   SnapshotKeeper(
@@ -37,7 +37,7 @@
       LogStream<ConfigurationRecord> configurationStream,
       PermitService permits,
       LogStream<PermitRecord> permitStream,
-      DigestBoard digests,
+      PeerDigests digests,
       Cluster cluster) {
     this.configuration = configuration;
     this.configurationLog = configurationStream.follower();
@@ -49,7 +49,7 @@
 
   /** Starts to publish snapshots. To be called before the streams are followed. */
   void start(TimerService timers) {
-    String self = cluster.own().toString();
+    String self = cluster.localIdentity().toString();
     publish(
         timers,
         configurationLog,
@@ -91,6 +91,6 @@
   }
 
   private int turn() {
-    return new TreeSet<>(cluster.live()).headSet(cluster.own().name()).size();
+    return new TreeSet<>(cluster.liveInstances()).headSet(cluster.localIdentity().name()).size();
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/TakeInRule.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/AdmissionRule.java
@@ -11,7 +11,7 @@
  * <p>Holds no state. Failures prevented: work runs a second time beside a run that goes on, and a
  * request that an earlier home ran is called not run.
  */
-final class TakeInRule {
+final class AdmissionRule {
 
   /** The next step. */
   enum Step {
@@ -27,7 +27,7 @@
     RUN
   }
 
-  private TakeInRule() {}
+  private AdmissionRule() {}
 
   /**
    * Decides on the next step.
@@ -38,15 +38,18 @@
    * @param replies what the others know
    */
   static Step decide(
-      FormerHomes lately, boolean askedAll, boolean completeHere, List<KnowsReply> replies) {
-    if (any(replies, WorkKnowledge.KNOWN)) {
+      FormerHomes lately,
+      boolean askedAll,
+      boolean completeHere,
+      List<WorkKnowledgeReply> replies) {
+    if (hasReply(replies, WorkKnowledge.KNOWN)) {
       return Step.JOIN;
     }
-    if (!completeHere || any(replies, WorkKnowledge.INCOMPLETE)) {
+    if (!completeHere || hasReply(replies, WorkKnowledge.INCOMPLETE)) {
       return Step.WAIT;
     }
     // A former home that lives may have started anew since, and others have its tasks.
-    if (!askedAll && any(replies, WorkKnowledge.NOT_RUNNING)) {
+    if (!askedAll && hasReply(replies, WorkKnowledge.NOT_RUNNING)) {
       return Step.ASK_ALL;
     }
     Set<String> unsure = new TreeSet<>(lately.others());
@@ -57,7 +60,7 @@
     return never ? Step.RUN : Step.RUN_AFTER_EARLIER_TRY;
   }
 
-  private static boolean any(List<KnowsReply> replies, WorkKnowledge knowledge) {
+  private static boolean hasReply(List<WorkKnowledgeReply> replies, WorkKnowledge knowledge) {
     return replies.stream().anyMatch(reply -> reply.knowledge() == knowledge);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
@@ -51,24 +51,24 @@
   private static final long RUN_ALLOWANCE_MILLIS = 10 * 60 * 1_000;
 
   /** Hops of work on its way to its home. */
-  static final int TO_HOME = 1;
+  static final int HOPS_TO_HOME = 1;
 
   /** Hops of work that its home has sent on; it goes no further, so it cannot go round. */
-  static final int FROM_HOME = 2;
+  static final int HOPS_FROM_HOME = 2;
 
   /** Hops of work that is only to be joined where it runs already, and not taken in. */
-  static final int TO_HOLDER = 3;
+  static final int HOPS_TO_HOLDER = 3;
 
-  private static final Duration LOST_PERIOD = Duration.ofMillis(250);
+  private static final Duration LOST_INSTANCE_CHECK_PERIOD = Duration.ofMillis(250);
   private static final Duration QUESTION_TIMEOUT = Duration.ofSeconds(5);
 
-  private final PeerIdentity own;
-  private final Membership members;
+  private final PeerIdentity localIdentity;
+  private final Membership membership;
   private final TimerService timers;
   private Configuration configuration = Configuration.EMPTY;
   private PeerNetwork network;
-  private Set<String> listedOthers = Set.of();
-  private final Set<OpenSend> openSends = ConcurrentHashMap.newKeySet();
+  private Set<String> listedOtherInstances = Set.of();
+  private final Set<PendingSend> pendingSends = ConcurrentHashMap.newKeySet();
   private boolean shuttingDown;
 
   /**
@@ -79,8 +79,8 @@
    * @param timers the time
    */
   public Cluster(PeerIdentity own, Membership members, TimerService timers) {
-    this.own = own;
-    this.members = members;
+    this.localIdentity = own;
+    this.membership = members;
     this.timers = timers;
   }
 
@@ -91,7 +91,7 @@
    */
   public void connect(PeerNetwork peers) {
     network = peers;
-    peers.listen(members);
+    peers.listen(membership);
   }
 
   /**
@@ -100,12 +100,12 @@
    * @param instances the whole list
    */
   public void onInstanceList(List<ListedInstance> instances) {
-    members.onInstanceList(instances);
-    listedOthers =
+    membership.onInstanceList(instances);
+    listedOtherInstances =
         instances.stream()
             .filter(instance -> instance.kind() == InstanceKind.ENTRY)
             .map(ListedInstance::name)
-            .filter(name -> !name.equals(own.name()))
+            .filter(name -> !name.equals(localIdentity.name()))
             .collect(Collectors.toUnmodifiableSet());
     network.instances(instances);
   }
@@ -117,7 +117,7 @@
    */
   public void onConfiguration(Configuration state) {
     configuration = state;
-    members.onDrains(
+    membership.onDrains(
         state.drains().values().stream()
             .filter(Drain::draining)
             .map(Drain::name)
@@ -134,8 +134,8 @@
    *
    * @return their names
    */
-  public Set<String> live() {
-    return members.live();
+  public Set<String> liveInstances() {
+    return membership.live();
   }
 
   /**
@@ -143,8 +143,8 @@
    *
    * @return their names
    */
-  public Set<String> listedOthers() {
-    return listedOthers;
+  public Set<String> listedOtherInstances() {
+    return listedOtherInstances;
   }
 
   /**
@@ -152,8 +152,8 @@
    *
    * @return their names
    */
-  public Set<String> candidates() {
-    return members.candidates();
+  public Set<String> homeCandidates() {
+    return membership.candidates();
   }
 
   /**
@@ -161,8 +161,8 @@
    *
    * @return name and incarnation
    */
-  public PeerIdentity own() {
-    return own;
+  public PeerIdentity localIdentity() {
+    return localIdentity;
   }
 
   /**
@@ -175,7 +175,7 @@
    */
   public Uni<byte[]> ask(String instance, QuestionKind kind, String text) {
     Question question = new Question(0, kind.wireName(), text);
-    return network.request(instance, question, QUESTION_TIMEOUT).map(Cluster::data);
+    return network.request(instance, question, QUESTION_TIMEOUT).map(Cluster::replyData);
   }
 
   /**
@@ -206,24 +206,24 @@
    *
    * @return their names
    */
-  public Set<String> liveOthers() {
-    Set<String> others = new TreeSet<>(live());
-    others.remove(own.name());
+  public Set<String> liveOtherInstances() {
+    Set<String> others = new TreeSet<>(liveInstances());
+    others.remove(localIdentity.name());
     return others;
   }
 
-  private static byte[] data(Answer answer) {
+  private static byte[] replyData(Answer answer) {
     return answer instanceof Reply reply ? reply.data() : new byte[0];
   }
 
   @Override
   public boolean isWanted(String worker) {
-    return !shuttingDown && members.wantedController(worker).equals(own.name());
+    return !shuttingDown && membership.wantedController(worker).equals(localIdentity.name());
   }
 
   @Override
   public boolean isLive(String controller) {
-    return PeerIdentity.parse(controller).map(members::isLive).orElse(false);
+    return PeerIdentity.parse(controller).map(membership::isLive).orElse(false);
   }
 
   @Override
@@ -233,8 +233,8 @@
 
   @Override
   public void offer(String worker) {
-    String wanted = members.wantedController(worker);
-    if (wanted.equals(own.name())) {
+    String wanted = membership.wantedController(worker);
+    if (wanted.equals(localIdentity.name())) {
       return;
     }
     ask(wanted, QuestionKind.OFFER, worker)
@@ -248,13 +248,13 @@
 
   @Override
   public Optional<String> remoteHome(WorkKey key) {
-    String home = members.home(key);
-    return home.equals(own.name()) ? Optional.empty() : Optional.of(home);
+    String home = membership.home(key);
+    return home.equals(localIdentity.name()) ? Optional.empty() : Optional.of(home);
   }
 
   @Override
   public Uni<WorkResult> forward(String home, Submission submission) {
-    return send(home, submission, TO_HOME);
+    return send(home, submission, HOPS_TO_HOME);
   }
 
   /**
@@ -265,7 +265,7 @@
    * @return the final answer
    */
   public Uni<WorkResult> shift(String instance, Submission submission) {
-    return send(instance, submission, FROM_HOME);
+    return send(instance, submission, HOPS_FROM_HOME);
   }
 
   /**
@@ -276,7 +276,7 @@
    * @return the final answer; unsettled if that instance has lost it meanwhile
    */
   public Uni<WorkResult> join(String instance, Submission submission) {
-    return send(instance, submission, TO_HOLDER);
+    return send(instance, submission, HOPS_TO_HOLDER);
   }
 
   private Uni<WorkResult> send(String instance, Submission submission, int hops) {
@@ -286,33 +286,33 @@
         network
             .request(
                 instance,
-                ForwardCodec.work(submission, hops, now),
+                ForwardCodec.toForwardedWork(submission, hops, now),
                 Duration.ofMillis(remaining + RUN_ALLOWANCE_MILLIS))
-            .map(answer -> ForwardCodec.result((ForwardedAnswer) answer))
+            .map(answer -> ForwardCodec.toWorkResult((ForwardedAnswer) answer))
             .onFailure()
-            .recoverWithItem(Cluster::unanswered);
-    return Uni.createFrom().emitter(emitter -> new OpenSend(instance, emitter).start(answered));
+            .recoverWithItem(Cluster::resultOfFailedSend);
+    return Uni.createFrom().emitter(emitter -> new PendingSend(instance, emitter).start(answered));
   }
 
   /** Starts to look after work that was sent to instances which are gone. */
   public void start() {
-    timers.every(LOST_PERIOD, this::giveUpLost);
+    timers.every(LOST_INSTANCE_CHECK_PERIOD, this::failSendsToLostInstances);
   }
 
   // A request to an instance that is gone would stay open until its deadline, since the link waits
   // for the instance to come back. The caller is told at once that nobody knows.
-  private void giveUpLost() {
-    Set<String> live = members.live();
-    for (OpenSend open : List.copyOf(openSends)) {
+  private void failSendsToLostInstances() {
+    Set<String> live = membership.live();
+    for (PendingSend open : List.copyOf(pendingSends)) {
       if (!live.contains(open.instance)) {
-        open.finish(unanswered(new PeerException(open.instance + " is gone", true)));
+        open.finish(resultOfFailedSend(new PeerException(open.instance + " is gone", true)));
       }
     }
   }
 
   // A home that was lost after it took the work may have run it. Only a refusal by the link itself,
   // before anything was written, is proof that it has not; and that says nothing of earlier tries.
-  private static WorkResult unanswered(Throwable error) {
+  private static WorkResult resultOfFailedSend(Throwable error) {
     if (error instanceof PeerException known && !known.mayHaveBeenTaken()) {
       return new WorkResult.Unsettled(
           new Refusal(RefusalReason.NOT_READY, known.getMessage(), RETRY_AFTER_MILLIS));
@@ -327,7 +327,7 @@
    * @param text the text
    * @return its bytes
    */
-  public static byte[] bytes(String text) {
+  public static byte[] utf8Bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
@@ -337,29 +337,29 @@
    * @param text team and request id with a slash between
    * @return the key
    */
-  static WorkKey workKey(String text) {
+  static WorkKey parseWorkKey(String text) {
     int slash = text.indexOf('/');
     return new WorkKey(text.substring(0, Math.max(0, slash)), text.substring(slash + 1));
   }
 
   /** Work that was sent to another instance and is not answered. */
-  private final class OpenSend {
+  private final class PendingSend {
 
     private final String instance;
     private final UniEmitter<? super WorkResult> emitter;
 
-    OpenSend(String instance, UniEmitter<? super WorkResult> emitter) {
+    PendingSend(String instance, UniEmitter<? super WorkResult> emitter) {
       this.instance = instance;
       this.emitter = emitter;
     }
 
     void start(Uni<WorkResult> answered) {
-      openSends.add(this);
+      pendingSends.add(this);
       answered.subscribe().with(this::finish);
     }
 
     void finish(WorkResult result) {
-      if (openSends.remove(this)) {
+      if (pendingSends.remove(this)) {
         emitter.complete(result);
       }
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/ClusterJobScope.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/ClusterJobScope.java
@@ -23,11 +23,11 @@
    * @param requests answers the other instances
    */
   public ClusterJobScope(
-      Cluster cluster, Readiness readiness, Dispatcher dispatcher, PeerRequests requests) {
+      Cluster cluster, Readiness readiness, Dispatcher dispatcher, PeerRequestDispatcher requests) {
     this.cluster = cluster;
     this.readiness = readiness;
     this.dispatcher = dispatcher;
-    requests.answer(
+    requests.registerQuestionHandler(
         QuestionKind.STOP,
         text -> {
           dispatcher.stop(TaskId.parse(text), false);
@@ -47,14 +47,14 @@
 
   @Override
   public boolean isLive(String owner) {
-    return owner.equals(cluster.own().toString()) || cluster.isLive(owner);
+    return owner.equals(cluster.localIdentity().toString()) || cluster.isLive(owner);
   }
 
   @Override
   public void stop(TaskId taskId) {
     dispatcher.stop(taskId, false);
     cluster
-        .askAll(cluster.liveOthers(), QuestionKind.STOP, taskId.text())
+        .askAll(cluster.liveOtherInstances(), QuestionKind.STOP, taskId.text())
         .subscribe()
         .with(replies -> {});
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/FleetQueries.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/FleetQueries.java
@@ -29,7 +29,7 @@
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private final Cluster cluster;
-  private final Map<String, Supplier<? extends List<?>>> local = new HashMap<>();
+  private final Map<String, Supplier<? extends List<?>>> localRows = new HashMap<>();
 
   /**
    * Creates the queries and answers those of the other instances.
@@ -44,19 +44,19 @@
    */
   public FleetQueries(
       Cluster cluster,
-      PeerRequests requests,
+      PeerRequestDispatcher requests,
       Supplier<List<RunningRow>> running,
       Supplier<List<WaitingRow>> waiting,
       Supplier<List<RefusedRow>> refused,
       Supplier<List<WorkerRow>> workers,
       Supplier<List<InstanceRow>> instances) {
     this.cluster = cluster;
-    local.put("running", running);
-    local.put("waiting", waiting);
-    local.put("refused", refused);
-    local.put("workers", workers);
-    local.put("instances", instances);
-    requests.answer(QuestionKind.QUERY, this::answer);
+    localRows.put("running", running);
+    localRows.put("waiting", waiting);
+    localRows.put("refused", refused);
+    localRows.put("workers", workers);
+    localRows.put("instances", instances);
+    requests.registerQuestionHandler(QuestionKind.QUERY, this::answerLocally);
   }
 
   @Override
@@ -84,8 +84,8 @@
     return gather("instances", InstanceRow.class);
   }
 
-  private Uni<byte[]> answer(String subject) {
-    Supplier<? extends List<?>> rows = local.get(subject);
+  private Uni<byte[]> answerLocally(String subject) {
+    Supplier<? extends List<?>> rows = localRows.get(subject);
     if (rows == null) {
       return Uni.createFrom().failure(new IllegalArgumentException("no rows of " + subject));
     }
@@ -97,47 +97,48 @@
   }
 
   private <T extends TableRow> Uni<FleetRows<T>> gather(String subject, Class<T> type) {
-    Uni<Part<T>> here = answer(subject).map(data -> decode(cluster.own().name(), data, type));
+    Uni<PartialResult<T>> here =
+        answerLocally(subject).map(data -> decode(cluster.localIdentity().name(), data, type));
     Uni<List<PeerReply>> elsewhere =
-        cluster.askAll(cluster.liveOthers(), QuestionKind.QUERY, subject);
+        cluster.askAll(cluster.liveOtherInstances(), QuestionKind.QUERY, subject);
     return Uni.combine()
         .all()
         .unis(here, elsewhere)
         .with(
             (own, replies) -> {
-              List<Part<T>> parts = new ArrayList<>();
+              List<PartialResult<T>> parts = new ArrayList<>();
               parts.add(own);
               replies.forEach(reply -> parts.add(decode(reply, type)));
               return merge(parts);
             });
   }
 
-  private static <T> Part<T> decode(PeerReply reply, Class<T> type) {
+  private static <T> PartialResult<T> decode(PeerReply reply, Class<T> type) {
     return reply
         .data()
         .map(data -> FleetQueries.<T>decode(reply.instance(), data, type))
-        .orElseGet(() -> new Part<>(List.of(), List.of(reply.instance())));
+        .orElseGet(() -> new PartialResult<>(List.of(), List.of(reply.instance())));
   }
 
-  private static <T> Part<T> decode(String instance, byte[] data, Class<T> type) {
+  private static <T> PartialResult<T> decode(String instance, byte[] data, Class<T> type) {
     try {
       List<T> rows =
           MAPPER.readValue(data, MAPPER.getTypeFactory().constructCollectionType(List.class, type));
-      return new Part<>(rows, List.of());
+      return new PartialResult<>(rows, List.of());
     } catch (IOException error) {
-      return new Part<>(List.of(), List.of(instance));
+      return new PartialResult<>(List.of(), List.of(instance));
     }
   }
 
-  private static <T extends TableRow> FleetRows<T> merge(List<Part<T>> parts) {
+  private static <T extends TableRow> FleetRows<T> merge(List<PartialResult<T>> parts) {
     List<T> rows = new ArrayList<>();
     List<String> missing = new ArrayList<>();
-    for (Part<T> part : parts) {
+    for (PartialResult<T> part : parts) {
       rows.addAll(part.rows());
       missing.addAll(part.missing());
     }
     return new FleetRows<>(rows, missing);
   }
 
-  private record Part<T>(List<T> rows, List<String> missing) {}
+  private record PartialResult<T>(List<T> rows, List<String> missing) {}
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/FleetWork.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/FleetWorkOperations.java
@@ -26,10 +26,10 @@
  * <p>Belongs to the control thread. A job is cancelled through the journal, so that its home hears
  * of it whichever instance that is; a synchronous request is looked for at every instance.
  */
-public final class FleetWork implements WorkCanceller, WorkExplainer {
+public final class FleetWorkOperations implements WorkCanceller, WorkExplainer {
 
   private static final String FOUND = "found";
-  private static final String DETAIL = "cancelled by an operator";
+  private static final String CANCEL_DETAIL = "cancelled by an operator";
 
   private final Cluster cluster;
   private final JournalService journal;
@@ -49,9 +49,9 @@
    * @param scheduler the decisions
    * @param timers the time
    */
-  public FleetWork(
+  public FleetWorkOperations(
       Cluster cluster,
-      PeerRequests requests,
+      PeerRequestDispatcher requests,
       JournalService journal,
       JobService jobs,
       WorkService work,
@@ -63,8 +63,10 @@
     this.work = work;
     this.scheduler = scheduler;
     this.timers = timers;
-    requests.answer(QuestionKind.CANCEL, text -> reply(cancelHere(parse(text)) ? FOUND : ""));
-    requests.answer(QuestionKind.EXPLAIN, text -> reply(explainHere(parse(text)).orElse("")));
+    requests.registerQuestionHandler(
+        QuestionKind.CANCEL, text -> textReply(cancelLocally(parseWorkKey(text)) ? FOUND : ""));
+    requests.registerQuestionHandler(
+        QuestionKind.EXPLAIN, text -> textReply(explainLocally(parseWorkKey(text)).orElse("")));
   }
 
   @Override
@@ -76,17 +78,17 @@
     if (entry.isPresent() && entry.get().accepted().job()) {
       return jobs.cancel(key).map(view -> CancelOutcome.CANCELLED);
     }
-    if (cancelHere(key)) {
+    if (cancelLocally(key)) {
       return Uni.createFrom().item(CancelOutcome.CANCELLED);
     }
     return cluster
-        .askAll(cluster.listedOthers(), QuestionKind.CANCEL, key.toString())
-        .flatMap(this::cancelledThere);
+        .askAll(cluster.listedOtherInstances(), QuestionKind.CANCEL, key.toString())
+        .flatMap(this::outcomeOfReplies);
   }
 
   // An instance that gives no answer, or that is gone with tasks still to be found, may have it.
-  private Uni<CancelOutcome> cancelledThere(List<PeerReply> replies) {
-    if (firstText(replies).isPresent()) {
+  private Uni<CancelOutcome> outcomeOfReplies(List<PeerReply> replies) {
+    if (firstNonEmptyText(replies).isPresent()) {
       return Uni.createFrom().item(CancelOutcome.CANCELLED);
     }
     boolean allAnswered = replies.stream().allMatch(reply -> reply.text().isPresent());
@@ -103,23 +105,25 @@
 
   @Override
   public Uni<Optional<String>> explain(WorkKey key) {
-    Optional<String> here = explainHere(key);
-    return here.isPresent() ? Uni.createFrom().item(here) : firstAnswer(QuestionKind.EXPLAIN, key);
+    Optional<String> here = explainLocally(key);
+    return here.isPresent()
+        ? Uni.createFrom().item(here)
+        : askForFirstText(QuestionKind.EXPLAIN, key);
   }
 
-  private boolean cancelHere(WorkKey key) {
+  private boolean cancelLocally(WorkKey key) {
     Set<WorkKey> keys = new HashSet<>();
     keys.add(key);
     scheduler.queued().forEach(item -> keys.add(item.key()));
     scheduler.placed().forEach(task -> keys.add(task.taskId().key()));
     boolean found = false;
     for (WorkKey known : keys) {
-      found |= AttemptKey.workOf(known).equals(key) && work.cancel(known, DETAIL);
+      found |= AttemptKey.workOf(known).equals(key) && work.cancel(known, CANCEL_DETAIL);
     }
     return found;
   }
 
-  private Optional<String> explainHere(WorkKey key) {
+  private Optional<String> explainLocally(WorkKey key) {
     return scheduler.queued().stream()
         .map(WorkItem::key)
         .filter(queued -> AttemptKey.workOf(queued).equals(key))
@@ -127,22 +131,24 @@
         .flatMap(queued -> scheduler.explain(queued, timers.nowMillis()));
   }
 
-  private Uni<Optional<String>> firstAnswer(QuestionKind kind, WorkKey key) {
-    return cluster.askAll(cluster.liveOthers(), kind, key.toString()).map(FleetWork::firstText);
+  private Uni<Optional<String>> askForFirstText(QuestionKind kind, WorkKey key) {
+    return cluster
+        .askAll(cluster.liveOtherInstances(), kind, key.toString())
+        .map(FleetWorkOperations::firstNonEmptyText);
   }
 
-  private static Optional<String> firstText(List<PeerReply> replies) {
+  private static Optional<String> firstNonEmptyText(List<PeerReply> replies) {
     return replies.stream()
         .flatMap(reply -> reply.text().stream())
         .filter(text -> !text.isEmpty())
         .findFirst();
   }
 
-  private static Uni<byte[]> reply(String text) {
-    return Uni.createFrom().item(Cluster.bytes(text));
+  private static Uni<byte[]> textReply(String text) {
+    return Uni.createFrom().item(Cluster.utf8Bytes(text));
   }
 
-  private static WorkKey parse(String text) {
-    return Cluster.workKey(text);
+  private static WorkKey parseWorkKey(String text) {
+    return Cluster.parseWorkKey(text);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/ForwardCodec.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/ForwardCodec.java
@@ -22,7 +22,7 @@
 
   private ForwardCodec() {}
 
-  static ForwardedWork work(Submission submission, int hops, long now) {
+  static ForwardedWork toForwardedWork(Submission submission, int hops, long now) {
     WorkItem item = submission.item();
     return new ForwardedWork(
         0,
@@ -43,7 +43,7 @@
         Math.max(0, now - item.firstTriedMillis()));
   }
 
-  static Submission submission(ForwardedWork work, long now) {
+  static Submission toSubmission(ForwardedWork work, long now) {
     WorkItem item =
         new WorkItem(
             new WorkKey(work.team(), work.requestId()),
@@ -59,7 +59,7 @@
     return new Submission(item, work.payload(), work.mayHaveRun());
   }
 
-  static ForwardedAnswer answer(WorkResult result) {
+  static ForwardedAnswer toForwardedAnswer(WorkResult result) {
     if (result.refusal().isPresent()) {
       Refusal refusal = result.refusal().get();
       return new ForwardedAnswer(
@@ -75,7 +75,7 @@
         0, answered.outcome().name(), "", answered.detail(), 0, answered.body());
   }
 
-  static WorkResult result(ForwardedAnswer answer) {
+  static WorkResult toWorkResult(ForwardedAnswer answer) {
     Outcome outcome = Outcome.valueOf(answer.outcome().toUpperCase(Locale.ROOT));
     if (!answer.refusalReason().isEmpty()) {
       Refusal refusal =
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
@@ -17,18 +17,18 @@
  */
 public final class FreshnessService {
 
-  private static final Duration PERIOD = Duration.ofSeconds(1);
+  private static final Duration CHECK_PERIOD = Duration.ofSeconds(1);
 
   /** A long poll of the log is answered at this age at the latest; past it the log is silent. */
-  private static final long SILENT_MILLIS = 3_000;
+  private static final long LOG_SILENCE_MILLIS = 3_000;
 
   private final Cluster cluster;
   private final TimerService timers;
   private final Executor control;
   private final LongSupplier logAgeMillis;
-  private final LongSupplier offset;
+  private final LongSupplier appliedOffset;
   private final FreshnessProof proof = new FreshnessProof();
-  private boolean roundOpen;
+  private boolean roundInProgress;
 
   /**
    * Creates the service.
@@ -49,7 +49,7 @@
     this.timers = timers;
     this.control = control;
     this.logAgeMillis = logAgeMillis;
-    this.offset = offset;
+    this.appliedOffset = offset;
   }
 
   /**
@@ -57,10 +57,11 @@
    *
    * @param requests answers the other instances
    */
-  public void start(PeerRequests requests) {
-    requests.answer(
-        QuestionKind.FRESHNESS, text -> Uni.createFrom().item(Cluster.bytes(own().text())));
-    timers.every(PERIOD, this::tick);
+  public void start(PeerRequestDispatcher requests) {
+    requests.registerQuestionHandler(
+        QuestionKind.FRESHNESS,
+        text -> Uni.createFrom().item(Cluster.utf8Bytes(localFreshness().text())));
+    timers.every(CHECK_PERIOD, this::checkLogAge);
   }
 
   /**
@@ -69,48 +70,48 @@
    * @return milliseconds, {@link Long#MAX_VALUE} if nothing was ever proved
    */
   public long ageMillis() {
-    takeLog();
+    recordLogRead();
     return proof.ageMillis(timers.nowMillis());
   }
 
-  private PeerFreshness own() {
-    return new PeerFreshness(offset.getAsLong(), ageMillis());
+  private PeerFreshness localFreshness() {
+    return new PeerFreshness(appliedOffset.getAsLong(), ageMillis());
   }
 
-  private void takeLog() {
+  private void recordLogRead() {
     long age = logAgeMillis.getAsLong();
     if (age != Long.MAX_VALUE) {
       proof.logRead(timers.nowMillis() - age);
     }
   }
 
-  private void tick() {
-    if (logAgeMillis.getAsLong() > SILENT_MILLIS && !roundOpen) {
-      askAll();
+  private void checkLogAge() {
+    if (logAgeMillis.getAsLong() > LOG_SILENCE_MILLIS && !roundInProgress) {
+      askPeers();
     }
   }
 
-  private void askAll() {
-    Set<String> others = cluster.listedOthers();
+  private void askPeers() {
+    Set<String> others = cluster.listedOtherInstances();
     if (others.isEmpty()) {
       return;
     }
-    roundOpen = true;
+    roundInProgress = true;
     long sentMillis = timers.nowMillis();
     cluster
         .askAll(others, QuestionKind.FRESHNESS, "")
         .subscribe()
-        .with(replies -> control.execute(() -> answered(sentMillis, replies)));
+        .with(replies -> control.execute(() -> onReplies(sentMillis, replies)));
   }
 
-  private void answered(long sentMillis, List<PeerReply> replies) {
-    roundOpen = false;
+  private void onReplies(long sentMillis, List<PeerReply> replies) {
+    roundInProgress = false;
     List<PeerFreshness> came =
         replies.stream()
             .flatMap(reply -> reply.text().stream())
             .flatMap(text -> parse(text).stream())
             .toList();
-    proof.round(sentMillis, offset.getAsLong(), true, came, replies.size());
+    proof.round(sentMillis, appliedOffset.getAsLong(), true, came, replies.size());
   }
 
   private static Optional<PeerFreshness> parse(String text) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/HistoryExchange.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/HistoryExchange.java
@@ -27,16 +27,16 @@
 
   private static final Logger LOGGER = System.getLogger(HistoryExchange.class.getName());
 
-  private static final Duration PERIOD = Duration.ofMillis(100);
+  private static final Duration UPDATE_PERIOD = Duration.ofMillis(100);
 
   private final HomeHistory history;
   private final Cluster cluster;
   private final TimerService timers;
   private final Executor control;
-  private final BooleanSupplier listRead;
+  private final BooleanSupplier instanceListRead;
   private final BooleanSupplier firstGeneration;
   private final MessagePackCodec<HomeViews> codec = new MessagePackCodec<>(HomeViews.class);
-  private final Set<String> asking = new HashSet<>();
+  private final Set<String> instancesBeingAsked = new HashSet<>();
 
   /**
    * Creates it and answers the other instances.
@@ -52,7 +52,7 @@
   public HistoryExchange(
       HomeHistory history,
       Cluster cluster,
-      PeerRequests requests,
+      PeerRequestDispatcher requests,
       TimerService timers,
       Executor control,
       BooleanSupplier listRead,
@@ -61,38 +61,38 @@
     this.cluster = cluster;
     this.timers = timers;
     this.control = control;
-    this.listRead = listRead;
+    this.instanceListRead = listRead;
     this.firstGeneration = firstGeneration;
-    requests.answer(
+    requests.registerQuestionHandler(
         QuestionKind.HOMES,
         text -> Uni.createFrom().item(codec.encode(history.tell(timers.nowMillis()))));
   }
 
   /** Starts to note and to learn. */
   public void start() {
-    timers.every(PERIOD, this::look);
+    timers.every(UPDATE_PERIOD, this::updateHistory);
   }
 
-  private void look() {
+  private void updateHistory() {
     long now = timers.nowMillis();
-    history.note(cluster.candidates(), now);
-    if (!listRead.getAsBoolean()) {
+    history.note(cluster.homeCandidates(), now);
+    if (!instanceListRead.getAsBoolean()) {
       return;
     }
-    Set<String> unheard = history.unheard(cluster.liveOthers());
+    Set<String> unheard = history.unheard(cluster.liveOtherInstances());
     if (unheard.isEmpty() && !history.isTaught(now)) {
       if (firstGeneration.getAsBoolean()) {
         history.nothingBefore();
       }
       history.taughtByAll();
-      LOGGER.log(Level.INFO, "homes: taught by all of {0}", cluster.liveOthers());
+      LOGGER.log(Level.INFO, "homes: taught by all of {0}", cluster.liveOtherInstances());
     } else {
       unheard.forEach(this::ask);
     }
   }
 
   private void ask(String instance) {
-    if (!asking.add(instance)) {
+    if (!instancesBeingAsked.add(instance)) {
       return;
     }
     cluster
@@ -102,10 +102,10 @@
             data ->
                 control.execute(
                     () -> {
-                      asking.remove(instance);
+                      instancesBeingAsked.remove(instance);
                       learn(instance, data);
                     }),
-            error -> control.execute(() -> asking.remove(instance)));
+            error -> control.execute(() -> instancesBeingAsked.remove(instance)));
   }
 
   private void learn(String instance, byte[] data) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeIntake.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeAdmission.java
@@ -30,7 +30,7 @@
  * one of them cannot tell yet, the caller is sent away with a time to come back. That takes as long
  * as a takeover, and costs nothing while the membership is quiet.
  */
-public final class HomeIntake {
+public final class HomeAdmission {
 
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
@@ -38,16 +38,16 @@
    * An instance that was taken for gone while it was paused reads so in the log within this time;
    * until then it goes on as if it were home of what others have taken over.
    */
-  private static final long SETTLING_MILLIS = 5_000;
+  private static final long HOME_SETTLING_MILLIS = 5_000;
 
   private final Cluster cluster;
   private final HomeHistory history;
   private final WorkService work;
   private final TimerService timers;
   private final Executor control;
-  private final BooleanSupplier workersComplete;
-  private final long comeBackMillis;
-  private final BiConsumer<Submission, Consumer<WorkResult>> once;
+  private final BooleanSupplier allWorkerTasksKnown;
+  private final long callerRetryMillis;
+  private final BiConsumer<Submission, Consumer<WorkResult>> nonIdempotentRunner;
   private final FirstTries firstTries;
 
   /**
@@ -64,7 +64,7 @@
    * @param firstTries remembers who came back
    * @param once runs requests that are not idempotent
    */
-  public HomeIntake(
+  public HomeAdmission(
       Cluster cluster,
       HomeHistory history,
       WorkService work,
@@ -79,10 +79,10 @@
     this.work = work;
     this.timers = timers;
     this.control = control;
-    this.workersComplete = workersComplete;
-    this.comeBackMillis = comeBackMillis;
+    this.allWorkerTasksKnown = workersComplete;
+    this.callerRetryMillis = comeBackMillis;
     this.firstTries = firstTries;
-    this.once = once;
+    this.nonIdempotentRunner = once;
   }
 
   /**
@@ -91,33 +91,34 @@
    * @param text the question
    * @return the answer's bytes
    */
-  public Uni<byte[]> knows(String text) {
-    KnowsQuestion question = KnowsQuestion.parse(text);
+  public Uni<byte[]> answerKnowledgeQuestion(String text) {
+    WorkKnowledgeQuestion question = WorkKnowledgeQuestion.parse(text);
     long triedFor = firstTries.triedForMillis(question.key(), timers.nowMillis());
-    KnowsReply reply = new KnowsReply(cluster.own().name(), knowledge(question), triedFor);
-    return Uni.createFrom().item(Cluster.bytes(reply.text()));
+    WorkKnowledgeReply reply =
+        new WorkKnowledgeReply(cluster.localIdentity().name(), localKnowledge(question), triedFor);
+    return Uni.createFrom().item(Cluster.utf8Bytes(reply.text()));
   }
 
-  private WorkKnowledge knowledge(KnowsQuestion question) {
+  private WorkKnowledge localKnowledge(WorkKnowledgeQuestion question) {
     if (work.knows(question.key())) {
       return WorkKnowledge.KNOWN;
     }
     // Whoever still takes a lost instance for live has not begun to look for its tasks.
-    boolean seesThemGone = Collections.disjoint(cluster.live(), question.gone());
-    if (!workersComplete.getAsBoolean() || !seesThemGone) {
+    boolean seesThemGone = Collections.disjoint(cluster.liveInstances(), question.lostInstances());
+    if (!allWorkerTasksKnown.getAsBoolean() || !seesThemGone) {
       return WorkKnowledge.INCOMPLETE;
     }
-    return neverTaken(question.key()) ? WorkKnowledge.NEVER_TAKEN : WorkKnowledge.NOT_RUNNING;
+    return wasNeverAccepted(question.key()) ? WorkKnowledge.NEVER_TAKEN : WorkKnowledge.NOT_RUNNING;
   }
 
   // What an earlier life of this instance started may run for longer than callers come back.
-  private boolean neverTaken(WorkKey key) {
+  private boolean wasNeverAccepted(WorkKey key) {
     FormerHomes former = history.formerHomes(key.toString(), timers.nowMillis());
-    return lately(key).complete() && !former.ownEarlierLife() && work.neverTaken(key);
+    return recentFormerHomes(key).complete() && !former.ownEarlierLife() && work.neverTaken(key);
   }
 
-  private FormerHomes lately(WorkKey key) {
-    return history.formerHomes(key.toString(), timers.nowMillis(), comeBackMillis);
+  private FormerHomes recentFormerHomes(WorkKey key) {
+    return history.formerHomes(key.toString(), timers.nowMillis(), callerRetryMillis);
   }
 
   /**
@@ -129,7 +130,7 @@
    */
   public boolean isSettledHome(String instance, WorkKey key) {
     String home = AttemptKey.workOf(key).toString();
-    return history.hasBeenHome(instance, home, timers.nowMillis(), SETTLING_MILLIS);
+    return history.hasBeenHome(instance, home, timers.nowMillis(), HOME_SETTLING_MILLIS);
   }
 
   /**
@@ -148,7 +149,7 @@
     if (former.none()) {
       run(submission, answer);
     } else {
-      ask(submission, former, whom(former), answer);
+      ask(submission, former, instancesToAsk(former), answer);
     }
   }
 
@@ -157,15 +158,15 @@
     if (submission.item().idempotent()) {
       work.submit(submission, answer);
     } else {
-      once.accept(submission, answer);
+      nonIdempotentRunner.accept(submission, answer);
     }
   }
 
   /** An earlier life of an instance may have left tasks on any worker, so that all are asked. */
-  private Set<String> whom(FormerHomes former) {
-    boolean allLive = cluster.live().containsAll(former.others());
+  private Set<String> instancesToAsk(FormerHomes former) {
+    boolean allLive = cluster.liveInstances().containsAll(former.others());
     boolean suffices = former.complete() && !former.ownEarlierLife() && allLive;
-    return suffices ? former.others() : cluster.liveOthers();
+    return suffices ? former.others() : cluster.liveOtherInstances();
   }
 
   private void ask(
@@ -174,9 +175,9 @@
       Set<String> instances,
       Consumer<WorkResult> answer) {
     Set<String> gone = new TreeSet<>(former.others());
-    gone.removeAll(cluster.live());
-    KnowsQuestion question = new KnowsQuestion(submission.item().key(), gone);
-    boolean asksAll = instances.equals(cluster.liveOthers());
+    gone.removeAll(cluster.liveInstances());
+    WorkKnowledgeQuestion question = new WorkKnowledgeQuestion(submission.item().key(), gone);
+    boolean asksAll = instances.equals(cluster.liveOtherInstances());
     cluster
         .askAll(instances, QuestionKind.KNOWS, question.text())
         .subscribe()
@@ -184,33 +185,35 @@
             replies ->
                 control.execute(
                     () -> {
-                      List<KnowsReply> told = replies.stream().map(KnowsReply::of).toList();
-                      told(withFirstTry(submission, told), former, asksAll, told, answer);
+                      List<WorkKnowledgeReply> told =
+                          replies.stream().map(WorkKnowledgeReply::of).toList();
+                      onReplies(withFirstTry(submission, told), former, asksAll, told, answer);
                     }));
   }
 
-  private void told(
+  private void onReplies(
       Submission submission,
       FormerHomes former,
       boolean askedAll,
-      List<KnowsReply> replies,
+      List<WorkKnowledgeReply> replies,
       Consumer<WorkResult> answer) {
-    FormerHomes lately = lately(submission.item().key());
-    switch (TakeInRule.decide(lately, askedAll, workersComplete.getAsBoolean(), replies)) {
+    FormerHomes lately = recentFormerHomes(submission.item().key());
+    switch (AdmissionRule.decide(lately, askedAll, allWorkerTasksKnown.getAsBoolean(), replies)) {
       case JOIN -> join(submission, replies, answer);
-      case WAIT -> answer.accept(notYet(replies));
-      case ASK_ALL -> ask(submission, former, cluster.liveOthers(), answer);
+      case WAIT -> answer.accept(notReadyResult(replies));
+      case ASK_ALL -> ask(submission, former, cluster.liveOtherInstances(), answer);
       case RUN_AFTER_EARLIER_TRY -> run(submission.afterEarlierTry(), answer);
       case RUN -> run(submission, answer);
       default -> throw new IllegalStateException("unknown step");
     }
   }
 
-  private void join(Submission submission, List<KnowsReply> replies, Consumer<WorkResult> answer) {
+  private void join(
+      Submission submission, List<WorkKnowledgeReply> replies, Consumer<WorkResult> answer) {
     String holder =
         replies.stream()
             .filter(reply -> reply.knowledge() == WorkKnowledge.KNOWN)
-            .map(KnowsReply::instance)
+            .map(WorkKnowledgeReply::instance)
             .findFirst()
             .orElseThrow();
     cluster
@@ -219,13 +222,13 @@
         .with(result -> control.execute(() -> answer.accept(result)));
   }
 
-  private WorkResult notYet(List<KnowsReply> replies) {
+  private WorkResult notReadyResult(List<WorkKnowledgeReply> replies) {
     Set<String> searching = new TreeSet<>();
     replies.stream()
         .filter(reply -> reply.knowledge() == WorkKnowledge.INCOMPLETE)
         .forEach(reply -> searching.add(reply.instance()));
-    if (!workersComplete.getAsBoolean()) {
-      searching.add(cluster.own().name());
+    if (!allWorkerTasksKnown.getAsBoolean()) {
+      searching.add(cluster.localIdentity().name());
     }
     String detail =
         "an instance has changed and its work is being found again by "
@@ -235,8 +238,8 @@
   }
 
   // The caller may have asked elsewhere before, and keeps its place by that.
-  private Submission withFirstTry(Submission submission, List<KnowsReply> replies) {
-    long longest = replies.stream().mapToLong(KnowsReply::triedForMillis).max().orElse(0);
+  private Submission withFirstTry(Submission submission, List<WorkKnowledgeReply> replies) {
+    long longest = replies.stream().mapToLong(WorkKnowledgeReply::triedForMillis).max().orElse(0);
     long first = Math.min(submission.item().firstTriedMillis(), timers.nowMillis() - longest);
     return submission.firstTriedAt(first);
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalRows.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalQueryRows.java
@@ -30,9 +30,9 @@
  * <p>Belongs to the control thread. Of refusals the last few hundred are kept, so that a wave of
  * them costs a bounded amount of memory.
  */
-public final class LocalRows implements WorkObserver {
+public final class LocalQueryRows implements WorkObserver {
 
-  private static final int REFUSALS_KEPT = 500;
+  private static final int MAX_RETAINED_REFUSALS = 500;
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private final String name;
@@ -40,7 +40,7 @@
   private final Scheduler scheduler;
   private final TimerService timers;
   private final Predicate<PlacedTask> isOurs;
-  private final Deque<KeptRefusal> refusals = new ArrayDeque<>();
+  private final Deque<RetainedRefusal> refusals = new ArrayDeque<>();
 
   /**
    * Creates the rows.
@@ -51,7 +51,7 @@
    * @param timers the time
    * @param isOurs whether a placed task counts as this instance's; its owner tells of the others
    */
-  public LocalRows(
+  public LocalQueryRows(
       String name,
       String dataCentre,
       Scheduler scheduler,
@@ -124,7 +124,7 @@
                     name,
                     dataCentre,
                     kept.refusal().reason(),
-                    secondsSince(kept.whenMillis())))
+                    secondsSince(kept.refusedMillis())))
         .toList();
   }
 
@@ -178,12 +178,12 @@
 
   @Override
   public void onFinished(WorkItem item, WorkResult result, long totalMillis) {
-    result.refusal().ifPresent(refusal -> keep(item, refusal));
+    result.refusal().ifPresent(refusal -> retain(item, refusal));
   }
 
-  private void keep(WorkItem item, Refusal refusal) {
-    refusals.addFirst(new KeptRefusal(item, refusal, timers.nowMillis()));
-    if (refusals.size() > REFUSALS_KEPT) {
+  private void retain(WorkItem item, Refusal refusal) {
+    refusals.addFirst(new RetainedRefusal(item, refusal, timers.nowMillis()));
+    if (refusals.size() > MAX_RETAINED_REFUSALS) {
       refusals.removeLast();
     }
   }
@@ -192,5 +192,5 @@
     return (timers.nowMillis() - millis) / MILLIS_PER_SECOND;
   }
 
-  private record KeptRefusal(WorkItem item, Refusal refusal, long whenMillis) {}
+  private record RetainedRefusal(WorkItem item, Refusal refusal, long refusedMillis) {}
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/DigestBoard.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerDigests.java
@@ -27,14 +27,14 @@
  * <p>Belongs to the control thread. Digests guide the fair order and the routing; they are old by
  * up to a second and no promise rests on them.
  */
-public final class DigestBoard implements PeerListener {
+public final class PeerDigests implements PeerListener {
 
-  private static final String OPEN = "open";
+  private static final String OPEN_STATE = "open";
 
   private final Scheduler scheduler;
   private final Predicate<PlacedTask> isOurs;
-  private final Map<String, Received> received = new TreeMap<>();
-  private final Set<String> told = new HashSet<>();
+  private final Map<String, ReceivedDigest> digestsByInstance = new TreeMap<>();
+  private final Set<String> reportedTeams = new HashSet<>();
 
   /**
    * Creates a board without digests.
@@ -42,7 +42,7 @@
    * @param scheduler the decisions, which are told what the teams use elsewhere
    * @param isOurs whether a placed task counts as this instance's; others tell of the rest
    */
-  public DigestBoard(Scheduler scheduler, Predicate<PlacedTask> isOurs) {
+  public PeerDigests(Scheduler scheduler, Predicate<PlacedTask> isOurs) {
     this.scheduler = scheduler;
     this.isOurs = isOurs;
   }
@@ -50,15 +50,15 @@
   @Override
   public void message(PeerIdentity peer, PeerMessage message) {
     if (message instanceof Digest digest) {
-      received.put(peer.name(), new Received(peer, digest));
-      tellScheduler();
+      digestsByInstance.put(peer.name(), new ReceivedDigest(peer, digest));
+      updateScheduler();
     }
   }
 
   @Override
   public void down(PeerIdentity peer) {
-    received.remove(peer.name());
-    tellScheduler();
+    digestsByInstance.remove(peer.name());
+    updateScheduler();
   }
 
   /**
@@ -67,8 +67,8 @@
    * @param instance its name
    * @return the digest, or empty if it is not linked or has sent none
    */
-  public Optional<Digest> of(String instance) {
-    return Optional.ofNullable(received.get(instance)).map(Received::digest);
+  public Optional<Digest> latestDigest(String instance) {
+    return Optional.ofNullable(digestsByInstance.get(instance)).map(ReceivedDigest::digest);
   }
 
   /**
@@ -77,14 +77,14 @@
    * @param team the team
    * @return the use by instance; all zero where the digest does not name the team
    */
-  public Map<PeerIdentity, TeamUse> uses(String team) {
+  public Map<PeerIdentity, TeamUse> usageByInstance(String team) {
     Map<PeerIdentity, TeamUse> uses = new HashMap<>();
-    for (Received from : received.values()) {
+    for (ReceivedDigest from : digestsByInstance.values()) {
       TeamUse use =
           from.digest().teams().stream()
               .filter(one -> one.team().equals(team))
               .findFirst()
-              .orElseGet(() -> new Use().toTeamUse(team));
+              .orElseGet(() -> new UsageCounter().toTeamUse(team));
       uses.put(from.peer(), use);
     }
     return uses;
@@ -97,9 +97,13 @@
    * @param offset the offset
    * @return the names of those behind
    */
-  public List<String> behind(Set<String> instances, long offset) {
+  public List<String> instancesBehind(Set<String> instances, long offset) {
     return instances.stream()
-        .filter(name -> of(name).map(digest -> digest.configurationOffset() < offset).orElse(true))
+        .filter(
+            name ->
+                latestDigest(name)
+                    .map(digest -> digest.configurationOffset() < offset)
+                    .orElse(true))
         .sorted()
         .toList();
   }
@@ -110,8 +114,8 @@
    * @return the offset, -1 if no such instance is linked
    */
   public long highestReadyOffset() {
-    return received.values().stream()
-        .map(Received::digest)
+    return digestsByInstance.values().stream()
+        .map(ReceivedDigest::digest)
         .filter(Digest::taking)
         .mapToLong(Digest::configurationOffset)
         .max()
@@ -126,25 +130,25 @@
    * @param taking whether new work is taken
    * @return the digest
    */
-  public Digest own(long offset, long logAgeMillis, boolean taking) {
+  public Digest localDigest(long offset, long logAgeMillis, boolean taking) {
     Resources free = Resources.NONE;
     int slots = 0;
     for (WorkerRoom room : scheduler.workers()) {
-      if (OPEN.equals(room.state())) {
+      if (OPEN_STATE.equals(room.state())) {
         free = free.plus(room.free());
         slots += room.freeSlots();
       }
     }
-    Map<String, Use> uses = new TreeMap<>();
+    Map<String, UsageCounter> uses = new TreeMap<>();
     for (PlacedTask task : scheduler.placed()) {
       if (isOurs.test(task)) {
-        use(uses, task.taskId().key().team()).place(task.reserved());
+        usageOf(uses, task.taskId().key().team()).place(task.reserved());
       }
     }
     int[] waiting = new int[WorkClass.values().length];
     for (WorkItem item : scheduler.queued()) {
       waiting[item.workClass().ordinal()] += item.tasks();
-      use(uses, item.key().team()).waiting += item.tasks();
+      usageOf(uses, item.key().team()).waiting += item.tasks();
     }
     List<TeamUse> teams = new ArrayList<>();
     uses.forEach((team, use) -> teams.add(use.toTeamUse(team)));
@@ -160,27 +164,27 @@
         teams);
   }
 
-  private static Use use(Map<String, Use> uses, String team) {
-    return uses.computeIfAbsent(team, name -> new Use());
+  private static UsageCounter usageOf(Map<String, UsageCounter> uses, String team) {
+    return uses.computeIfAbsent(team, name -> new UsageCounter());
   }
 
-  private void tellScheduler() {
+  private void updateScheduler() {
     Map<String, Resources> sums = new HashMap<>();
-    for (Received from : received.values()) {
+    for (ReceivedDigest from : digestsByInstance.values()) {
       for (TeamUse use : from.digest().teams()) {
         Resources used =
             new Resources(use.milliProcessors(), use.memoryMebibytes(), use.accelerators());
         sums.merge(use.team(), used, Resources::plus);
       }
     }
-    told.forEach(team -> sums.putIfAbsent(team, Resources.NONE));
-    told.addAll(sums.keySet());
+    reportedTeams.forEach(team -> sums.putIfAbsent(team, Resources.NONE));
+    reportedTeams.addAll(sums.keySet());
     sums.forEach(scheduler::putUseElsewhere);
   }
 
-  private record Received(PeerIdentity peer, Digest digest) {}
+  private record ReceivedDigest(PeerIdentity peer, Digest digest) {}
 
-  private static final class Use {
+  private static final class UsageCounter {
     private int running;
     private int waiting;
     private Resources reserved = Resources.NONE;
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerRequests.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerRequestDispatcher.java
@@ -24,16 +24,16 @@
 import org.hickorypier.wire.message.PeerMessage.Request;
 
 /** Answers the other instances. Belongs to the control thread. */
-public final class PeerRequests implements PeerRequestHandler {
+public final class PeerRequestDispatcher implements PeerRequestHandler {
 
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
   private final TimerService timers;
   private final Readiness readiness;
   private final WorkService work;
-  private HomeIntake intake;
-  private BiConsumer<Submission, Consumer<WorkResult>> journaled;
-  private final Map<QuestionKind, Function<String, Uni<byte[]>>> answers =
+  private HomeAdmission admission;
+  private BiConsumer<Submission, Consumer<WorkResult>> attemptRunner;
+  private final Map<QuestionKind, Function<String, Uni<byte[]>>> questionHandlers =
       new EnumMap<>(QuestionKind.class);
 
   /**
@@ -43,7 +43,7 @@
    * @param readiness whether new work is taken
    * @param work the work decided here
    */
-  public PeerRequests(TimerService timers, Readiness readiness, WorkService work) {
+  public PeerRequestDispatcher(TimerService timers, Readiness readiness, WorkService work) {
     this.timers = timers;
     this.readiness = readiness;
     this.work = work;
@@ -55,11 +55,11 @@
    * @param homeIntake the intake
    * @param runAttempt runs attempts of journaled work that their home has sent here
    */
-  public void takeInBy(
-      HomeIntake homeIntake, BiConsumer<Submission, Consumer<WorkResult>> runAttempt) {
-    intake = homeIntake;
-    journaled = runAttempt;
-    answer(QuestionKind.KNOWS, homeIntake::knows);
+  public void setAdmission(
+      HomeAdmission homeIntake, BiConsumer<Submission, Consumer<WorkResult>> runAttempt) {
+    admission = homeIntake;
+    attemptRunner = runAttempt;
+    registerQuestionHandler(QuestionKind.KNOWS, homeIntake::answerKnowledgeQuestion);
   }
 
   /**
@@ -68,63 +68,63 @@
    * @param kind the kind
    * @param answer gives the answer's bytes for the question's text
    */
-  public void answer(QuestionKind kind, Function<String, Uni<byte[]>> answer) {
-    answers.put(kind, answer);
+  public void registerQuestionHandler(QuestionKind kind, Function<String, Uni<byte[]>> answer) {
+    questionHandlers.put(kind, answer);
   }
 
   @Override
   public Uni<? extends Answer> handle(PeerIdentity peer, Request request) {
     if (request instanceof ForwardedWork forwarded) {
-      return run(peer, forwarded);
+      return admitForwarded(peer, forwarded);
     }
     if (request instanceof Question question) {
-      return reply(question);
+      return answerQuestion(question);
     }
     return Uni.createFrom().item(new Failure(0, false, "not understood"));
   }
 
-  private Uni<Answer> run(PeerIdentity peer, ForwardedWork forwarded) {
-    Submission submission = ForwardCodec.submission(forwarded, timers.nowMillis());
+  private Uni<Answer> admitForwarded(PeerIdentity peer, ForwardedWork forwarded) {
+    Submission submission = ForwardCodec.toSubmission(forwarded, timers.nowMillis());
     return Uni.createFrom()
         .emitter(
             emitter ->
-                take(
+                admit(
                     peer,
                     forwarded.hops(),
                     submission,
-                    result -> emitter.complete(ForwardCodec.answer(result))));
+                    result -> emitter.complete(ForwardCodec.toForwardedAnswer(result))));
   }
 
-  private void take(
+  private void admit(
       PeerIdentity peer, int hops, Submission submission, Consumer<WorkResult> answer) {
-    if (hops == Cluster.TO_HOLDER) {
+    if (hops == Cluster.HOPS_TO_HOLDER) {
       // Also while this instance takes nothing new: what is joined is in hand already.
       if (!work.join(submission, answer)) {
-        answer.accept(notTaken(RefusalReason.NO_ROOM, "the work has ended meanwhile"));
+        answer.accept(unsettledResult(RefusalReason.NO_ROOM, "the work has ended meanwhile"));
       }
       return;
     }
     Optional<String> obstacle = readiness.obstacle();
     if (obstacle.isPresent()) {
-      answer.accept(notTaken(RefusalReason.NOT_READY, obstacle.get()));
-    } else if (hops == Cluster.TO_HOME) {
-      intake.submit(submission, answer);
-    } else if (!intake.isSettledHome(peer.name(), submission.item().key())) {
-      answer.accept(notTaken(RefusalReason.NO_ROOM, "its home has changed lately"));
+      answer.accept(unsettledResult(RefusalReason.NOT_READY, obstacle.get()));
+    } else if (hops == Cluster.HOPS_TO_HOME) {
+      admission.submit(submission, answer);
+    } else if (!admission.isSettledHome(peer.name(), submission.item().key())) {
+      answer.accept(unsettledResult(RefusalReason.NO_ROOM, "its home has changed lately"));
     } else if (submission.isJournaled()) {
-      journaled.accept(submission, answer);
+      attemptRunner.accept(submission, answer);
     } else {
       work.submitFromHome(submission, answer);
     }
   }
 
-  private static WorkResult notTaken(RefusalReason reason, String detail) {
+  private static WorkResult unsettledResult(RefusalReason reason, String detail) {
     return new WorkResult.Unsettled(new Refusal(reason, detail, RETRY_AFTER_MILLIS));
   }
 
-  private Uni<Answer> reply(Question question) {
+  private Uni<Answer> answerQuestion(Question question) {
     return QuestionKind.of(question.kind())
-        .map(answers::get)
+        .map(questionHandlers::get)
         .map(answer -> answer.apply(question.text()).map(data -> (Answer) new Reply(0, data)))
         .orElseGet(
             () ->
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PermitDemands.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PermitDemands.java
@@ -18,10 +18,10 @@
 public final class PermitDemands implements PermitWork {
 
   private final Scheduler scheduler;
-  private final DigestBoard digests;
+  private final PeerDigests digests;
   private final TaskOwners owners;
   private final WorkService work;
-  private final Consumer<String> reopen;
+  private final Consumer<String> reopenWorker;
 
   /**
    * Creates the demand.
@@ -34,7 +34,7 @@
    */
   public PermitDemands(
       Scheduler scheduler,
-      DigestBoard digests,
+      PeerDigests digests,
       TaskOwners owners,
       WorkService work,
       Consumer<String> reopen) {
@@ -42,7 +42,7 @@
     this.digests = digests;
     this.owners = owners;
     this.work = work;
-    this.reopen = reopen;
+    this.reopenWorker = reopen;
   }
 
   @Override
@@ -55,14 +55,14 @@
         urgent += item.workClass() == WorkClass.URGENT ? item.tasks() : 0;
       }
     }
-    return new PermitDemand(placed(team, true), waiting, urgent);
+    return new PermitDemand(countPlaced(team, true), waiting, urgent);
   }
 
   @Override
   public Map<Holder, PermitDemand> others(String team) {
     Map<Holder, PermitDemand> demands = new HashMap<>();
     digests
-        .uses(team)
+        .usageByInstance(team)
         .forEach(
             (peer, use) ->
                 demands.put(
@@ -73,7 +73,7 @@
 
   @Override
   public int coveredElsewhere(String team) {
-    return placed(team, false);
+    return countPlaced(team, false);
   }
 
   @Override
@@ -84,10 +84,10 @@
 
   @Override
   public void mayStartOn(String worker) {
-    reopen.accept(worker);
+    reopenWorker.accept(worker);
   }
 
-  private int placed(String team, boolean ours) {
+  private int countPlaced(String team, boolean ours) {
     List<PlacedTask> tasks = scheduler.placed();
     owners.keepOnly(tasks);
     int count = 0;
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/QuestionKind.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/QuestionKind.java
@@ -8,7 +8,7 @@
   OFFER("offer"),
   /** Stop the task named in the text; its owner does not control the worker. */
   STOP("stop"),
-  /** Tell what is known there of work; the text is a {@link KnowsQuestion}. */
+  /** Tell what is known there of work; the text is a {@link WorkKnowledgeQuestion}. */
   KNOWS("knows"),
   /** Tell which instances were candidates for homes. */
   HOMES("homes"),
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/KnowsQuestion.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkKnowledgeQuestion.java
@@ -10,29 +10,29 @@
  * <p>Immutable.
  *
  * @param key the work
- * @param gone the instances that the asking one takes for gone
+ * @param lostInstances the instances that the asking one takes for gone
  */
-record KnowsQuestion(WorkKey key, Set<String> gone) {
+record WorkKnowledgeQuestion(WorkKey key, Set<String> lostInstances) {
 
   /** Neither team names, request ids nor names of instances have it. */
   private static final String SEPARATOR = " ";
 
-  KnowsQuestion {
-    gone = Set.copyOf(gone);
+  WorkKnowledgeQuestion {
+    lostInstances = Set.copyOf(lostInstances);
   }
 
-  static KnowsQuestion parse(String text) {
+  static WorkKnowledgeQuestion parse(String text) {
     String[] words = text.split(SEPARATOR);
     Set<String> gone = new TreeSet<>();
     for (int index = 1; index < words.length; index++) {
       gone.add(words[index]);
     }
-    return new KnowsQuestion(Cluster.workKey(words[0]), gone);
+    return new WorkKnowledgeQuestion(Cluster.parseWorkKey(words[0]), gone);
   }
 
   String text() {
     StringBuilder text = new StringBuilder(key.toString());
-    new TreeSet<>(gone).forEach(name -> text.append(SEPARATOR).append(name));
+    new TreeSet<>(lostInstances).forEach(name -> text.append(SEPARATOR).append(name));
     return text.toString();
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
@@ -31,12 +31,12 @@
 public final class WorkShifter implements PeerListener {
 
   /** Work that starts at once at home must not travel; most of it starts within this time. */
-  private static final long WAIT_AT_HOME_MILLIS = 50;
+  private static final long MIN_WAIT_AT_HOME_MILLIS = 50;
 
-  private static final Duration PERIOD = Duration.ofMillis(100);
+  private static final Duration SHIFT_PERIOD = Duration.ofMillis(100);
 
   /** At the most as many in one look as eight workers have slots; the next look takes more. */
-  private static final int SHIFTS_IN_A_LOOK = 64;
+  private static final int MAX_SHIFTS_PER_PASS = 64;
 
   private final Cluster cluster;
   private final Scheduler scheduler;
@@ -76,7 +76,7 @@
 
   /** Starts to look for work that could run elsewhere. */
   public void start() {
-    timers.every(PERIOD, this::look);
+    timers.every(SHIFT_PERIOD, this::shiftWaitingWork);
   }
 
   @Override
@@ -95,21 +95,21 @@
     router.down(peer.name());
   }
 
-  private void look() {
+  private void shiftWaitingWork() {
     long now = timers.nowMillis();
     int shifted = 0;
     for (WorkItem item : scheduler.queued()) {
-      if (shifted == SHIFTS_IN_A_LOOK) {
+      if (shifted == MAX_SHIFTS_PER_PASS) {
         return;
       }
-      if (now - item.submittedMillis() >= WAIT_AT_HOME_MILLIS && shift(item, now)) {
+      if (now - item.submittedMillis() >= MIN_WAIT_AT_HOME_MILLIS && shift(item, now)) {
         shifted++;
       }
     }
   }
 
   private boolean shift(WorkItem item, long now) {
-    Route route = router.route(item, Cluster.TO_HOME, true, false, now);
+    Route route = router.route(item, Cluster.HOPS_TO_HOME, true, false, now);
     if (!(route instanceof Route.Forward forward)) {
       return false;
     }
@@ -120,12 +120,12 @@
                 .shift(forward.peer(), submission)
                 .invoke(
                     result ->
-                        control.execute(() -> noteResult(item.key(), forward.peer(), result))));
+                        control.execute(() -> onShiftResult(item.key(), forward.peer(), result))));
   }
 
   // The peer may have started the work before it was lost. A caller who comes back must not have it
   // run a second time beside that: the history makes the home ask for it first.
-  private void noteResult(WorkKey key, String peer, WorkResult result) {
+  private void onShiftResult(WorkKey key, String peer, WorkResult result) {
     if (result.refusal().isPresent()) {
       router.refused(peer);
     } else if (result.outcome() == Outcome.UNKNOWN) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerSightings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerObservationCollector.java
@@ -16,9 +16,9 @@
 import org.hickorypier.platform.worker.WorkerStatus;
 
 /** Asks every worker of the fleet who controls it and whose tasks it runs. Thread safe. */
-public final class WorkerSightings {
+public final class WorkerObservationCollector {
 
-  private WorkerSightings() {}
+  private WorkerObservationCollector() {}
 
   /**
    * Asks all of them.
@@ -26,11 +26,13 @@
    * @param fleet the workers
    * @param answer is given all words, or nothing if one worker did not answer
    */
-  public static void askAll(WorkerFleet fleet, Consumer<Optional<List<WorkerSighting>>> answer) {
+  public static void collect(WorkerFleet fleet, Consumer<Optional<List<WorkerSighting>>> answer) {
     List<Uni<WorkerSighting>> questions = new ArrayList<>();
     fleet
         .listed()
-        .forEach((name, service) -> questions.add(service.status().map(WorkerSightings::sighting)));
+        .forEach(
+            (name, service) ->
+                questions.add(service.status().map(WorkerObservationCollector::toSighting)));
     if (questions.isEmpty()) {
       answer.accept(Optional.empty());
       return;
@@ -44,7 +46,7 @@
             error -> answer.accept(Optional.empty()));
   }
 
-  private static WorkerSighting sighting(WorkerStatus status) {
+  private static WorkerSighting toSighting(WorkerStatus status) {
     Set<Holder> owners = new HashSet<>();
     for (TaskStatus task : status.tasks()) {
       if (task.state() == TaskState.RUNNING) {
--- a/daemon/src/test/java/org/hickorypier/daemon/cluster/TakeInRuleTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/cluster/AdmissionRuleTest.java
@@ -8,15 +8,16 @@
 import java.util.Set;
 import java.util.stream.Stream;
 import org.hickorypier.core.membership.FormerHomes;
-import org.hickorypier.daemon.cluster.TakeInRule.Step;
+import org.hickorypier.daemon.cluster.AdmissionRule.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a home does with work that another instance may have taken in before. */
-class TakeInRuleTest {
+class AdmissionRuleTest {
 
-  private static final FormerHomes ONE = new FormerHomes(Set.of("entry-1"), false, true);
+  private static final FormerHomes ONE_FORMER_HOME =
+      new FormerHomes(Set.of("entry-1"), false, true);
 
   @ParameterizedTest
   @CsvSource({
@@ -27,43 +28,48 @@
     "NOT_RUNNING,             true,  true,  RUN_AFTER_EARLIER_TRY",
     "'',                      true,  true,  RUN_AFTER_EARLIER_TRY",
   })
-  void answersOfTheOthersDecide(String replies, boolean all, boolean complete, Step step) {
-    assertThat(TakeInRule.decide(ONE, all, complete, replies(replies))).isEqualTo(step);
+  void decidesFromRepliesOfOtherInstances(
+      String replies, boolean all, boolean complete, Step step) {
+    assertThat(AdmissionRule.decide(ONE_FORMER_HOME, all, complete, replies(replies)))
+        .isEqualTo(step);
   }
 
   /** Guards against a second run of what an earlier life of the former home left to others. */
   @Test
-  void formerHomeThatCannotAnswerForAllItsTimeIsNotEnough() {
-    assertThat(TakeInRule.decide(ONE, false, true, replies("NOT_RUNNING"))).isEqualTo(Step.ASK_ALL);
+  void asksAllInstancesWhenFormerHomeMayHaveRestarted() {
+    assertThat(AdmissionRule.decide(ONE_FORMER_HOME, false, true, replies("NOT_RUNNING")))
+        .isEqualTo(Step.ASK_ALL);
   }
 
   /** Guards against "not run" by a home whose own earlier life may have run the request. */
   @Test
-  void ownEarlierLifeIsAnEarlierTry() {
+  void treatsOwnEarlierIncarnationAsEarlierTry() {
     FormerHomes own = new FormerHomes(Set.of(), true, true);
 
-    assertThat(TakeInRule.decide(own, true, true, replies("NEVER_TAKEN")))
+    assertThat(AdmissionRule.decide(own, true, true, replies("NEVER_TAKEN")))
         .isEqualTo(Step.RUN_AFTER_EARLIER_TRY);
   }
 
   /** Guards against "not run" by an instance that does not know who was home before. */
   @Test
-  void unknownPastIsAnEarlierTry() {
+  void treatsIncompleteHistoryAsEarlierTry() {
     FormerHomes unknown = new FormerHomes(Set.of(), false, false);
 
-    assertThat(TakeInRule.decide(unknown, true, true, replies("NEVER_TAKEN")))
+    assertThat(AdmissionRule.decide(unknown, true, true, replies("NEVER_TAKEN")))
         .isEqualTo(Step.RUN_AFTER_EARLIER_TRY);
   }
 
   @Test
-  void answerThatCannotBeReadSaysNothing() {
+  void treatsUndecodableReplyAsIncomplete() {
     PeerReply odd = new PeerReply("entry-1", Optional.of(new byte[] {'?'}));
 
-    assertThat(KnowsReply.of(odd).knowledge()).isEqualTo(WorkKnowledge.INCOMPLETE);
+    assertThat(WorkKnowledgeReply.of(odd).knowledge()).isEqualTo(WorkKnowledge.INCOMPLETE);
   }
 
-  private static List<KnowsReply> replies(String knowledge) {
+  private static List<WorkKnowledgeReply> replies(String knowledge) {
     Stream<String> words = Arrays.stream(knowledge.split(" ")).filter(word -> !word.isEmpty());
-    return words.map(word -> new KnowsReply("entry-1", WorkKnowledge.valueOf(word), 0)).toList();
+    return words
+        .map(word -> new WorkKnowledgeReply("entry-1", WorkKnowledge.valueOf(word), 0))
+        .toList();
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/work/WorkBench.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/work/WorkBench.java
@@ -17,7 +17,7 @@
 import org.hickorypier.core.scheduling.SchedulerFactory;
 import org.hickorypier.core.scheduling.SchedulerSettings;
 import org.hickorypier.core.scheduling.TaskEnd;
-import org.hickorypier.daemon.cluster.DigestBoard;
+import org.hickorypier.daemon.cluster.PeerDigests;
 import org.hickorypier.daemon.cluster.PermitDemands;
 import org.hickorypier.daemon.log.AppendSettings;
 import org.hickorypier.daemon.log.FollowSettings;
@@ -81,7 +81,7 @@
         new PermitService(
             SELF,
             new PermitDemands(
-                scheduler, new DigestBoard(scheduler, owners::isOurs), owners, work, worker -> {}),
+                scheduler, new PeerDigests(scheduler, owners::isOurs), owners, work, worker -> {}),
             timers,
             task -> timers.after(Duration.ZERO, task));
     work.beforePlacing(permits::recount);
