--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/AdmissionRule.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/AdmissionRule.java
@@ -6,24 +6,28 @@
 import org.hickorypier.core.membership.FormerHomes;
 
 /**
- * What a home does with work once other instances have told what they know of it.
+ * Decides what a home instance does with submitted work after the other instances have reported
+ * what they know about it.
  *
- * <p>Holds no state. Failures prevented: work runs a second time beside a run that goes on, and a
- * request that an earlier home ran is called not run.
+ * <p>Stateless and thread-safe. The rule prevents two failures: a second run of work that is still
+ * running, and a "not run" answer to a request that an earlier home ran.
  */
 final class AdmissionRule {
 
   /** The next step. */
   enum Step {
-    /** Another instance has it in hand. */
+    /** Wait for the result of another instance that has the work. */
     JOIN,
-    /** Somebody cannot tell yet. */
+    /** Ask the caller to retry, since an instance does not have complete information yet. */
     WAIT,
-    /** Whoever was asked cannot answer for an earlier life or an earlier end. */
+    /**
+     * Ask all live instances, since the former homes cannot answer for their earlier incarnations
+     * or for work that has ended.
+     */
     ASK_ALL,
-    /** It does not run, but it may have run before. */
+    /** Run the work, which is not running but may have run before. */
     RUN_AFTER_EARLIER_TRY,
-    /** Nobody has ever taken it in. */
+    /** Run the work, which no instance has ever accepted. */
     RUN
   }
 
@@ -32,32 +36,33 @@
   /**
    * Decides on the next step.
    *
-   * @param lately who was home within the time in which callers come back
+   * @param recentHomes the homes within the period in which callers retry
    * @param askedAll whether all live instances were asked, and not the former homes alone
-   * @param completeHere whether the tasks on all workers of this instance are known
-   * @param replies what the others know
+   * @param allWorkerTasksKnown whether the tasks on all workers of this instance are known
+   * @param replies the replies of the other instances
    */
   static Step decide(
-      FormerHomes lately,
+      FormerHomes recentHomes,
       boolean askedAll,
-      boolean completeHere,
+      boolean allWorkerTasksKnown,
       List<WorkKnowledgeReply> replies) {
     if (hasReply(replies, WorkKnowledge.KNOWN)) {
       return Step.JOIN;
     }
-    if (!completeHere || hasReply(replies, WorkKnowledge.INCOMPLETE)) {
+    if (!allWorkerTasksKnown || hasReply(replies, WorkKnowledge.INCOMPLETE)) {
       return Step.WAIT;
     }
-    // A former home that lives may have started anew since, and others have its tasks.
+    // A live former home may have restarted since, and other instances have adopted its tasks.
     if (!askedAll && hasReply(replies, WorkKnowledge.NOT_RUNNING)) {
       return Step.ASK_ALL;
     }
-    Set<String> unsure = new TreeSet<>(lately.others());
+    Set<String> uncertainHomes = new TreeSet<>(recentHomes.others());
     replies.stream()
         .filter(reply -> reply.knowledge() == WorkKnowledge.NEVER_TAKEN)
-        .forEach(reply -> unsure.remove(reply.instance()));
-    boolean never = lately.complete() && !lately.ownEarlierLife() && unsure.isEmpty();
-    return never ? Step.RUN : Step.RUN_AFTER_EARLIER_TRY;
+        .forEach(reply -> uncertainHomes.remove(reply.instance()));
+    boolean isFirstRun =
+        recentHomes.complete() && !recentHomes.ownEarlierLife() && uncertainHomes.isEmpty();
+    return isFirstRun ? Step.RUN : Step.RUN_AFTER_EARLIER_TRY;
   }
 
   private static boolean hasReply(List<WorkKnowledgeReply> replies, WorkKnowledge knowledge) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
@@ -37,26 +37,31 @@
 import org.hickorypier.wire.message.PeerMessage.Reply;
 
 /**
- * The other instances as this one sees them: who is live, who is wanted for what, and how to ask.
+ * This instance's view of the other instances: which are live, which one should control each worker
+ * or be the home of work, and how to send them requests.
  *
- * <p>Belongs to the control thread. The view may be wrong at any time, and two instances may
- * differ: it decides where work goes, never whether work may run.
+ * <p>Confined to the control thread. The view may be wrong at any time, and the views of two
+ * instances may differ. It decides where work is sent, never whether work may run.
  */
 public final class Cluster implements ControlView, HomeDirectory {
 
   private static final Logger LOGGER = System.getLogger(Cluster.class.getName());
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
-  /** The home may wait for a place until the deadline, and then the task runs. */
+  /** Run time beyond the deadline, since the home may place the task as late as the deadline. */
   private static final long RUN_ALLOWANCE_MILLIS = 10 * 60 * 1_000;
 
-  /** Hops of work on its way to its home. */
+  /** Hop count of work on its way to its home. */
   static final int HOPS_TO_HOME = 1;
 
-  /** Hops of work that its home has sent on; it goes no further, so it cannot go round. */
+  /**
+   * Hop count of work that its home has sent on. It is not forwarded again, which rules out loops.
+   */
   static final int HOPS_FROM_HOME = 2;
 
-  /** Hops of work that is only to be joined where it runs already, and not taken in. */
+  /**
+   * Hop count of a request to join work at the instance that has it, without accepting new work.
+   */
   static final int HOPS_TO_HOLDER = 3;
 
   private static final Duration LOST_INSTANCE_CHECK_PERIOD = Duration.ofMillis(250);
@@ -72,20 +77,20 @@
   private boolean shuttingDown;
 
   /**
-   * Creates the view of a lone instance.
+   * Creates the view of an instance that has no links yet.
    *
-   * @param own this instance
-   * @param members what is known of the others
-   * @param timers the time
+   * @param localIdentity the name and incarnation of this instance
+   * @param membership the known state of the other instances
+   * @param timers the clock and the periodic timers
    */
-  public Cluster(PeerIdentity own, Membership members, TimerService timers) {
-    this.localIdentity = own;
-    this.membership = members;
+  public Cluster(PeerIdentity localIdentity, Membership membership, TimerService timers) {
+    this.localIdentity = localIdentity;
+    this.membership = membership;
     this.timers = timers;
   }
 
   /**
-   * Sets the links to the others.
+   * Sets the links to the other instances.
    *
    * @param peers the links
    */
@@ -95,9 +100,9 @@
   }
 
   /**
-   * Takes in the platform's list.
+   * Applies the platform's instance list.
    *
-   * @param instances the whole list
+   * @param instances the complete list
    */
   public void onInstanceList(List<ListedInstance> instances) {
     membership.onInstanceList(instances);
@@ -111,7 +116,7 @@
   }
 
   /**
-   * Takes in a new configuration.
+   * Applies a new configuration.
    *
    * @param state the configuration
    */
@@ -124,13 +129,16 @@
             .collect(Collectors.toUnmodifiableSet()));
   }
 
-  /** Wants no worker and no work any more, so that the others take them. */
+  /**
+   * Stops this instance from wanting any worker, so that the other instances take over its workers
+   * and its work.
+   */
   public void shutDown() {
     shuttingDown = true;
   }
 
   /**
-   * Returns the instances that look live, this one among them.
+   * Returns the instances that appear live, including this one.
    *
    * @return their names
    */
@@ -139,7 +147,7 @@
   }
 
   /**
-   * Returns the other instances in the platform's list, whether they answer or not.
+   * Returns the other instances in the platform's list, whether they respond or not.
    *
    * @return their names
    */
@@ -148,7 +156,7 @@
   }
 
   /**
-   * Returns the instances that new work is homed at.
+   * Returns the instances that can become the home of new work.
    *
    * @return their names
    */
@@ -157,9 +165,9 @@
   }
 
   /**
-   * Returns this instance.
+   * Returns the identity of this instance.
    *
-   * @return name and incarnation
+   * @return the name and incarnation
    */
   public PeerIdentity localIdentity() {
     return localIdentity;
@@ -168,10 +176,10 @@
   /**
    * Asks another instance a question.
    *
-   * @param instance the other's name
-   * @param kind what is asked
-   * @param text what it is asked about
-   * @return the answer's bytes, or a {@link PeerException}
+   * @param instance the instance's name
+   * @param kind the kind of question
+   * @param text the question's subject
+   * @return the reply's bytes; fails with a {@link PeerException}
    */
   public Uni<byte[]> ask(String instance, QuestionKind kind, String text) {
     Question question = new Question(0, kind.wireName(), text);
@@ -181,10 +189,10 @@
   /**
    * Asks several instances the same question.
    *
-   * @param instances their names
-   * @param kind what is asked
-   * @param text what it is asked about
-   * @return one reply for each instance, once all have answered or failed to; it never fails
+   * @param instances the instances' names
+   * @param kind the kind of question
+   * @param text the question's subject
+   * @return one reply per instance once every request has completed or failed; never fails
    */
   public Uni<List<PeerReply>> askAll(Collection<String> instances, QuestionKind kind, String text) {
     if (instances.isEmpty()) {
@@ -202,7 +210,7 @@
   }
 
   /**
-   * Returns the other instances that look live.
+   * Returns the other instances that appear live.
    *
    * @return their names
    */
@@ -240,7 +248,7 @@
     ask(wanted, QuestionKind.OFFER, worker)
         .subscribe()
         .with(
-            done -> LOGGER.log(Level.DEBUG, "cluster: {0} offered to {1}", worker, wanted),
+            reply -> LOGGER.log(Level.DEBUG, "cluster: {0} offered to {1}", worker, wanted),
             error ->
                 LOGGER.log(
                     Level.DEBUG, "cluster: {0} not offered: {1}", worker, error.getMessage()));
@@ -258,7 +266,7 @@
   }
 
   /**
-   * Hands work of which this instance is home to another one that is to run it.
+   * Sends work whose home is this instance to another instance that runs it.
    *
    * @param instance the instance's name
    * @param submission the work
@@ -269,11 +277,11 @@
   }
 
   /**
-   * Waits for the answer to work that another instance has in hand.
+   * Waits for the result of work that another instance already has.
    *
    * @param instance the instance's name
    * @param submission the work
-   * @return the final answer; unsettled if that instance has lost it meanwhile
+   * @return the final answer; unsettled if that instance no longer has the work
    */
   public Uni<WorkResult> join(String instance, Submission submission) {
     return send(instance, submission, HOPS_TO_HOLDER);
@@ -294,24 +302,26 @@
     return Uni.createFrom().emitter(emitter -> new PendingSend(instance, emitter).start(answered));
   }
 
-  /** Starts to look after work that was sent to instances which are gone. */
+  /** Starts the periodic check for work that was sent to instances which have since been lost. */
   public void start() {
     timers.every(LOST_INSTANCE_CHECK_PERIOD, this::failSendsToLostInstances);
   }
 
-  // A request to an instance that is gone would stay open until its deadline, since the link waits
-  // for the instance to come back. The caller is told at once that nobody knows.
+  // A request to a lost instance would stay pending until its deadline, since the link waits for
+  // the
+  // instance to return. The caller gets an unknown outcome immediately instead.
   private void failSendsToLostInstances() {
     Set<String> live = membership.live();
-    for (PendingSend open : List.copyOf(pendingSends)) {
-      if (!live.contains(open.instance)) {
-        open.finish(resultOfFailedSend(new PeerException(open.instance + " is gone", true)));
+    for (PendingSend pending : List.copyOf(pendingSends)) {
+      if (!live.contains(pending.instance)) {
+        pending.finish(resultOfFailedSend(new PeerException(pending.instance + " is gone", true)));
       }
     }
   }
 
-  // A home that was lost after it took the work may have run it. Only a refusal by the link itself,
-  // before anything was written, is proof that it has not; and that says nothing of earlier tries.
+  // A home that was lost after it accepted the work may have run it. Only a refusal by the link,
+  // before anything was written, proves that this try did not run; it proves nothing about earlier
+  // tries.
   private static WorkResult resultOfFailedSend(Throwable error) {
     if (error instanceof PeerException known && !known.mayHaveBeenTaken()) {
       return new WorkResult.Unsettled(
@@ -322,10 +332,10 @@
   }
 
   /**
-   * Returns text as the bytes of a reply.
+   * Encodes the text of a reply in UTF-8.
    *
    * @param text the text
-   * @return its bytes
+   * @return the encoded bytes
    */
   public static byte[] utf8Bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
@@ -334,7 +344,7 @@
   /**
    * Reads the text form of a work key.
    *
-   * @param text team and request id with a slash between
+   * @param text the team and the request id, separated by a slash
    * @return the key
    */
   static WorkKey parseWorkKey(String text) {
@@ -342,7 +352,7 @@
     return new WorkKey(text.substring(0, Math.max(0, slash)), text.substring(slash + 1));
   }
 
-  /** Work that was sent to another instance and is not answered. */
+  /** Work that was sent to another instance and has not been answered. */
   private final class PendingSend {
 
     private final String instance;
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/ClusterJobScope.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/ClusterJobScope.java
@@ -7,7 +7,7 @@
 import org.hickorypier.daemon.job.JobScope;
 import org.hickorypier.daemon.work.Dispatcher;
 
-/** The jobs' view of the other instances. Belongs to the control thread. */
+/** The view of the cluster that job execution uses. Confined to the control thread. */
 public final class ClusterJobScope implements JobScope {
 
   private final Cluster cluster;
@@ -15,12 +15,12 @@
   private final Dispatcher dispatcher;
 
   /**
-   * Creates the view, and stops tasks for other instances that ask for it.
+   * Creates the view and registers the handler that stops tasks for other instances.
    *
-   * @param cluster the other instances
-   * @param readiness whether new work is taken
-   * @param dispatcher stops tasks on workers that we control
-   * @param requests answers the other instances
+   * @param cluster this instance's view of the other instances
+   * @param readiness whether this instance accepts new work
+   * @param dispatcher stops tasks on the workers that this instance controls
+   * @param requests the dispatcher to register question handlers with
    */
   public ClusterJobScope(
       Cluster cluster, Readiness readiness, Dispatcher dispatcher, PeerRequestDispatcher requests) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/ConfigurationGossip.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/ConfigurationGossip.java
@@ -9,12 +9,13 @@
 import org.hickorypier.wire.message.PeerMessage.Digest;
 
 /**
- * Passes records of the configuration on to peers that lag behind.
+ * Sends configuration records to peers that lag behind.
  *
- * <p>Belongs to the control thread. Failure: an instance is cut off from the log, and a key
- * withdrawn meanwhile goes on working there. Its digest tells each peer how far it is, and the
- * peers send what it lacks. In ordinary times every instance reads the log itself and nothing is
- * sent. A record taken twice, from the log and from a peer, folds once.
+ * <p>Confined to the control thread. The service prevents a withdrawn key from remaining valid at
+ * an instance that has lost its connection to the log. The instance's digest tells each peer its
+ * configuration offset, and the peers send the records that it lacks. While every instance reads
+ * the log itself, nothing is sent. A record that arrives twice, from the log and from a peer, is
+ * applied once.
  */
 public final class ConfigurationGossip implements PeerListener {
 
@@ -22,9 +23,9 @@
   private final ConfigurationService configuration;
 
   /**
-   * Creates the gossip.
+   * Creates the gossip service.
    *
-   * @param network the links
+   * @param network the links to the peers
    * @param configuration the configuration in force here
    */
   public ConfigurationGossip(PeerNetwork network, ConfigurationService configuration) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/FleetQueries.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/FleetQueries.java
@@ -19,10 +19,10 @@
 import org.hickorypier.daemon.operator.WorkerRow;
 
 /**
- * Answers operators' queries with the rows of all instances.
+ * Answers operator queries with the rows of all instances.
  *
- * <p>Belongs to the control thread. An instance that does not answer is named as missing; the query
- * is answered all the same.
+ * <p>Confined to the control thread. An instance that does not answer is listed as missing; the
+ * query still succeeds.
  */
 public final class FleetQueries implements FleetView {
 
@@ -32,15 +32,15 @@
   private final Map<String, Supplier<? extends List<?>>> localRows = new HashMap<>();
 
   /**
-   * Creates the queries and answers those of the other instances.
+   * Creates the queries and registers the handler for queries of other instances.
    *
-   * @param cluster the other instances
-   * @param requests answers the other instances
+   * @param cluster this instance's view of the other instances
+   * @param requests the dispatcher to register question handlers with
    * @param running this instance's running tasks
    * @param waiting this instance's waiting work
    * @param refused this instance's refusals
    * @param workers this instance's workers
-   * @param instances this instance's own row
+   * @param instances this instance's localPart row
    */
   public FleetQueries(
       Cluster cluster,
@@ -87,7 +87,8 @@
   private Uni<byte[]> answerLocally(String subject) {
     Supplier<? extends List<?>> rows = localRows.get(subject);
     if (rows == null) {
-      return Uni.createFrom().failure(new IllegalArgumentException("no rows of " + subject));
+      return Uni.createFrom()
+          .failure(new IllegalArgumentException("unknown query subject: " + subject));
     }
     try {
       return Uni.createFrom().item(MAPPER.writeValueAsBytes(rows.get()));
@@ -105,9 +106,9 @@
         .all()
         .unis(here, elsewhere)
         .with(
-            (own, replies) -> {
+            (localPart, replies) -> {
               List<PartialResult<T>> parts = new ArrayList<>();
-              parts.add(own);
+              parts.add(localPart);
               replies.forEach(reply -> parts.add(decode(reply, type)));
               return merge(parts);
             });
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/FleetWorkOperations.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/FleetWorkOperations.java
@@ -21,10 +21,11 @@
 import org.hickorypier.daemon.work.WorkService;
 
 /**
- * Cancels and explains work for operators, wherever in the fleet it is.
+ * Cancels and explains work for operators at whichever instance has it.
  *
- * <p>Belongs to the control thread. A job is cancelled through the journal, so that its home hears
- * of it whichever instance that is; a synchronous request is looked for at every instance.
+ * <p>Confined to the control thread. A job is cancelled through the journal, so that its home
+ * learns of the cancellation whichever instance that is. A synchronous request is searched for at
+ * every instance.
  */
 public final class FleetWorkOperations implements WorkCanceller, WorkExplainer {
 
@@ -39,15 +40,15 @@
   private final TimerService timers;
 
   /**
-   * Creates it and answers the other instances.
+   * Creates the operations and registers the handlers for requests of other instances.
    *
-   * @param cluster the other instances
-   * @param requests answers the other instances
-   * @param journal the journal
-   * @param jobs the jobs
-   * @param work the work decided here
-   * @param scheduler the decisions
-   * @param timers the time
+   * @param cluster this instance's view of the other instances
+   * @param requests the dispatcher to register question handlers with
+   * @param journal the journal of accepted work
+   * @param jobs the service that cancels journaled jobs
+   * @param work the work that this instance schedules
+   * @param scheduler the local scheduler
+   * @param timers the clock and the periodic timers
    */
   public FleetWorkOperations(
       Cluster cluster,
@@ -86,7 +87,8 @@
         .flatMap(this::outcomeOfReplies);
   }
 
-  // An instance that gives no answer, or that is gone with tasks still to be found, may have it.
+  // An instance that does not answer, or a lost one whose tasks have not been found yet, may have
+  // it.
   private Uni<CancelOutcome> outcomeOfReplies(List<PeerReply> replies) {
     if (firstNonEmptyText(replies).isPresent()) {
       return Uni.createFrom().item(CancelOutcome.CANCELLED);
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/ForwardCodec.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/ForwardCodec.java
@@ -14,15 +14,15 @@
 import org.hickorypier.wire.message.PeerMessage.ForwardedWork;
 
 /**
- * Turns work and its answers into peer messages and back. Thread safe.
+ * Converts work and its results to peer messages and back. Thread-safe.
  *
- * <p>Deadlines travel as the time that remains, since two instances' clocks have nothing in common.
+ * <p>Deadlines are sent as the remaining time, since the clocks of two instances are unrelated.
  */
 final class ForwardCodec {
 
   private ForwardCodec() {}
 
-  static ForwardedWork toForwardedWork(Submission submission, int hops, long now) {
+  static ForwardedWork toForwardedWork(Submission submission, int hops, long nowMillis) {
     WorkItem item = submission.item();
     return new ForwardedWork(
         0,
@@ -34,16 +34,16 @@
         item.resources().accelerators(),
         item.tasks(),
         item.idempotent(),
-        Math.max(0, item.deadlineMillis() - now),
+        Math.max(0, item.deadlineMillis() - nowMillis),
         item.expectedRunMillis(),
         item.name(),
         submission.payload(),
         hops,
         submission.mayHaveRun(),
-        Math.max(0, now - item.firstTriedMillis()));
+        Math.max(0, nowMillis - item.firstTriedMillis()));
   }
 
-  static Submission toSubmission(ForwardedWork work, long now) {
+  static Submission toSubmission(ForwardedWork work, long nowMillis) {
     WorkItem item =
         new WorkItem(
             new WorkKey(work.team(), work.requestId()),
@@ -52,10 +52,10 @@
             new Resources(work.milliProcessors(), work.memoryMebibytes(), work.accelerators()),
             work.tasks(),
             work.idempotent(),
-            now,
-            now + work.remainingMillis(),
+            nowMillis,
+            nowMillis + work.remainingMillis(),
             work.expectedRunMillis(),
-            now - work.triedForMillis());
+            nowMillis - work.triedForMillis());
     return new Submission(item, work.payload(), work.mayHaveRun());
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
@@ -12,14 +12,14 @@
 import org.hickorypier.daemon.time.TimerService;
 
 /**
- * Keeps the proof that this instance's configuration is recent, and asks the peers when the log is
- * silent. Belongs to the control thread.
+ * Maintains the proof that this instance's configuration is recent, and asks the peers when the log
+ * does not respond. Confined to the control thread.
  */
 public final class FreshnessService {
 
   private static final Duration CHECK_PERIOD = Duration.ofSeconds(1);
 
-  /** A long poll of the log is answered at this age at the latest; past it the log is silent. */
+  /** A long poll of the log is answered within this time; beyond it the log counts as silent. */
   private static final long LOG_SILENCE_MILLIS = 3_000;
 
   private final Cluster cluster;
@@ -33,29 +33,30 @@
   /**
    * Creates the service.
    *
-   * @param cluster the other instances
-   * @param timers the time
-   * @param control the control thread
-   * @param logAgeMillis the time since the log was last read to its end
-   * @param offset the offset that this instance has folded
+   * @param cluster this instance's view of the other instances
+   * @param timers the clock and the periodic timers
+   * @param control the executor of the control thread
+   * @param logAgeMillis the time since the log was last read to its end, in milliseconds; {@link
+   *     Long#MAX_VALUE} if it never was
+   * @param appliedOffset the configuration offset that this instance has applied
    */
   public FreshnessService(
       Cluster cluster,
       TimerService timers,
       Executor control,
       LongSupplier logAgeMillis,
-      LongSupplier offset) {
+      LongSupplier appliedOffset) {
     this.cluster = cluster;
     this.timers = timers;
     this.control = control;
     this.logAgeMillis = logAgeMillis;
-    this.appliedOffset = offset;
+    this.appliedOffset = appliedOffset;
   }
 
   /**
-   * Starts to look after the proof.
+   * Registers the question handler and starts the periodic check.
    *
-   * @param requests answers the other instances
+   * @param requests the dispatcher to register question handlers with
    */
   public void start(PeerRequestDispatcher requests) {
     requests.registerQuestionHandler(
@@ -65,9 +66,9 @@
   }
 
   /**
-   * Returns for how long changes may have been missed.
+   * Returns the time for which configuration changes may have been missed.
    *
-   * @return milliseconds, {@link Long#MAX_VALUE} if nothing was ever proved
+   * @return the time in milliseconds, or {@link Long#MAX_VALUE} if nothing has been proved yet
    */
   public long ageMillis() {
     recordLogRead();
@@ -106,12 +107,12 @@
 
   private void onReplies(long sentMillis, List<PeerReply> replies) {
     roundInProgress = false;
-    List<PeerFreshness> came =
+    List<PeerFreshness> freshness =
         replies.stream()
             .flatMap(reply -> reply.text().stream())
             .flatMap(text -> parse(text).stream())
             .toList();
-    proof.round(sentMillis, appliedOffset.getAsLong(), true, came, replies.size());
+    proof.round(sentMillis, appliedOffset.getAsLong(), true, freshness, replies.size());
   }
 
   private static Optional<PeerFreshness> parse(String text) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/HistoryExchange.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/HistoryExchange.java
@@ -16,12 +16,12 @@
 import org.hickorypier.wire.message.HomeViews;
 
 /**
- * Keeps the {@link HomeHistory}: notes the candidates, and learns from the other instances what was
- * before a start or a pause.
+ * Keeps the {@link HomeHistory} up to date: records the home candidates, and obtains the history
+ * from before a start or a pause from the other instances.
  *
- * <p>Belongs to the control thread. Load: 260 restarts a day. Learning costs each of them one
- * question to each other instance; asking after each single request for as long as one can run
- * would cost thousands.
+ * <p>Confined to the control thread. At 260 restarts a day, each restart costs one question to each
+ * other instance. Asking about every single request, for as long as a request can run, would cost
+ * thousands of questions instead.
  */
 public final class HistoryExchange {
 
@@ -39,15 +39,15 @@
   private final Set<String> instancesBeingAsked = new HashSet<>();
 
   /**
-   * Creates it and answers the other instances.
+   * Creates the exchange and registers the handler for questions of other instances.
    *
-   * @param history what is known
-   * @param cluster the other instances
+   * @param history the history of home candidates
+   * @param cluster this instance's view of the other instances
    * @param requests answers them
-   * @param timers the time
-   * @param control the control thread
-   * @param listRead whether the other instances are known at all
-   * @param firstGeneration whether the log shows that no instance was ever lost
+   * @param timers the clock and the periodic timers
+   * @param control the executor of the control thread
+   * @param instanceListRead whether the platform's instance list has been read
+   * @param firstGeneration whether the log proves that no instance has ever been lost
    */
   public HistoryExchange(
       HomeHistory history,
@@ -55,20 +55,20 @@
       PeerRequestDispatcher requests,
       TimerService timers,
       Executor control,
-      BooleanSupplier listRead,
+      BooleanSupplier instanceListRead,
       BooleanSupplier firstGeneration) {
     this.history = history;
     this.cluster = cluster;
     this.timers = timers;
     this.control = control;
-    this.instanceListRead = listRead;
+    this.instanceListRead = instanceListRead;
     this.firstGeneration = firstGeneration;
     requests.registerQuestionHandler(
         QuestionKind.HOMES,
         text -> Uni.createFrom().item(codec.encode(history.tell(timers.nowMillis()))));
   }
 
-  /** Starts to note and to learn. */
+  /** Starts recording candidates and asking the other instances. */
   public void start() {
     timers.every(UPDATE_PERIOD, this::updateHistory);
   }
@@ -79,15 +79,18 @@
     if (!instanceListRead.getAsBoolean()) {
       return;
     }
-    Set<String> unheard = history.unheard(cluster.liveOtherInstances());
-    if (unheard.isEmpty() && !history.isTaught(now)) {
+    Set<String> awaited = history.unheard(cluster.liveOtherInstances());
+    if (awaited.isEmpty() && !history.isTaught(now)) {
       if (firstGeneration.getAsBoolean()) {
         history.nothingBefore();
       }
       history.taughtByAll();
-      LOGGER.log(Level.INFO, "homes: taught by all of {0}", cluster.liveOtherInstances());
+      LOGGER.log(
+          Level.INFO,
+          "homes: received the history of all live instances: {0}",
+          cluster.liveOtherInstances());
     } else {
-      unheard.forEach(this::ask);
+      awaited.forEach(this::ask);
     }
   }
 
@@ -112,8 +115,12 @@
     try {
       history.learn(instance, codec.decode(data), timers.nowMillis());
     } catch (UndecodableException error) {
-      // One of another version tells nothing, so what it did before is not known.
-      LOGGER.log(Level.WARNING, "homes: {0} tells nothing: {1}", instance, error.getMessage());
+      // An instance of another version has an unreadable history, so its past counts as unknown.
+      LOGGER.log(
+          Level.WARNING,
+          "homes: history of {0} cannot be decoded: {1}",
+          instance,
+          error.getMessage());
       history.learn(instance, new HomeViews(0, List.of()), timers.nowMillis());
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeAdmission.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeAdmission.java
@@ -22,21 +22,22 @@
 import org.hickorypier.daemon.work.WorkService;
 
 /**
- * Takes in work at its home, after making sure that no former home still runs it.
+ * Admits work at its home instance after ruling out that a former home still runs it.
  *
- * <p>Belongs to the control thread. When the home of a key has moved, the former home is asked if
- * it lives. If it is gone or has started anew, or if this instance does not know yet who was home
- * before it started, every live instance is asked, since one of them has adopted its tasks; while
- * one of them cannot tell yet, the caller is sent away with a time to come back. That takes as long
- * as a takeover, and costs nothing while the membership is quiet.
+ * <p>Confined to the control thread. When the home of a key has moved, the former home is asked if
+ * it is live. Every live instance is asked if the former home is lost or has restarted, or if this
+ * instance does not know yet which instances were homes before it started: one of them has adopted
+ * the former home's tasks. While an instance has incomplete information, the caller receives an
+ * unsettled result with a retry delay. This lasts as long as a takeover and costs nothing while the
+ * membership is stable.
  */
 public final class HomeAdmission {
 
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
   /**
-   * An instance that was taken for gone while it was paused reads so in the log within this time;
-   * until then it goes on as if it were home of what others have taken over.
+   * An instance that was presumed lost while it was paused reads that from the log within this
+   * time. Until then it still acts as the home of work that other instances have taken over.
    */
   private static final long HOME_SETTLING_MILLIS = 5_000;
 
@@ -51,18 +52,18 @@
   private final FirstTries firstTries;
 
   /**
-   * Creates the intake.
+   * Creates the admission service.
    *
-   * @param cluster the other instances
-   * @param history former homes
-   * @param work the work decided here
-   * @param timers the time
-   * @param control the control thread
-   * @param workersComplete whether the tasks of all workers that this instance should control are
-   *     known
-   * @param comeBackMillis how long after a try its caller may come back
-   * @param firstTries remembers who came back
-   * @param once runs requests that are not idempotent
+   * @param cluster this instance's view of the other instances
+   * @param history the history of home candidates
+   * @param work the work that this instance schedules
+   * @param timers the clock and the periodic timers
+   * @param control the executor of the control thread
+   * @param allWorkerTasksKnown whether the tasks of all workers that this instance should control
+   *     are known
+   * @param callerRetryMillis how long after a try its caller may retry, in milliseconds
+   * @param firstTries records when callers first tried
+   * @param nonIdempotentRunner runs requests that are not idempotent
    */
   public HomeAdmission(
       Cluster cluster,
@@ -70,26 +71,26 @@
       WorkService work,
       TimerService timers,
       Executor control,
-      BooleanSupplier workersComplete,
-      long comeBackMillis,
+      BooleanSupplier allWorkerTasksKnown,
+      long callerRetryMillis,
       FirstTries firstTries,
-      BiConsumer<Submission, Consumer<WorkResult>> once) {
+      BiConsumer<Submission, Consumer<WorkResult>> nonIdempotentRunner) {
     this.cluster = cluster;
     this.history = history;
     this.work = work;
     this.timers = timers;
     this.control = control;
-    this.allWorkerTasksKnown = workersComplete;
-    this.callerRetryMillis = comeBackMillis;
+    this.allWorkerTasksKnown = allWorkerTasksKnown;
+    this.callerRetryMillis = callerRetryMillis;
     this.firstTries = firstTries;
-    this.nonIdempotentRunner = once;
+    this.nonIdempotentRunner = nonIdempotentRunner;
   }
 
   /**
-   * Answers another instance that asks after work.
+   * Answers another instance's question about work.
    *
-   * @param text the question
-   * @return the answer's bytes
+   * @param text the text of a {@link WorkKnowledgeQuestion}
+   * @return the reply's bytes
    */
   public Uni<byte[]> answerKnowledgeQuestion(String text) {
     WorkKnowledgeQuestion question = WorkKnowledgeQuestion.parse(text);
@@ -103,15 +104,15 @@
     if (work.knows(question.key())) {
       return WorkKnowledge.KNOWN;
     }
-    // Whoever still takes a lost instance for live has not begun to look for its tasks.
-    boolean seesThemGone = Collections.disjoint(cluster.liveInstances(), question.lostInstances());
-    if (!allWorkerTasksKnown.getAsBoolean() || !seesThemGone) {
+    // An instance that still considers a lost instance live has not begun to search for its tasks.
+    boolean seesThemLost = Collections.disjoint(cluster.liveInstances(), question.lostInstances());
+    if (!allWorkerTasksKnown.getAsBoolean() || !seesThemLost) {
       return WorkKnowledge.INCOMPLETE;
     }
     return wasNeverAccepted(question.key()) ? WorkKnowledge.NEVER_TAKEN : WorkKnowledge.NOT_RUNNING;
   }
 
-  // What an earlier life of this instance started may run for longer than callers come back.
+  // Work of an earlier incarnation of this instance may run for longer than callers retry.
   private boolean wasNeverAccepted(WorkKey key) {
     FormerHomes former = history.formerHomes(key.toString(), timers.nowMillis());
     return recentFormerHomes(key).complete() && !former.ownEarlierLife() && work.neverTaken(key);
@@ -122,11 +123,11 @@
   }
 
   /**
-   * Tells whether an instance has been home of some work long enough for all to know it.
+   * Tells whether an instance has been the home of work long enough for all instances to know it.
    *
    * @param instance the instance's name
-   * @param key the work, or an attempt of it
-   * @return false if another was home lately, as seen here
+   * @param key the key of the work or of an attempt
+   * @return false if, by this instance's history, another instance was the home recently
    */
   public boolean isSettledHome(String instance, WorkKey key) {
     String home = AttemptKey.workOf(key).toString();
@@ -134,10 +135,10 @@
   }
 
   /**
-   * Takes work in as its home.
+   * Admits work as its home.
    *
    * @param submission the work
-   * @param answer is given the final answer, on the control thread
+   * @param answer receives the final answer on the control thread
    */
   public void submit(Submission submission, Consumer<WorkResult> answer) {
     WorkKey key = submission.item().key();
@@ -153,8 +154,8 @@
     }
   }
 
-  private void run(Submission tried, Consumer<WorkResult> answer) {
-    Submission submission = firstTries.note(tried, timers.nowMillis());
+  private void run(Submission received, Consumer<WorkResult> answer) {
+    Submission submission = firstTries.note(received, timers.nowMillis());
     if (submission.item().idempotent()) {
       work.submit(submission, answer);
     } else {
@@ -162,7 +163,7 @@
     }
   }
 
-  /** An earlier life of an instance may have left tasks on any worker, so that all are asked. */
+  /** An earlier incarnation may have left tasks on any worker, so all live instances are asked. */
   private Set<String> instancesToAsk(FormerHomes former) {
     boolean allLive = cluster.liveInstances().containsAll(former.others());
     boolean suffices = former.complete() && !former.ownEarlierLife() && allLive;
@@ -174,9 +175,9 @@
       FormerHomes former,
       Set<String> instances,
       Consumer<WorkResult> answer) {
-    Set<String> gone = new TreeSet<>(former.others());
-    gone.removeAll(cluster.liveInstances());
-    WorkKnowledgeQuestion question = new WorkKnowledgeQuestion(submission.item().key(), gone);
+    Set<String> lost = new TreeSet<>(former.others());
+    lost.removeAll(cluster.liveInstances());
+    WorkKnowledgeQuestion question = new WorkKnowledgeQuestion(submission.item().key(), lost);
     boolean asksAll = instances.equals(cluster.liveOtherInstances());
     cluster
         .askAll(instances, QuestionKind.KNOWS, question.text())
@@ -185,9 +186,14 @@
             replies ->
                 control.execute(
                     () -> {
-                      List<WorkKnowledgeReply> told =
+                      List<WorkKnowledgeReply> knowledgeReplies =
                           replies.stream().map(WorkKnowledgeReply::of).toList();
-                      onReplies(withFirstTry(submission, told), former, asksAll, told, answer);
+                      onReplies(
+                          withFirstTry(submission, knowledgeReplies),
+                          former,
+                          asksAll,
+                          knowledgeReplies,
+                          answer);
                     }));
   }
 
@@ -197,14 +203,15 @@
       boolean askedAll,
       List<WorkKnowledgeReply> replies,
       Consumer<WorkResult> answer) {
-    FormerHomes lately = recentFormerHomes(submission.item().key());
-    switch (AdmissionRule.decide(lately, askedAll, allWorkerTasksKnown.getAsBoolean(), replies)) {
+    FormerHomes recentHomes = recentFormerHomes(submission.item().key());
+    switch (AdmissionRule.decide(
+        recentHomes, askedAll, allWorkerTasksKnown.getAsBoolean(), replies)) {
       case JOIN -> join(submission, replies, answer);
       case WAIT -> answer.accept(notReadyResult(replies));
       case ASK_ALL -> ask(submission, former, cluster.liveOtherInstances(), answer);
       case RUN_AFTER_EARLIER_TRY -> run(submission.afterEarlierTry(), answer);
       case RUN -> run(submission, answer);
-      default -> throw new IllegalStateException("unknown step");
+      default -> throw new IllegalStateException("unknown admission step");
     }
   }
 
@@ -231,13 +238,14 @@
       searching.add(cluster.localIdentity().name());
     }
     String detail =
-        "an instance has changed and its work is being found again by "
+        "the set of instances has changed and earlier work is still being located by "
             + String.join(", ", searching);
     return new WorkResult.Unsettled(
         new Refusal(RefusalReason.NOT_READY, detail, RETRY_AFTER_MILLIS));
   }
 
-  // The caller may have asked elsewhere before, and keeps its place by that.
+  // The caller may have tried another instance before. Its queue position counts from the first
+  // try.
   private Submission withFirstTry(Submission submission, List<WorkKnowledgeReply> replies) {
     long longest = replies.stream().mapToLong(WorkKnowledgeReply::triedForMillis).max().orElse(0);
     long first = Math.min(submission.item().firstTriedMillis(), timers.nowMillis() - longest);
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalQueryRows.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalQueryRows.java
@@ -25,10 +25,10 @@
 import org.hickorypier.daemon.worker.WorkerFleet;
 
 /**
- * This instance's rows for the operators' queries.
+ * This instance's rows for operator queries.
  *
- * <p>Belongs to the control thread. Of refusals the last few hundred are kept, so that a wave of
- * them costs a bounded amount of memory.
+ * <p>Confined to the control thread. Only the latest refusals are retained, so that a burst of
+ * refusals uses a bounded amount of memory.
  */
 public final class LocalQueryRows implements WorkObserver {
 
@@ -43,13 +43,13 @@
   private final Deque<RetainedRefusal> refusals = new ArrayDeque<>();
 
   /**
-   * Creates the rows.
+   * Creates the row source without refusals.
    *
    * @param name this instance's name
    * @param dataCentre its data centre
-   * @param scheduler the decisions
-   * @param timers the time
-   * @param isOurs whether a placed task counts as this instance's; its owner tells of the others
+   * @param scheduler the local scheduler
+   * @param timers the clock and the periodic timers
+   * @param isOurs whether a placed task belongs to this instance; its owner reports any other task
    */
   public LocalQueryRows(
       String name,
@@ -65,9 +65,9 @@
   }
 
   /**
-   * Returns the tasks that are placed by this instance.
+   * Returns the tasks that this instance has placed.
    *
-   * @return a row for each
+   * @return one row per task
    */
   public List<RunningRow> running() {
     Map<String, WorkerDescription> workers = new HashMap<>();
@@ -90,9 +90,9 @@
   }
 
   /**
-   * Returns the work that waits here.
+   * Returns the work that waits at this instance.
    *
-   * @return a row for each item
+   * @return one row per item
    */
   public List<WaitingRow> waiting() {
     return scheduler.queued().stream().map(this::waitingRow).toList();
@@ -110,29 +110,29 @@
   }
 
   /**
-   * Returns the last refusals.
+   * Returns the latest refusals.
    *
-   * @return a row for each, the newest first
+   * @return one row per refusal, newest first
    */
   public List<RefusedRow> refused() {
     return refusals.stream()
         .map(
-            kept ->
+            retained ->
                 new RefusedRow(
-                    AttemptKey.workOf(kept.item().key()),
-                    kept.item().workClass(),
+                    AttemptKey.workOf(retained.item().key()),
+                    retained.item().workClass(),
                     name,
                     dataCentre,
-                    kept.refusal().reason(),
-                    secondsSince(kept.refusedMillis())))
+                    retained.refusal().reason(),
+                    secondsSince(retained.refusedMillis())))
         .toList();
   }
 
   /**
    * Returns the workers that this instance controls.
    *
-   * @param fleet the control of workers
-   * @return a row for each
+   * @param fleet the workers and the control of them
+   * @return one row per worker
    */
   public List<WorkerRow> workers(WorkerFleet fleet) {
     return scheduler.workers().stream()
@@ -157,9 +157,9 @@
   /**
    * Returns this instance's own row.
    *
-   * @param state one word
-   * @param offset the configuration's offset
-   * @param fleet the control of workers
+   * @param state the instance's state, one word
+   * @param offset the applied configuration offset
+   * @param fleet the workers and the control of them
    * @return the row
    */
   public InstanceRow instance(Supplier<String> state, long offset, WorkerFleet fleet) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerDigests.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerDigests.java
@@ -22,10 +22,10 @@
 import org.hickorypier.wire.message.TeamUse;
 
 /**
- * The last digest of every other instance, and this instance's own.
+ * Stores the latest digest of every other linked instance and builds this instance's own digest.
  *
- * <p>Belongs to the control thread. Digests guide the fair order and the routing; they are old by
- * up to a second and no promise rests on them.
+ * <p>Confined to the control thread. Digests guide fair ordering and routing. They are up to one
+ * second old, so no guarantee depends on them.
  */
 public final class PeerDigests implements PeerListener {
 
@@ -37,10 +37,10 @@
   private final Set<String> reportedTeams = new HashSet<>();
 
   /**
-   * Creates a board without digests.
+   * Creates a store without digests.
    *
-   * @param scheduler the decisions, which are told what the teams use elsewhere
-   * @param isOurs whether a placed task counts as this instance's; others tell of the rest
+   * @param scheduler the local scheduler, which receives the teams' usage at other instances
+   * @param isOurs whether a placed task belongs to this instance; its owner reports any other task
    */
   public PeerDigests(Scheduler scheduler, Predicate<PlacedTask> isOurs) {
     this.scheduler = scheduler;
@@ -62,20 +62,20 @@
   }
 
   /**
-   * Returns the last digest of an instance.
+   * Returns the latest digest of an instance.
    *
    * @param instance its name
-   * @return the digest, or empty if it is not linked or has sent none
+   * @return the digest, or empty if the instance is not linked or has sent none
    */
   public Optional<Digest> latestDigest(String instance) {
     return Optional.ofNullable(digestsByInstance.get(instance)).map(ReceivedDigest::digest);
   }
 
   /**
-   * Returns what each linked instance uses of a team, and has waiting.
+   * Returns the running and waiting work of a team at each linked instance.
    *
    * @param team the team
-   * @return the use by instance; all zero where the digest does not name the team
+   * @return the usage by instance; all zero where the digest does not contain the team
    */
   public Map<PeerIdentity, TeamUse> usageByInstance(String team) {
     Map<PeerIdentity, TeamUse> uses = new HashMap<>();
@@ -91,11 +91,11 @@
   }
 
   /**
-   * Returns the instances of a set that have not folded an offset, as far as is known.
+   * Returns the instances that, by their latest digests, have not applied a configuration offset.
    *
-   * @param instances the instances to look at
-   * @param offset the offset
-   * @return the names of those behind
+   * @param instances the instances to check
+   * @param offset the configuration offset
+   * @return the sorted names of the instances that are behind or have no digest here
    */
   public List<String> instancesBehind(Set<String> instances, long offset) {
     return instances.stream()
@@ -109,9 +109,9 @@
   }
 
   /**
-   * Returns the highest configuration offset that an instance which takes work has folded.
+   * Returns the highest configuration offset applied by any linked instance that accepts work.
    *
-   * @return the offset, -1 if no such instance is linked
+   * @return the offset, or -1 if no such instance is linked
    */
   public long highestReadyOffset() {
     return digestsByInstance.values().stream()
@@ -123,11 +123,11 @@
   }
 
   /**
-   * Makes this instance's digest.
+   * Builds this instance's digest.
    *
-   * @param offset the configuration's offset
-   * @param logAgeMillis for how long changes may have been missed
-   * @param taking whether new work is taken
+   * @param offset the applied configuration offset
+   * @param logAgeMillis the time for which changes may have been missed, in milliseconds
+   * @param taking whether this instance accepts new work
    * @return the digest
    */
   public Digest localDigest(long offset, long logAgeMillis, boolean taking) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerReply.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerReply.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 
 /**
- * What one instance answered to a question that was put to several. The bytes must not be changed.
+ * The reply of one instance to a question that was sent to several. The bytes must not be modified.
  *
  * @param instance the instance's name
- * @param data its answer, or empty if it gave none in time
+ * @param data the reply's bytes, or empty if the request failed or timed out
  */
 public record PeerReply(String instance, Optional<byte[]> data) {
 
   /**
-   * Returns the answer as text.
+   * Decodes the reply as UTF-8 text.
    *
-   * @return the text, or empty if there was no answer
+   * @return the text, or empty if there was no reply
    */
   public Optional<String> text() {
     return data.map(bytes -> new String(bytes, StandardCharsets.UTF_8));
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerRequestDispatcher.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerRequestDispatcher.java
@@ -23,7 +23,7 @@
 import org.hickorypier.wire.message.PeerMessage.Reply;
 import org.hickorypier.wire.message.PeerMessage.Request;
 
-/** Answers the other instances. Belongs to the control thread. */
+/** Handles the requests of other instances. Confined to the control thread. */
 public final class PeerRequestDispatcher implements PeerRequestHandler {
 
   private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -37,11 +37,11 @@
       new EnumMap<>(QuestionKind.class);
 
   /**
-   * Creates a handler which answers no questions yet.
+   * Creates a dispatcher without question handlers.
    *
-   * @param timers the time
-   * @param readiness whether new work is taken
-   * @param work the work decided here
+   * @param timers the clock and the periodic timers
+   * @param readiness whether this instance accepts new work
+   * @param work the work that this instance schedules
    */
   public PeerRequestDispatcher(TimerService timers, Readiness readiness, WorkService work) {
     this.timers = timers;
@@ -50,26 +50,26 @@
   }
 
   /**
-   * Sets who takes in work that was forwarded to its home.
+   * Sets the handlers of forwarded work.
    *
-   * @param homeIntake the intake
+   * @param homeAdmission admits work that was forwarded to its home
    * @param runAttempt runs attempts of journaled work that their home has sent here
    */
   public void setAdmission(
-      HomeAdmission homeIntake, BiConsumer<Submission, Consumer<WorkResult>> runAttempt) {
-    admission = homeIntake;
+      HomeAdmission homeAdmission, BiConsumer<Submission, Consumer<WorkResult>> runAttempt) {
+    admission = homeAdmission;
     attemptRunner = runAttempt;
-    registerQuestionHandler(QuestionKind.KNOWS, homeIntake::answerKnowledgeQuestion);
+    registerQuestionHandler(QuestionKind.KNOWS, homeAdmission::answerKnowledgeQuestion);
   }
 
   /**
-   * Adds the answer to one kind of question.
+   * Registers the handler of one kind of question.
    *
    * @param kind the kind
-   * @param answer gives the answer's bytes for the question's text
+   * @param handler returns the reply's bytes for the question's text
    */
-  public void registerQuestionHandler(QuestionKind kind, Function<String, Uni<byte[]>> answer) {
-    questionHandlers.put(kind, answer);
+  public void registerQuestionHandler(QuestionKind kind, Function<String, Uni<byte[]>> handler) {
+    questionHandlers.put(kind, handler);
   }
 
   @Override
@@ -80,7 +80,7 @@
     if (request instanceof Question question) {
       return answerQuestion(question);
     }
-    return Uni.createFrom().item(new Failure(0, false, "not understood"));
+    return Uni.createFrom().item(new Failure(0, false, "unsupported request type"));
   }
 
   private Uni<Answer> admitForwarded(PeerIdentity peer, ForwardedWork forwarded) {
@@ -98,19 +98,19 @@
   private void admit(
       PeerIdentity peer, int hops, Submission submission, Consumer<WorkResult> answer) {
     if (hops == Cluster.HOPS_TO_HOLDER) {
-      // Also while this instance takes nothing new: what is joined is in hand already.
+      // Joins are served even while this instance accepts no new work: the work is already here.
       if (!work.join(submission, answer)) {
-        answer.accept(unsettledResult(RefusalReason.NO_ROOM, "the work has ended meanwhile"));
+        answer.accept(unsettledResult(RefusalReason.NO_ROOM, "the work has already ended"));
       }
       return;
     }
-    Optional<String> obstacle = readiness.obstacle();
-    if (obstacle.isPresent()) {
-      answer.accept(unsettledResult(RefusalReason.NOT_READY, obstacle.get()));
+    Optional<String> notReadyReason = readiness.obstacle();
+    if (notReadyReason.isPresent()) {
+      answer.accept(unsettledResult(RefusalReason.NOT_READY, notReadyReason.get()));
     } else if (hops == Cluster.HOPS_TO_HOME) {
       admission.submit(submission, answer);
     } else if (!admission.isSettledHome(peer.name(), submission.item().key())) {
-      answer.accept(unsettledResult(RefusalReason.NO_ROOM, "its home has changed lately"));
+      answer.accept(unsettledResult(RefusalReason.NO_ROOM, "the work's home has changed recently"));
     } else if (submission.isJournaled()) {
       attemptRunner.accept(submission, answer);
     } else {
@@ -125,10 +125,10 @@
   private Uni<Answer> answerQuestion(Question question) {
     return QuestionKind.of(question.kind())
         .map(questionHandlers::get)
-        .map(answer -> answer.apply(question.text()).map(data -> (Answer) new Reply(0, data)))
+        .map(handler -> handler.apply(question.text()).map(data -> (Answer) new Reply(0, data)))
         .orElseGet(
             () ->
                 Uni.createFrom()
-                    .item(new Failure(0, false, "unknown question " + question.kind())));
+                    .item(new Failure(0, false, "unknown question kind " + question.kind())));
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PermitDemands.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PermitDemands.java
@@ -14,7 +14,10 @@
 import org.hickorypier.daemon.permit.TaskOwners;
 import org.hickorypier.daemon.work.WorkService;
 
-/** The demand for permits, from the decisions and the digests. Belongs to the control thread. */
+/**
+ * Computes permit demand from the scheduler's state and the digests. Confined to the control
+ * thread.
+ */
 public final class PermitDemands implements PermitWork {
 
   private final Scheduler scheduler;
@@ -24,25 +27,25 @@
   private final Consumer<String> reopenWorker;
 
   /**
-   * Creates the demand.
+   * Creates the demand source.
    *
-   * @param scheduler the decisions
-   * @param digests what the others need
-   * @param owners who started the tasks on our workers
-   * @param work is told to place when permits have come
-   * @param reopen is told of a worker on which tasks may start
+   * @param scheduler the local scheduler
+   * @param digests the digests of the other instances
+   * @param owners the instances that started the tasks on this instance's workers
+   * @param work places waiting work when the number of permits changes
+   * @param reopenWorker receives the name of a worker on which tasks may start
    */
   public PermitDemands(
       Scheduler scheduler,
       PeerDigests digests,
       TaskOwners owners,
       WorkService work,
-      Consumer<String> reopen) {
+      Consumer<String> reopenWorker) {
     this.scheduler = scheduler;
     this.digests = digests;
     this.owners = owners;
     this.work = work;
-    this.reopenWorker = reopen;
+    this.reopenWorker = reopenWorker;
   }
 
   @Override
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/QuestionKind.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/QuestionKind.java
@@ -2,23 +2,23 @@
 
 import java.util.Optional;
 
-/** The questions that instances ask one another, by the name used on the wire. */
+/** The kinds of question that instances send to one another, with their names on the wire. */
 public enum QuestionKind {
-  /** Take the worker named in the text; its controller lets go of it. */
+  /** Take control of the worker named in the text, which its controller is releasing. */
   OFFER("offer"),
-  /** Stop the task named in the text; its owner does not control the worker. */
+  /** Stop the task named in the text, whose owner does not control the worker. */
   STOP("stop"),
-  /** Tell what is known there of work; the text is a {@link WorkKnowledgeQuestion}. */
+  /** Report what is known about work; the text is a {@link WorkKnowledgeQuestion}. */
   KNOWS("knows"),
-  /** Tell which instances were candidates for homes. */
+  /** Report which instances were home candidates. */
   HOMES("homes"),
   /** Cancel the work named in the text. */
   CANCEL("cancel"),
-  /** Say why the work named in the text waits. */
+  /** Explain why the work named in the text is waiting. */
   EXPLAIN("explain"),
-  /** Tell which offset of the configuration is folded there, and how old it can be. */
+  /** Report the applied configuration offset and how old it can be. */
   FRESHNESS("freshness"),
-  /** Answer the query in the text with the rows of this instance. */
+  /** Return the receiving instance's rows for the query in the text. */
   QUERY("query");
 
   private final String wireName;
@@ -37,10 +37,10 @@
   }
 
   /**
-   * Finds a kind by its name.
+   * Finds a kind by its name on the wire.
    *
-   * @param name the name on the wire
-   * @return the kind, or empty for one of a newer version
+   * @param name the name
+   * @return the kind, or empty if the name is unknown, as from a newer version
    */
   public static Optional<QuestionKind> of(String name) {
     for (QuestionKind kind : values()) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkKnowledge.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkKnowledge.java
@@ -1,13 +1,13 @@
 package org.hickorypier.daemon.cluster;
 
-/** What an instance can say of work that another one asks after, from the least to the most. */
+/** What an instance knows about work that another instance asks about, from least to most. */
 enum WorkKnowledge {
-  /** Tasks of a lost instance are still being found; nothing can be said. */
+  /** Tasks of a lost instance are still being located, so the state of the work is unknown. */
   INCOMPLETE,
-  /** Nothing of it runs there now; it may have run before. */
+  /** The work is not running at the instance, but may have run before. */
   NOT_RUNNING,
-  /** It was not taken in there for as long as callers come back. */
+  /** The instance has not accepted the work within the period in which callers retry. */
   NEVER_TAKEN,
-  /** It waits or runs there, or was answered there lately. */
+  /** The work is waiting or running at the instance, or was answered there recently. */
   KNOWN
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkKnowledgeQuestion.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkKnowledgeQuestion.java
@@ -5,16 +5,16 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * The question after work whose home has moved.
+ * A question about work whose home has moved.
  *
  * <p>Immutable.
  *
- * @param key the work
- * @param lostInstances the instances that the asking one takes for gone
+ * @param key the key of the work
+ * @param lostInstances the instances that the asking instance considers lost
  */
 record WorkKnowledgeQuestion(WorkKey key, Set<String> lostInstances) {
 
-  /** Neither team names, request ids nor names of instances have it. */
+  /** A space occurs in no team name, request id or instance name. */
   private static final String SEPARATOR = " ";
 
   WorkKnowledgeQuestion {
@@ -23,11 +23,11 @@
 
   static WorkKnowledgeQuestion parse(String text) {
     String[] words = text.split(SEPARATOR);
-    Set<String> gone = new TreeSet<>();
+    Set<String> lost = new TreeSet<>();
     for (int index = 1; index < words.length; index++) {
-      gone.add(words[index]);
+      lost.add(words[index]);
     }
-    return new WorkKnowledgeQuestion(Cluster.parseWorkKey(words[0]), gone);
+    return new WorkKnowledgeQuestion(Cluster.parseWorkKey(words[0]), lost);
   }
 
   String text() {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkKnowledgeReply.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkKnowledgeReply.java
@@ -3,19 +3,22 @@
 import java.util.Locale;
 
 /**
- * The answer to a {@link WorkKnowledgeQuestion}.
+ * The reply to a {@link WorkKnowledgeQuestion}.
  *
  * <p>Immutable.
  *
- * @param instance who answered
- * @param knowledge what is known there
- * @param triedForMillis how long ago the work's caller first asked there, 0 if it did not
+ * @param instance the name of the instance that replied
+ * @param knowledge what that instance knows about the work
+ * @param triedForMillis the time since the caller first submitted the work there, in milliseconds;
+ *     0 if it never did
  */
 record WorkKnowledgeReply(String instance, WorkKnowledge knowledge, long triedForMillis) {
 
   private static final String SEPARATOR = " ";
 
-  /** Reads an answer; one that is missing or of another version says nothing. */
+  /**
+   * Parses a reply. A missing reply, or one of another version, counts as incomplete information.
+   */
   static WorkKnowledgeReply of(PeerReply reply) {
     String[] words = reply.text().orElse("").split(SEPARATOR);
     try {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
@@ -21,21 +21,27 @@
 import org.hickorypier.wire.message.PeerMessage.Digest;
 
 /**
- * Sends work that waits here to peers that have room.
+ * Sends work that waits at its home to peers with free capacity.
  *
- * <p>Belongs to the control thread. Load: the keys of one team, or the workers that run long tasks,
- * fall unevenly on the instances, so one is full while others are idle. Harm prevented: callers of
- * a full home wait, or are refused, beside idle workers. Work that its home sent here is not sent
- * on, so nothing travels further than from its entry to its home and from there to one peer.
+ * <p>Confined to the control thread. The keys of one team, and the workers that run long tasks, are
+ * unevenly distributed over the instances, so one instance is full while others are idle. Without
+ * shifting, callers of a full home wait or are refused while workers are idle. Work that its home
+ * sent here is not sent on, so work moves at most from its entry instance to its home and from
+ * there to one peer.
  */
 public final class WorkShifter implements PeerListener {
 
-  /** Work that starts at once at home must not travel; most of it starts within this time. */
+  /**
+   * Work that can start immediately at its home must stay there; most of it starts within this
+   * time.
+   */
   private static final long MIN_WAIT_AT_HOME_MILLIS = 50;
 
   private static final Duration SHIFT_PERIOD = Duration.ofMillis(100);
 
-  /** At the most as many in one look as eight workers have slots; the next look takes more. */
+  /**
+   * One pass shifts at most as many items as eight workers have slots; the next pass shifts more.
+   */
   private static final int MAX_SHIFTS_PER_PASS = 64;
 
   private final Cluster cluster;
@@ -49,13 +55,13 @@
   /**
    * Creates a shifter.
    *
-   * @param cluster the other instances
-   * @param scheduler the decisions
-   * @param work the work decided here
-   * @param timers the time
-   * @param control the control thread
-   * @param history remembers work that was lost with a peer
-   * @param random draws the peers
+   * @param cluster this instance's view of the other instances
+   * @param scheduler the local scheduler
+   * @param work the work that this instance schedules
+   * @param timers the clock and the periodic timers
+   * @param control the executor of the control thread
+   * @param history records work that was sent to a peer and lost with it
+   * @param random selects the peers
    */
   public WorkShifter(
       Cluster cluster,
@@ -74,7 +80,7 @@
     this.router = new Router(random);
   }
 
-  /** Starts to look for work that could run elsewhere. */
+  /** Starts the periodic search for work that other instances could run. */
   public void start() {
     timers.every(SHIFT_PERIOD, this::shiftWaitingWork);
   }
@@ -123,8 +129,8 @@
                         control.execute(() -> onShiftResult(item.key(), forward.peer(), result))));
   }
 
-  // The peer may have started the work before it was lost. A caller who comes back must not have it
-  // run a second time beside that: the history makes the home ask for it first.
+  // The peer may have started the work before it was lost. When the caller retries, the history
+  // makes the home ask about the work first, which prevents a second concurrent run.
   private void onShiftResult(WorkKey key, String peer, WorkResult result) {
     if (result.refusal().isPresent()) {
       router.refused(peer);
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerObservationCollector.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerObservationCollector.java
@@ -15,16 +15,17 @@
 import org.hickorypier.platform.worker.TaskStatus;
 import org.hickorypier.platform.worker.WorkerStatus;
 
-/** Asks every worker of the fleet who controls it and whose tasks it runs. Thread safe. */
+/** Asks every worker which instance controls it and whose tasks it runs. Thread-safe. */
 public final class WorkerObservationCollector {
 
   private WorkerObservationCollector() {}
 
   /**
-   * Asks all of them.
+   * Asks all listed workers for their status.
    *
    * @param fleet the workers
-   * @param answer is given all words, or nothing if one worker did not answer
+   * @param answer receives one observation per worker, or empty if no worker is listed or any
+   *     worker did not answer
    */
   public static void collect(WorkerFleet fleet, Consumer<Optional<List<WorkerSighting>>> answer) {
     List<Uni<WorkerSighting>> questions = new ArrayList<>();
@@ -42,7 +43,7 @@
         .andFailFast()
         .subscribe()
         .with(
-            sightings -> answer.accept(Optional.of(sightings)),
+            observations -> answer.accept(Optional.of(observations)),
             error -> answer.accept(Optional.empty()));
   }
 
--- a/daemon/src/test/java/org/hickorypier/daemon/cluster/AdmissionRuleTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/cluster/AdmissionRuleTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a home does with work that another instance may have taken in before. */
+/** Tests what a home does with work that another instance may have accepted before. */
 class AdmissionRuleTest {
 
   private static final FormerHomes ONE_FORMER_HOME =
@@ -34,14 +34,19 @@
         .isEqualTo(step);
   }
 
-  /** Guards against a second run of what an earlier life of the former home left to others. */
+  /**
+   * Guards against a second run of work that other instances adopted from an earlier incarnation of
+   * the former home.
+   */
   @Test
   void asksAllInstancesWhenFormerHomeMayHaveRestarted() {
     assertThat(AdmissionRule.decide(ONE_FORMER_HOME, false, true, replies("NOT_RUNNING")))
         .isEqualTo(Step.ASK_ALL);
   }
 
-  /** Guards against "not run" by a home whose own earlier life may have run the request. */
+  /**
+   * Guards against a "not run" answer by a home whose earlier incarnation may have run the request.
+   */
   @Test
   void treatsOwnEarlierIncarnationAsEarlierTry() {
     FormerHomes own = new FormerHomes(Set.of(), true, true);
@@ -50,7 +55,7 @@
         .isEqualTo(Step.RUN_AFTER_EARLIER_TRY);
   }
 
-  /** Guards against "not run" by an instance that does not know who was home before. */
+  /** Guards against a "not run" answer by an instance that does not know the former homes. */
   @Test
   void treatsIncompleteHistoryAsEarlierTry() {
     FormerHomes unknown = new FormerHomes(Set.of(), false, false);
@@ -61,9 +66,9 @@
 
   @Test
   void treatsUndecodableReplyAsIncomplete() {
-    PeerReply odd = new PeerReply("entry-1", Optional.of(new byte[] {'?'}));
+    PeerReply undecodable = new PeerReply("entry-1", Optional.of(new byte[] {'?'}));
 
-    assertThat(WorkKnowledgeReply.of(odd).knowledge()).isEqualTo(WorkKnowledge.INCOMPLETE);
+    assertThat(WorkKnowledgeReply.of(undecodable).knowledge()).isEqualTo(WorkKnowledge.INCOMPLETE);
   }
 
   private static List<WorkKnowledgeReply> replies(String knowledge) {
