--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
@@ -129,10 +129,7 @@
             .collect(Collectors.toUnmodifiableSet()));
   }
 
-  /**
-   * Stops this instance from wanting any worker, so that the other instances take over its workers
-   * and its work.
-   */
+  /** Gives up all claims to workers and work, so that the other instances take them over. */
   public void shutDown() {
     shuttingDown = true;
   }
@@ -308,8 +305,7 @@
   }
 
   // A request to a lost instance would stay pending until its deadline, since the link waits for
-  // the
-  // instance to return. The caller gets an unknown outcome immediately instead.
+  // the instance to return. The caller gets an unknown outcome immediately instead.
   private void failSendsToLostInstances() {
     Set<String> live = membership.live();
     for (PendingSend pending : List.copyOf(pendingSends)) {
