--- a/daemon/src/test/java/org/hickorypier/daemon/cluster/AdmissionRuleTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/cluster/AdmissionRuleTest.java
@@ -64,6 +64,7 @@
         .isEqualTo(Step.RUN_AFTER_EARLIER_TRY);
   }
 
+  /** Guards against reading a reply of another version as knowledge about the work. */
   @Test
   void treatsUndecodableReplyAsIncomplete() {
     PeerReply undecodable = new PeerReply("entry-1", Optional.of(new byte[] {'?'}));
