--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/Cluster.java
@@ -37,154 +37,159 @@
 import org.hickorypier.wire.message.PeerMessage.Reply;
 
 /**
- * The other instances as this one sees them: who is live, who is wanted for what, and how to ask.
+ * This instance's view of the other instances: which are live, which one should control each worker
+ * or be the home of work, and how to send them requests.
  *
- * <p>Belongs to the control thread. The view may be wrong at any time, and two instances may
- * differ: it decides where work goes, never whether work may run.
+ * <p>Confined to the control thread. The view may be wrong at any time, and the views of two
+ * instances may differ. It decides where work is sent, never whether work may run.
  */
 public final class Cluster implements ControlView, HomeDirectory {
 
   private static final Logger LOGGER = System.getLogger(Cluster.class.getName());
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
-  /** The home may wait for a place until the deadline, and then the task runs. */
+  /** Run time beyond the deadline, since the home may place the task as late as the deadline. */
   private static final long RUN_ALLOWANCE_MILLIS = 10 * 60 * 1_000;
 
-  /** Hops of work on its way to its home. */
-  static final int TO_HOME = 1;
+  /** Hop count of work on its way to its home. */
+  static final int HOPS_TO_HOME = 1;
 
-  /** Hops of work that its home has sent on; it goes no further, so it cannot go round. */
-  static final int FROM_HOME = 2;
+  /**
+   * Hop count of work that its home has sent on. It is not forwarded again, which rules out loops.
+   */
+  static final int HOPS_FROM_HOME = 2;
 
-  /** Hops of work that is only to be joined where it runs already, and not taken in. */
-  static final int TO_HOLDER = 3;
+  /**
+   * Hop count of a request to join work at the instance that has it, without accepting new work.
+   */
+  static final int HOPS_TO_HOLDER = 3;
 
-  private static final Duration LOST_PERIOD = Duration.ofMillis(250);
+  private static final Duration LOST_INSTANCE_CHECK_PERIOD = Duration.ofMillis(250);
   private static final Duration QUESTION_TIMEOUT = Duration.ofSeconds(5);
 
-  private final PeerIdentity own;
-  private final Membership members;
+  private final PeerIdentity localIdentity;
+  private final Membership membership;
   private final TimerService timers;
   private Configuration configuration = Configuration.EMPTY;
   private PeerNetwork network;
-  private Set<String> listedOthers = Set.of();
-  private final Set<OpenSend> openSends = ConcurrentHashMap.newKeySet();
+  private Set<String> listedOtherInstances = Set.of();
+  private final Set<PendingSend> pendingSends = ConcurrentHashMap.newKeySet();
   private boolean shuttingDown;
 
   /**
-   * Creates the view of a lone instance.
+   * Creates the view of an instance that has no links yet.
    *
-   * @param own this instance
-   * @param members what is known of the others
-   * @param timers the time
+   * @param localIdentity the name and incarnation of this instance
+   * @param membership the known state of the other instances
+   * @param timers the clock and the periodic timers
    */
-  public Cluster(PeerIdentity own, Membership members, TimerService timers) {
-    this.own = own;
-    this.members = members;
+  public Cluster(PeerIdentity localIdentity, Membership membership, TimerService timers) {
+    this.localIdentity = localIdentity;
+    this.membership = membership;
     this.timers = timers;
   }
 
   /**
-   * Sets the links to the others.
+   * Sets the links to the other instances.
    *
    * @param peers the links
    */
   public void connect(PeerNetwork peers) {
     network = peers;
-    peers.listen(members);
+    peers.listen(membership);
   }
 
   /**
-   * Takes in the platform's list.
+   * Applies the platform's instance list.
    *
-   * @param instances the whole list
+   * @param instances the complete list
    */
   public void onInstanceList(List<ListedInstance> instances) {
-    members.onInstanceList(instances);
-    listedOthers =
+    membership.onInstanceList(instances);
+    listedOtherInstances =
         instances.stream()
             .filter(instance -> instance.kind() == InstanceKind.ENTRY)
             .map(ListedInstance::name)
-            .filter(name -> !name.equals(own.name()))
+            .filter(name -> !name.equals(localIdentity.name()))
             .collect(Collectors.toUnmodifiableSet());
     network.instances(instances);
   }
 
   /**
-   * Takes in a new configuration.
+   * Applies a new configuration.
    *
    * @param state the configuration
    */
   public void onConfiguration(Configuration state) {
     configuration = state;
-    members.onDrains(
+    membership.onDrains(
         state.drains().values().stream()
             .filter(Drain::draining)
             .map(Drain::name)
             .collect(Collectors.toUnmodifiableSet()));
   }
 
-  /** Wants no worker and no work any more, so that the others take them. */
+  /** Gives up all claims to workers and work, so that the other instances take them over. */
   public void shutDown() {
     shuttingDown = true;
   }
 
   /**
-   * Returns the instances that look live, this one among them.
+   * Returns the instances that appear live, including this one.
    *
    * @return their names
    */
-  public Set<String> live() {
-    return members.live();
+  public Set<String> liveInstances() {
+    return membership.live();
   }
 
   /**
-   * Returns the other instances in the platform's list, whether they answer or not.
+   * Returns the other instances in the platform's list, whether they respond or not.
    *
    * @return their names
    */
-  public Set<String> listedOthers() {
-    return listedOthers;
+  public Set<String> listedOtherInstances() {
+    return listedOtherInstances;
   }
 
   /**
-   * Returns the instances that new work is homed at.
+   * Returns the instances that can become the home of new work.
    *
    * @return their names
    */
-  public Set<String> candidates() {
-    return members.candidates();
+  public Set<String> homeCandidates() {
+    return membership.candidates();
   }
 
   /**
-   * Returns this instance.
+   * Returns the identity of this instance.
    *
-   * @return name and incarnation
+   * @return the name and incarnation
    */
-  public PeerIdentity own() {
-    return own;
+  public PeerIdentity localIdentity() {
+    return localIdentity;
   }
 
   /**
    * Asks another instance a question.
    *
-   * @param instance the other's name
-   * @param kind what is asked
-   * @param text what it is asked about
-   * @return the answer's bytes, or a {@link PeerException}
+   * @param instance the instance's name
+   * @param kind the kind of question
+   * @param text the question's subject
+   * @return the reply's bytes; fails with a {@link PeerException}
    */
   public Uni<byte[]> ask(String instance, QuestionKind kind, String text) {
     Question question = new Question(0, kind.wireName(), text);
-    return network.request(instance, question, QUESTION_TIMEOUT).map(Cluster::data);
+    return network.request(instance, question, QUESTION_TIMEOUT).map(Cluster::replyData);
   }
 
   /**
    * Asks several instances the same question.
    *
-   * @param instances their names
-   * @param kind what is asked
-   * @param text what it is asked about
-   * @return one reply for each instance, once all have answered or failed to; it never fails
+   * @param instances the instances' names
+   * @param kind the kind of question
+   * @param text the question's subject
+   * @return one reply per instance once every request has completed or failed; never fails
    */
   public Uni<List<PeerReply>> askAll(Collection<String> instances, QuestionKind kind, String text) {
     if (instances.isEmpty()) {
@@ -202,28 +207,28 @@
   }
 
   /**
-   * Returns the other instances that look live.
+   * Returns the other instances that appear live.
    *
    * @return their names
    */
-  public Set<String> liveOthers() {
-    Set<String> others = new TreeSet<>(live());
-    others.remove(own.name());
+  public Set<String> liveOtherInstances() {
+    Set<String> others = new TreeSet<>(liveInstances());
+    others.remove(localIdentity.name());
     return others;
   }
 
-  private static byte[] data(Answer answer) {
+  private static byte[] replyData(Answer answer) {
     return answer instanceof Reply reply ? reply.data() : new byte[0];
   }
 
   @Override
   public boolean shouldControl(String worker) {
-    return !shuttingDown && members.preferredController(worker).equals(own.name());
+    return !shuttingDown && membership.preferredController(worker).equals(localIdentity.name());
   }
 
   @Override
   public boolean isLive(String controller) {
-    return PeerIdentity.parse(controller).map(members::isLive).orElse(false);
+    return PeerIdentity.parse(controller).map(membership::isLive).orElse(false);
   }
 
   @Override
@@ -233,14 +238,14 @@
 
   @Override
   public void offer(String worker) {
-    String wanted = members.preferredController(worker);
-    if (wanted.equals(own.name())) {
+    String wanted = membership.preferredController(worker);
+    if (wanted.equals(localIdentity.name())) {
       return;
     }
     ask(wanted, QuestionKind.OFFER, worker)
         .subscribe()
         .with(
-            done -> LOGGER.log(Level.DEBUG, "cluster: {0} offered to {1}", worker, wanted),
+            reply -> LOGGER.log(Level.DEBUG, "cluster: {0} offered to {1}", worker, wanted),
             error ->
                 LOGGER.log(
                     Level.DEBUG, "cluster: {0} not offered: {1}", worker, error.getMessage()));
@@ -248,35 +253,35 @@
 
   @Override
   public Optional<String> remoteHome(WorkKey key) {
-    String home = members.home(key);
-    return home.equals(own.name()) ? Optional.empty() : Optional.of(home);
+    String home = membership.home(key);
+    return home.equals(localIdentity.name()) ? Optional.empty() : Optional.of(home);
   }
 
   @Override
   public Uni<WorkResult> forward(String home, Submission submission) {
-    return send(home, submission, TO_HOME);
+    return send(home, submission, HOPS_TO_HOME);
   }
 
   /**
-   * Hands work of which this instance is home to another one that is to run it.
+   * Sends work whose home is this instance to another instance that runs it.
    *
    * @param instance the instance's name
    * @param submission the work
    * @return the final answer
    */
   public Uni<WorkResult> shift(String instance, Submission submission) {
-    return send(instance, submission, FROM_HOME);
+    return send(instance, submission, HOPS_FROM_HOME);
   }
 
   /**
-   * Waits for the answer to work that another instance has in hand.
+   * Waits for the result of work that another instance already has.
    *
    * @param instance the instance's name
    * @param submission the work
-   * @return the final answer; unsettled if that instance has lost it meanwhile
+   * @return the final answer; unsettled if that instance no longer has the work
    */
   public Uni<WorkResult> join(String instance, Submission submission) {
-    return send(instance, submission, TO_HOLDER);
+    return send(instance, submission, HOPS_TO_HOLDER);
   }
 
   private Uni<WorkResult> send(String instance, Submission submission, int hops) {
@@ -286,33 +291,34 @@
         network
             .request(
                 instance,
-                ForwardCodec.work(submission, hops, now),
+                ForwardCodec.toForwardedWork(submission, hops, now),
                 Duration.ofMillis(remaining + RUN_ALLOWANCE_MILLIS))
-            .map(answer -> ForwardCodec.result((ForwardedAnswer) answer))
+            .map(answer -> ForwardCodec.toWorkResult((ForwardedAnswer) answer))
             .onFailure()
-            .recoverWithItem(Cluster::unanswered);
-    return Uni.createFrom().emitter(emitter -> new OpenSend(instance, emitter).start(answered));
+            .recoverWithItem(Cluster::resultOfFailedSend);
+    return Uni.createFrom().emitter(emitter -> new PendingSend(instance, emitter).start(answered));
   }
 
-  /** Starts to look after work that was sent to instances which are gone. */
+  /** Starts the periodic check for work that was sent to instances which have since been lost. */
   public void start() {
-    timers.every(LOST_PERIOD, this::giveUpLost);
+    timers.every(LOST_INSTANCE_CHECK_PERIOD, this::failSendsToLostInstances);
   }
 
-  // A request to an instance that is gone would stay open until its deadline, since the link waits
-  // for the instance to come back. The caller is told at once that nobody knows.
-  private void giveUpLost() {
-    Set<String> live = members.live();
-    for (OpenSend open : List.copyOf(openSends)) {
-      if (!live.contains(open.instance)) {
-        open.finish(unanswered(new PeerException(open.instance + " is gone", true)));
+  // A request to a lost instance would stay pending until its deadline, since the link waits for
+  // the instance to return. The caller gets an unknown outcome immediately instead.
+  private void failSendsToLostInstances() {
+    Set<String> live = membership.live();
+    for (PendingSend pending : List.copyOf(pendingSends)) {
+      if (!live.contains(pending.instance)) {
+        pending.finish(resultOfFailedSend(new PeerException(pending.instance + " is gone", true)));
       }
     }
   }
 
-  // A home that was lost after it took the work may have run it. Only a refusal by the link itself,
-  // before anything was written, is proof that it has not; and that says nothing of earlier tries.
-  private static WorkResult unanswered(Throwable error) {
+  // A home that was lost after it accepted the work may have run it. Only a refusal by the link,
+  // before anything was written, proves that this try did not run; it proves nothing about earlier
+  // tries.
+  private static WorkResult resultOfFailedSend(Throwable error) {
     if (error instanceof PeerException known && !known.mayHaveBeenTaken()) {
       return new WorkResult.Unsettled(
           new Refusal(RefusalReason.NOT_READY, known.getMessage(), RETRY_AFTER_MILLIS));
@@ -322,44 +328,44 @@
   }
 
   /**
-   * Returns text as the bytes of a reply.
+   * Encodes the text of a reply in UTF-8.
    *
    * @param text the text
-   * @return its bytes
+   * @return the encoded bytes
    */
-  public static byte[] bytes(String text) {
+  public static byte[] utf8Bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
   /**
    * Reads the text form of a work key.
    *
-   * @param text team and request id with a slash between
+   * @param text the team and the request id, separated by a slash
    * @return the key
    */
-  static WorkKey workKey(String text) {
+  static WorkKey parseWorkKey(String text) {
     int slash = text.indexOf('/');
     return new WorkKey(text.substring(0, Math.max(0, slash)), text.substring(slash + 1));
   }
 
-  /** Work that was sent to another instance and is not answered. */
-  private final class OpenSend {
+  /** Work that was sent to another instance and has not been answered. */
+  private final class PendingSend {
 
     private final String instance;
     private final UniEmitter<? super WorkResult> emitter;
 
-    OpenSend(String instance, UniEmitter<? super WorkResult> emitter) {
+    PendingSend(String instance, UniEmitter<? super WorkResult> emitter) {
       this.instance = instance;
       this.emitter = emitter;
     }
 
     void start(Uni<WorkResult> answered) {
-      openSends.add(this);
+      pendingSends.add(this);
       answered.subscribe().with(this::finish);
     }
 
     void finish(WorkResult result) {
-      if (openSends.remove(this)) {
+      if (pendingSends.remove(this)) {
         emitter.complete(result);
       }
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
@@ -12,105 +12,107 @@
 import org.hickorypier.daemon.time.TimerService;
 
 /**
- * Keeps the proof that this instance's configuration is recent, and asks the peers when the log is
- * silent. Belongs to the control thread.
+ * Maintains the proof that this instance's configuration is recent, and asks the peers when the log
+ * does not respond. Confined to the control thread.
  */
 public final class FreshnessService {
 
-  private static final Duration PERIOD = Duration.ofSeconds(1);
+  private static final Duration CHECK_PERIOD = Duration.ofSeconds(1);
 
-  /** A long poll of the log is answered at this age at the latest; past it the log is silent. */
-  private static final long SILENT_MILLIS = 3_000;
+  /** A long poll of the log is answered within this time; beyond it the log counts as silent. */
+  private static final long LOG_SILENCE_MILLIS = 3_000;
 
   private final Cluster cluster;
   private final TimerService timers;
   private final Executor control;
   private final LongSupplier logAgeMillis;
-  private final LongSupplier offset;
+  private final LongSupplier appliedOffset;
   private final FreshnessProof proof = new FreshnessProof();
-  private boolean roundOpen;
+  private boolean roundInProgress;
 
   /**
    * Creates the service.
    *
-   * @param cluster the other instances
-   * @param timers the time
-   * @param control the control thread
-   * @param logAgeMillis the time since the log was last read to its end
-   * @param offset the offset that this instance has folded
+   * @param cluster this instance's view of the other instances
+   * @param timers the clock and the periodic timers
+   * @param control the executor of the control thread
+   * @param logAgeMillis the time since the log was last read to its end, in milliseconds; {@link
+   *     Long#MAX_VALUE} if it never was
+   * @param appliedOffset the configuration offset that this instance has applied
    */
   public FreshnessService(
       Cluster cluster,
       TimerService timers,
       Executor control,
       LongSupplier logAgeMillis,
-      LongSupplier offset) {
+      LongSupplier appliedOffset) {
     this.cluster = cluster;
     this.timers = timers;
     this.control = control;
     this.logAgeMillis = logAgeMillis;
-    this.offset = offset;
+    this.appliedOffset = appliedOffset;
   }
 
   /**
-   * Starts to look after the proof.
+   * Registers the question handler and starts the periodic check.
    *
-   * @param requests answers the other instances
+   * @param requests the dispatcher to register question handlers with
    */
-  public void start(PeerRequests requests) {
-    requests.answer(
-        QuestionKind.FRESHNESS, text -> Uni.createFrom().item(Cluster.bytes(own().text())));
-    timers.every(PERIOD, this::tick);
+  public void start(PeerRequestDispatcher requests) {
+    requests.registerQuestionHandler(
+        QuestionKind.FRESHNESS,
+        text -> Uni.createFrom().item(Cluster.utf8Bytes(localFreshness().text())));
+    timers.every(CHECK_PERIOD, this::checkLogAge);
   }
 
   /**
-   * Returns for how long changes may have been missed.
+   * Returns the time for which configuration changes may have been missed.
    *
-   * @return milliseconds, {@link Long#MAX_VALUE} if nothing was ever proved
+   * @return the time in milliseconds, or {@link Long#MAX_VALUE} if nothing has been proved yet
    */
   public long ageMillis() {
-    takeLog();
+    recordLogRead();
     return proof.ageMillis(timers.nowMillis());
   }
 
-  private PeerFreshness own() {
-    return new PeerFreshness(offset.getAsLong(), ageMillis());
+  private PeerFreshness localFreshness() {
+    return new PeerFreshness(appliedOffset.getAsLong(), ageMillis());
   }
 
-  private void takeLog() {
+  private void recordLogRead() {
     long age = logAgeMillis.getAsLong();
     if (age != Long.MAX_VALUE) {
       proof.logRead(timers.nowMillis() - age);
     }
   }
 
-  private void tick() {
-    if (logAgeMillis.getAsLong() > SILENT_MILLIS && !roundOpen) {
-      askAll();
+  private void checkLogAge() {
+    if (logAgeMillis.getAsLong() > LOG_SILENCE_MILLIS && !roundInProgress) {
+      askPeers();
     }
   }
 
-  private void askAll() {
-    Set<String> others = cluster.listedOthers();
+  private void askPeers() {
+    Set<String> others = cluster.listedOtherInstances();
     if (others.isEmpty()) {
       return;
     }
-    roundOpen = true;
+    roundInProgress = true;
     long sentMillis = timers.nowMillis();
     cluster
         .askAll(others, QuestionKind.FRESHNESS, "")
         .subscribe()
-        .with(replies -> control.execute(() -> answered(sentMillis, replies)));
+        .with(replies -> control.execute(() -> onReplies(sentMillis, replies)));
   }
 
-  private void answered(long sentMillis, List<PeerReply> replies) {
-    roundOpen = false;
-    List<PeerFreshness> came =
+  private void onReplies(long sentMillis, List<PeerReply> replies) {
+    roundInProgress = false;
+    List<PeerFreshness> freshness =
         replies.stream()
             .flatMap(reply -> reply.text().stream())
             .flatMap(text -> parse(text).stream())
             .toList();
-    proof.round(sentMillis, offset.getAsLong(), true, came, replies.size());
+    proof.round(sentMillis, appliedOffset.getAsLong(), true, freshness, replies.size());
   }
 
   private static Optional<PeerFreshness> parse(String text) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalRows.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/LocalQueryRows.java
@@ -25,14 +25,14 @@
 import org.hickorypier.daemon.worker.WorkerFleet;
 
 /**
- * This instance's rows for the operators' queries.
+ * This instance's rows for operator queries.
  *
- * <p>Belongs to the control thread. Of refusals the last few hundred are kept, so that a wave of
- * them costs a bounded amount of memory.
+ * <p>Confined to the control thread. Only the latest refusals are retained, so that a burst of
+ * refusals uses a bounded amount of memory.
  */
-public final class LocalRows implements WorkObserver {
+public final class LocalQueryRows implements WorkObserver {
 
-  private static final int REFUSALS_KEPT = 500;
+  private static final int MAX_RETAINED_REFUSALS = 500;
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private final String name;
@@ -40,18 +40,18 @@
   private final Scheduler scheduler;
   private final TimerService timers;
   private final Predicate<PlacedTask> isOurs;
-  private final Deque<KeptRefusal> refusals = new ArrayDeque<>();
+  private final Deque<RetainedRefusal> refusals = new ArrayDeque<>();
 
   /**
-   * Creates the rows.
+   * Creates the row source without refusals.
    *
    * @param name this instance's name
    * @param dataCentre its data centre
-   * @param scheduler the decisions
-   * @param timers the time
-   * @param isOurs whether a placed task counts as this instance's; its owner tells of the others
+   * @param scheduler the local scheduler
+   * @param timers the clock and the periodic timers
+   * @param isOurs whether a placed task belongs to this instance; its owner reports any other task
    */
-  public LocalRows(
+  public LocalQueryRows(
       String name,
       String dataCentre,
       Scheduler scheduler,
@@ -65,9 +65,9 @@
   }
 
   /**
-   * Returns the tasks that are placed by this instance.
+   * Returns the tasks that this instance has placed.
    *
-   * @return a row for each
+   * @return one row per task
    */
   public List<RunningRow> running() {
     Map<String, WorkerDescription> workers = new HashMap<>();
@@ -90,9 +90,9 @@
   }
 
   /**
-   * Returns the work that waits here.
+   * Returns the work that waits at this instance.
    *
-   * @return a row for each item
+   * @return one row per item
    */
   public List<WaitingRow> waiting() {
     return scheduler.queued().stream().map(this::waitingRow).toList();
@@ -110,29 +110,29 @@
   }
 
   /**
-   * Returns the last refusals.
+   * Returns the latest refusals.
    *
-   * @return a row for each, the newest first
+   * @return one row per refusal, newest first
    */
   public List<RefusedRow> refused() {
     return refusals.stream()
         .map(
-            kept ->
+            retained ->
                 new RefusedRow(
-                    AttemptKey.workOf(kept.item().key()),
-                    kept.item().workClass(),
+                    AttemptKey.workOf(retained.item().key()),
+                    retained.item().workClass(),
                     name,
                     dataCentre,
-                    kept.refusal().reason(),
-                    secondsSince(kept.whenMillis())))
+                    retained.refusal().reason(),
+                    secondsSince(retained.refusedMillis())))
         .toList();
   }
 
   /**
    * Returns the workers that this instance controls.
    *
-   * @param fleet the control of workers
-   * @return a row for each
+   * @param fleet the workers and the control of them
+   * @return one row per worker
    */
   public List<WorkerRow> workers(WorkerFleet fleet) {
     return scheduler.workers().stream()
@@ -157,9 +157,9 @@
   /**
    * Returns this instance's own row.
    *
-   * @param state one word
-   * @param offset the configuration's offset
-   * @param fleet the control of workers
+   * @param state the instance's state, one word
+   * @param offset the applied configuration offset
+   * @param fleet the workers and the control of them
    * @return the row
    */
   public InstanceRow instance(Supplier<String> state, long offset, WorkerFleet fleet) {
@@ -178,12 +178,12 @@
 
   @Override
   public void onFinished(WorkItem item, WorkResult result, long totalMillis) {
-    result.refusal().ifPresent(refusal -> keep(item, refusal));
+    result.refusal().ifPresent(refusal -> retain(item, refusal));
   }
 
-  private void keep(WorkItem item, Refusal refusal) {
-    refusals.addFirst(new KeptRefusal(item, refusal, timers.nowMillis()));
-    if (refusals.size() > REFUSALS_KEPT) {
+  private void retain(WorkItem item, Refusal refusal) {
+    refusals.addFirst(new RetainedRefusal(item, refusal, timers.nowMillis()));
+    if (refusals.size() > MAX_RETAINED_REFUSALS) {
       refusals.removeLast();
     }
   }
@@ -192,5 +192,5 @@
     return (timers.nowMillis() - millis) / MILLIS_PER_SECOND;
   }
 
-  private record KeptRefusal(WorkItem item, Refusal refusal, long whenMillis) {}
+  private record RetainedRefusal(WorkItem item, Refusal refusal, long refusedMillis) {}
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PermitDemands.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PermitDemands.java
@@ -14,35 +14,38 @@
 import org.hickorypier.daemon.permit.TaskOwners;
 import org.hickorypier.daemon.work.WorkService;
 
-/** The demand for permits, from the decisions and the digests. Belongs to the control thread. */
+/**
+ * Computes permit demand from the scheduler's state and the digests. Confined to the control
+ * thread.
+ */
 public final class PermitDemands implements PermitWork {
 
   private final Scheduler scheduler;
-  private final DigestBoard digests;
+  private final PeerDigests digests;
   private final TaskOwners owners;
   private final WorkService work;
-  private final Consumer<String> reopen;
+  private final Consumer<String> reopenWorker;
 
   /**
-   * Creates the demand.
+   * Creates the demand source.
    *
-   * @param scheduler the decisions
-   * @param digests what the others need
-   * @param owners who started the tasks on our workers
-   * @param work is told to place when permits have come
-   * @param reopen is told of a worker on which tasks may start
+   * @param scheduler the local scheduler
+   * @param digests the digests of the other instances
+   * @param owners the instances that started the tasks on this instance's workers
+   * @param work places waiting work when the number of permits changes
+   * @param reopenWorker receives the name of a worker on which tasks may start
    */
   public PermitDemands(
       Scheduler scheduler,
-      DigestBoard digests,
+      PeerDigests digests,
       TaskOwners owners,
       WorkService work,
-      Consumer<String> reopen) {
+      Consumer<String> reopenWorker) {
     this.scheduler = scheduler;
     this.digests = digests;
     this.owners = owners;
     this.work = work;
-    this.reopen = reopen;
+    this.reopenWorker = reopenWorker;
   }
 
   @Override
@@ -55,14 +58,14 @@
         urgent += item.workClass() == WorkClass.URGENT ? item.tasks() : 0;
       }
     }
-    return new PermitDemand(placed(team, true), waiting, urgent);
+    return new PermitDemand(countPlaced(team, true), waiting, urgent);
   }
 
   @Override
   public Map<Holder, PermitDemand> others(String team) {
     Map<Holder, PermitDemand> demands = new HashMap<>();
     digests
-        .uses(team)
+        .usageByInstance(team)
         .forEach(
             (peer, use) ->
                 demands.put(
@@ -73,7 +76,7 @@
 
   @Override
   public int coveredElsewhere(String team) {
-    return placed(team, false);
+    return countPlaced(team, false);
   }
 
   @Override
@@ -84,10 +87,10 @@
 
   @Override
   public void mayStartOn(String worker) {
-    reopen.accept(worker);
+    reopenWorker.accept(worker);
   }
 
-  private int placed(String team, boolean ours) {
+  private int countPlaced(String team, boolean ours) {
     List<PlacedTask> tasks = scheduler.placed();
     owners.keepOnly(tasks);
     int count = 0;
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerSightings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkerObservationCollector.java
@@ -15,22 +15,26 @@
 import org.hickorypier.platform.worker.TaskStatus;
 import org.hickorypier.platform.worker.WorkerStatus;
 
-/** Asks every worker of the fleet who controls it and whose tasks it runs. Thread safe. */
-public final class WorkerSightings {
+/** Asks every worker which instance controls it and whose tasks it runs. Thread-safe. */
+public final class WorkerObservationCollector {
 
-  private WorkerSightings() {}
+  private WorkerObservationCollector() {}
 
   /**
-   * Asks all of them.
+   * Asks all listed workers for their status.
    *
    * @param fleet the workers
-   * @param answer is given all words, or nothing if one worker did not answer
+   * @param answer receives one observation per worker, or empty if no worker is listed or any
+   *     worker did not answer
    */
-  public static void askAll(WorkerFleet fleet, Consumer<Optional<List<WorkerObservation>>> answer) {
+  public static void collect(
+      WorkerFleet fleet, Consumer<Optional<List<WorkerObservation>>> answer) {
     List<Uni<WorkerObservation>> questions = new ArrayList<>();
     fleet
         .listedWorkers()
-        .forEach((name, service) -> questions.add(service.status().map(WorkerSightings::sighting)));
+        .forEach(
+            (name, service) ->
+                questions.add(service.status().map(WorkerObservationCollector::toSighting)));
     if (questions.isEmpty()) {
       answer.accept(Optional.empty());
       return;
@@ -40,11 +44,11 @@
         .andFailFast()
         .subscribe()
         .with(
-            sightings -> answer.accept(Optional.of(sightings)),
+            observations -> answer.accept(Optional.of(observations)),
             error -> answer.accept(Optional.empty()));
   }
 
-  private static WorkerObservation sighting(WorkerStatus status) {
+  private static WorkerObservation toSighting(WorkerStatus status) {
     Set<Holder> owners = new HashSet<>();
     for (TaskStatus task : status.tasks()) {
       if (task.state() == TaskState.RUNNING) {
