--- a/core/src/main/java/org/hickorypier/core/journal/Journal.java
+++ b/core/src/main/java/org/hickorypier/core/journal/Journal.java
@@ -32,13 +32,13 @@
 public final class Journal {
 
   /** How often a task of idempotent work is attempted; then its last outcome stands. */
-  public static final int ATTEMPTS = 3;
+  public static final int MAX_ATTEMPTS = 3;
 
   /**
    * Ended work is remembered for this many records. At the target's 42,000 jobs a day with four
    * records each that is half a day, long past a caller's last question.
    */
-  static final long REMEMBERED_OFFSETS = 80_000;
+  static final long RETENTION_OFFSETS = 80_000;
 
   private final Map<WorkKey, JournalEntry> entries = new LinkedHashMap<>();
   private final Deque<JournalEntry> ended = new ArrayDeque<>();
@@ -67,7 +67,7 @@
    *
    * @param at the record's offset
    */
-  public void passOver(long at) {
+  public void skip(long at) {
     offset = Math.max(offset, at);
   }
 
@@ -122,7 +122,7 @@
     }
     Verdict verdict = applyTo(entry, record);
     if (verdict == Verdict.APPLIED) {
-      entry.touched(at);
+      entry.recordChange(at);
       if (entry.hasEnded()) {
         ended.addLast(entry);
       }
@@ -205,9 +205,9 @@
             && !entry.isCancelled()
             && !neverAttempted
             && outcome.get() != Outcome.COMPLETED
-            && end.attempt() < ATTEMPTS;
+            && end.attempt() < MAX_ATTEMPTS;
     if (again) {
-      task.closeAfter(outcome.get(), end.detail());
+      task.closeForRetry(outcome.get(), end.detail());
     } else {
       task.end(outcome.get(), end.detail());
     }
@@ -247,7 +247,7 @@
   }
 
   private void forget(long at) {
-    while (!ended.isEmpty() && ended.peekFirst().lastOffset() < at - REMEMBERED_OFFSETS) {
+    while (!ended.isEmpty() && ended.peekFirst().lastOffset() < at - RETENTION_OFFSETS) {
       JournalEntry entry = ended.removeFirst();
       entries.remove(entry.key(), entry);
     }
@@ -259,6 +259,6 @@
   }
 
   private static boolean isForgettable(JournalEntry entry, long at) {
-    return entry.lastOffset() < at - REMEMBERED_OFFSETS && !entry.hasOpenAttempt();
+    return entry.lastOffset() < at - RETENTION_OFFSETS && !entry.hasOpenAttempt();
   }
 }
--- a/core/src/main/java/org/hickorypier/core/journal/JournalEntry.java
+++ b/core/src/main/java/org/hickorypier/core/journal/JournalEntry.java
@@ -131,7 +131,7 @@
     cancelDetail = sentence;
   }
 
-  void touched(long at) {
+  void recordChange(long at) {
     lastOffset = at;
   }
 
--- a/core/src/main/java/org/hickorypier/core/journal/JournalTask.java
+++ b/core/src/main/java/org/hickorypier/core/journal/JournalTask.java
@@ -77,7 +77,7 @@
   }
 
   /** Closes an attempt that is to be followed by another one. */
-  void closeAfter(Outcome attemptOutcome, String sentence) {
+  void closeForRetry(Outcome attemptOutcome, String sentence) {
     open = null;
     if (attemptOutcome != Outcome.NOT_RUN) {
       ranAs = attemptOutcome;
--- a/core/src/main/java/org/hickorypier/core/membership/FormerHomes.java
+++ b/core/src/main/java/org/hickorypier/core/membership/FormerHomes.java
@@ -8,10 +8,10 @@
  * <p>Immutable.
  *
  * @param others the other instances that were its home
- * @param ownEarlierLife whether an earlier incarnation of this instance was
+ * @param ownEarlierIncarnation whether an earlier incarnation of this instance was
  * @param complete whether no other instance can have been; false if not enough is known
  */
-public record FormerHomes(Set<String> others, boolean ownEarlierLife, boolean complete) {
+public record FormerHomes(Set<String> others, boolean ownEarlierIncarnation, boolean complete) {
 
   /** Copies the set. */
   public FormerHomes {
@@ -23,7 +23,7 @@
    *
    * @return true if nobody else can have taken the work in
    */
-  public boolean none() {
-    return complete && !ownEarlierLife && others.isEmpty();
+  public boolean areRuledOut() {
+    return complete && !ownEarlierIncarnation && others.isEmpty();
   }
 }
--- a/core/src/main/java/org/hickorypier/core/membership/FreshnessProof.java
+++ b/core/src/main/java/org/hickorypier/core/membership/FreshnessProof.java
@@ -25,7 +25,7 @@
    *
    * @param sentMillis when the read was sent
    */
-  public void logRead(long sentMillis) {
+  public void recordLogRead(long sentMillis) {
     prove(sentMillis);
   }
 
@@ -38,7 +38,7 @@
    * @param answers the answers that came; one for each instance asked if all came
    * @param asked how many instances were asked
    */
-  public void round(
+  public void recordPeerRound(
       long sentMillis,
       long ownOffset,
       boolean askedAll,
--- a/core/src/main/java/org/hickorypier/core/membership/HomeHistory.java
+++ b/core/src/main/java/org/hickorypier/core/membership/HomeHistory.java
@@ -46,7 +46,7 @@
   private long unbrokenSinceMillis;
   private long knownSinceMillis;
   private long lastNotedMillis;
-  private boolean taughtByAll;
+  private boolean markHeardFromAllPeers;
 
   /**
    * Creates a history that knows nothing of the time before.
@@ -70,7 +70,7 @@
    * @param candidates the instances that new work is homed at
    * @param now the time
    */
-  public void note(Set<String> candidates, long now) {
+  public void recordCandidates(Set<String> candidates, long now) {
     lookForInterruption(now);
     lastNotedMillis = now;
     View last = views.peekLast();
@@ -91,7 +91,7 @@
    * @param instance the instance
    * @param now the time
    */
-  public void sentTo(String key, String instance, long now) {
+  public void recordLostForward(String key, String instance, long now) {
     lostWith.put(key, new Lost(instance, now));
   }
 
@@ -101,7 +101,7 @@
    * @param now the time
    * @return the views, with their ages
    */
-  public HomeViews tell(long now) {
+  public HomeViews snapshot(long now) {
     lookForInterruption(now);
     forget(now);
     List<HomeViews.View> told = new ArrayList<>();
@@ -118,7 +118,7 @@
    * @param told what it knows
    * @param now the time
    */
-  public void learn(String instance, HomeViews told, long now) {
+  public void mergePeerHistory(String instance, HomeViews told, long now) {
     heard.add(instance);
     for (HomeViews.View past : told.views()) {
       View view = new View(Set.copyOf(past.candidates()), now - past.sinceMillis());
@@ -142,21 +142,21 @@
    * @param others the other instances that look live
    * @return those that have not told yet what they know
    */
-  public Set<String> unheard(Set<String> others) {
+  public Set<String> awaitedPeers(Set<String> others) {
     heard.retainAll(others);
     Set<String> missing = new TreeSet<>(others);
     missing.removeAll(heard);
-    taughtByAll &= missing.isEmpty();
+    markHeardFromAllPeers &= missing.isEmpty();
     return missing;
   }
 
   /** Notes that every other instance has told what it knows. */
-  public void taughtByAll() {
-    taughtByAll = true;
+  public void markHeardFromAllPeers() {
+    markHeardFromAllPeers = true;
   }
 
   /** Notes that no instance was lost before the present ones: what they have told is all. */
-  public void nothingBefore() {
+  public void markHistoryComplete() {
     knownSinceMillis = EVER;
   }
 
@@ -166,9 +166,9 @@
    * @param now the time
    * @return false for a moment after the start, and after a long pause
    */
-  public boolean isTaught(long now) {
+  public boolean hasHeardFromAllPeers(long now) {
     lookForInterruption(now);
-    return taughtByAll;
+    return markHeardFromAllPeers;
   }
 
   /**
@@ -178,7 +178,7 @@
    * @param now the present time
    * @return false if the notes were interrupted after that time
    */
-  public boolean isUnbroken(long sinceMillis, long now) {
+  public boolean isUninterruptedSince(long sinceMillis, long now) {
     lookForInterruption(now);
     return unbrokenSinceMillis <= sinceMillis;
   }
@@ -217,7 +217,7 @@
     addHomes(before, learned.values(), key, now - backMillis);
     final boolean ownEarlierLife = before.remove(own);
     homes.addAll(before);
-    boolean complete = taughtByAll && knownSinceMillis <= now - backMillis;
+    boolean complete = markHeardFromAllPeers && knownSinceMillis <= now - backMillis;
     return new FormerHomes(homes, ownEarlierLife, complete);
   }
 
@@ -230,7 +230,7 @@
    * @param sinceMillis for how long
    * @return false if another was home meanwhile, or if the notes do not reach back so far
    */
-  public boolean hasBeenHome(String instance, String key, long now, long sinceMillis) {
+  public boolean hasBeenSoleHome(String instance, String key, long now, long sinceMillis) {
     lookForInterruption(now);
     Set<String> homes = new TreeSet<>();
     addHomes(homes, views, key, now - sinceMillis);
@@ -240,7 +240,7 @@
   private static void addHomes(Set<String> homes, Collection<View> among, String key, long since) {
     for (View view : among) {
       if (view.endedMillis >= since) {
-        RendezvousHash.first(view.candidates, key).ifPresent(homes::add);
+        RendezvousHash.preferred(view.candidates, key).ifPresent(homes::add);
       }
     }
   }
@@ -262,7 +262,7 @@
     beside.forEach((candidates, view) -> learned.merge(candidates, view, View::join));
     beside.clear();
     heard.clear();
-    taughtByAll = false;
+    markHeardFromAllPeers = false;
     unbrokenSinceMillis = now;
     knownSinceMillis = now;
     lastNotedMillis = now;
--- a/core/src/main/java/org/hickorypier/core/membership/MembershipView.java
+++ b/core/src/main/java/org/hickorypier/core/membership/MembershipView.java
@@ -33,9 +33,9 @@
   private final String own;
   private final long timeoutMillis;
   private final Map<String, Member> members = new HashMap<>();
-  private Set<String> listed = Set.of();
+  private Set<String> updateListed = Set.of();
   private Set<String> leaving = Set.of();
-  private Set<String> drained = Set.of();
+  private Set<String> updateDrained = Set.of();
 
   /**
    * Creates a view that knows only its own instance.
@@ -54,14 +54,14 @@
    * @param list the whole list
    * @param now the time
    */
-  public void listed(Collection<ListedMember> list, long now) {
-    listed = list.stream().map(ListedMember::name).collect(Collectors.toUnmodifiableSet());
+  public void updateListed(Collection<ListedMember> list, long now) {
+    updateListed = list.stream().map(ListedMember::name).collect(Collectors.toUnmodifiableSet());
     leaving =
         list.stream()
             .filter(ListedMember::leaving)
             .map(ListedMember::name)
             .collect(Collectors.toUnmodifiableSet());
-    for (String name : listed) {
+    for (String name : updateListed) {
       if (!name.equals(own)) {
         members.computeIfAbsent(name, ignored -> new Member(now));
       }
@@ -74,8 +74,8 @@
    *
    * @param names all drained instances and workers
    */
-  public void drained(Set<String> names) {
-    drained = Set.copyOf(names);
+  public void updateDrained(Set<String> names) {
+    updateDrained = Set.copyOf(names);
   }
 
   /**
@@ -85,7 +85,7 @@
    * @param incarnation its incarnation; earlier ones are dead
    * @param now the time
    */
-  public void up(String name, long incarnation, long now) {
+  public void recordLinkUp(String name, long incarnation, long now) {
     Member member = members.computeIfAbsent(name, ignored -> new Member(now));
     member.linked = true;
     member.incarnation = OptionalLong.of(incarnation);
@@ -97,7 +97,7 @@
    * @param name the peer's name
    * @param now the time
    */
-  public void down(String name, long now) {
+  public void recordLinkDown(String name, long now) {
     Member member = members.computeIfAbsent(name, ignored -> new Member(now));
     member.linked = false;
     member.sinceMillis = now;
@@ -109,7 +109,7 @@
    * @param now the time
    * @return their names
    */
-  public Set<String> live(long now) {
+  public Set<String> liveInstances(long now) {
     Set<String> live = new TreeSet<>();
     live.add(own);
     members.forEach(
@@ -129,10 +129,10 @@
    * @return their names
    */
   public Set<String> candidates(long now) {
-    Set<String> live = live(now);
+    Set<String> live = liveInstances(now);
     Set<String> staying = new HashSet<>(live);
     staying.removeAll(leaving);
-    staying.removeAll(drained);
+    staying.removeAll(updateDrained);
     return staying.isEmpty() ? live : staying;
   }
 
@@ -159,12 +159,12 @@
    * @param now the time
    * @return the instance's name; never empty, since this instance is always live to itself
    */
-  public String wanted(String key, long now) {
-    return RendezvousHash.first(candidates(now), key).orElse(own);
+  public String preferredInstance(String key, long now) {
+    return RendezvousHash.preferred(candidates(now), key).orElse(own);
   }
 
   /** Returns how many peers are remembered, live or not. */
-  int remembered() {
+  int knownPeerCount() {
     return members.size();
   }
 
@@ -172,11 +172,11 @@
     if (member.linked) {
       return true;
     }
-    return listed.contains(name) && now - member.sinceMillis <= timeoutMillis;
+    return updateListed.contains(name) && now - member.sinceMillis <= timeoutMillis;
   }
 
   private boolean isForgotten(String name, Member member, long now) {
-    return !listed.contains(name) && !looksLive(name, member, now);
+    return !updateListed.contains(name) && !looksLive(name, member, now);
   }
 
   private static final class Member {
--- a/core/src/main/java/org/hickorypier/core/membership/RendezvousHash.java
+++ b/core/src/main/java/org/hickorypier/core/membership/RendezvousHash.java
@@ -30,7 +30,7 @@
    * @param key the key
    * @return the name with the highest number, or empty if there are none
    */
-  public static Optional<String> first(Collection<String> instances, String key) {
+  public static Optional<String> preferred(Collection<String> instances, String key) {
     return instances.stream().max(byNumber(key));
   }
 
--- a/core/src/main/java/org/hickorypier/core/routing/BackOff.java
+++ b/core/src/main/java/org/hickorypier/core/routing/BackOff.java
@@ -44,7 +44,7 @@
    *
    * @return how long to wait before the next try, in milliseconds
    */
-  public long afterFailure() {
+  public long nextDelayMillis() {
     int doublings = Math.min(failures, MAX_DOUBLINGS);
     failures++;
     long step = limitMillis >> doublings < firstMillis ? limitMillis : firstMillis << doublings;
@@ -53,7 +53,7 @@
   }
 
   /** Forgets the failures. */
-  public void afterSuccess() {
+  public void reset() {
     failures = 0;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/routing/PeerRoom.java
+++ b/core/src/main/java/org/hickorypier/core/routing/PeerCapacity.java
@@ -7,12 +7,12 @@
  *
  * <p>Immutable.
  *
- * @param taking whether it takes new work
+ * @param acceptsWork whether it takes new work
  * @param free what is free on its workers, added up
- * @param slots slots free on its workers, added up
- * @param waiting tasks that wait there already
+ * @param freeSlots slots free on its workers, added up
+ * @param waitingTasks tasks that wait there already
  */
-public record PeerRoom(boolean taking, Resources free, int slots, int waiting) {
+public record PeerCapacity(boolean acceptsWork, Resources free, int freeSlots, int waitingTasks) {
 
   /**
    * Returns how many tasks of a size have room, by the sums alone.
@@ -21,7 +21,7 @@
    * @return the number of tasks; the peer may still refuse, as the room may be in pieces
    */
   public long tasksThatFit(Resources size) {
-    long fitting = taking ? slots : 0;
+    long fitting = acceptsWork ? freeSlots : 0;
     fitting = Math.min(fitting, quotient(free.milliProcessors(), size.milliProcessors()));
     fitting = Math.min(fitting, quotient(free.memoryMebibytes(), size.memoryMebibytes()));
     return Math.min(fitting, quotient(free.accelerators(), size.accelerators()));
--- a/core/src/main/java/org/hickorypier/core/routing/RetryBudget.java
+++ b/core/src/main/java/org/hickorypier/core/routing/RetryBudget.java
@@ -36,7 +36,7 @@
    *
    * @param team the team
    */
-  public void firstAttempt(String team) {
+  public void recordFirstAttempt(String team) {
     tokens.computeIfPresent(team, (name, saved) -> Math.min(burst, saved + fraction));
   }
 
@@ -46,7 +46,7 @@
    * @param team the team
    * @return false if the budget is used up; the work is then not retried
    */
-  public boolean takeRetry(String team) {
+  public boolean tryTakeRetry(String team) {
     double saved = tokens.getOrDefault(team, burst);
     if (saved < 1) {
       return false;
@@ -60,7 +60,7 @@
    *
    * @param team the team
    */
-  public void forget(String team) {
+  public void removeTeam(String team) {
     tokens.remove(team);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/routing/RetryPolicy.java
+++ b/core/src/main/java/org/hickorypier/core/routing/RetryPolicy.java
@@ -34,13 +34,14 @@
    * @param now the time
    * @return how long to wait before the next attempt, or empty if there is to be none
    */
-  public OptionalLong nextAttempt(WorkItem item, boolean mayHaveRun, BackOff backOff, long now) {
+  public OptionalLong nextAttemptDelayMillis(
+      WorkItem item, boolean mayHaveRun, BackOff backOff, long now) {
     if (mayHaveRun && !item.idempotent()) {
       return OptionalLong.empty();
     }
-    long wait = backOff.afterFailure();
+    long wait = backOff.nextDelayMillis();
     boolean inTime = now + wait < item.deadlineMillis();
-    if (!inTime || !budget.takeRetry(item.key().team())) {
+    if (!inTime || !budget.tryTakeRetry(item.key().team())) {
       return OptionalLong.empty();
     }
     return OptionalLong.of(wait);
--- a/core/src/main/java/org/hickorypier/core/routing/Route.java
+++ b/core/src/main/java/org/hickorypier/core/routing/Route.java
@@ -4,7 +4,7 @@
 public sealed interface Route {
 
   /** It is placed on a worker of this instance now. */
-  record Own() implements Route {}
+  record Local() implements Route {}
 
   /**
    * It is handed to a peer that seems to have room.
--- a/core/src/main/java/org/hickorypier/core/routing/Router.java
+++ b/core/src/main/java/org/hickorypier/core/routing/Router.java
@@ -35,7 +35,7 @@
    * is known within 3.5 s anyway; this limit is for one that lives and has stopped telling its
    * room.
    */
-  public static final long DIGEST_USEFUL_MILLIS = 12_000;
+  public static final long MAX_DIGEST_AGE_MILLIS = 12_000;
 
   private final RandomGenerator random;
   private final Map<String, Peer> peers = new HashMap<>();
@@ -56,7 +56,7 @@
    * @param room its room
    * @param now the time
    */
-  public void digest(String peer, PeerRoom room, long now) {
+  public void recordDigest(String peer, PeerCapacity room, long now) {
     peers.put(peer, new Peer(peer, room, now));
   }
 
@@ -65,7 +65,7 @@
    *
    * @param peer the peer's name
    */
-  public void down(String peer) {
+  public void removePeer(String peer) {
     peers.remove(peer);
   }
 
@@ -74,7 +74,7 @@
    *
    * @param peer the peer's name
    */
-  public void refused(String peer) {
+  public void recordRefusal(String peer) {
     Peer known = peers.get(peer);
     if (known != null) {
       known.refused = true;
@@ -93,7 +93,7 @@
    */
   public Route route(WorkItem item, int hops, boolean atHome, boolean fitsHere, long now) {
     if (fitsHere) {
-      return new Route.Own();
+      return new Route.Local();
     }
     if (!atHome) {
       return new Route.Return();
@@ -113,7 +113,7 @@
   private List<Peer> withRoom(WorkItem item, long now) {
     List<Peer> withRoom = new ArrayList<>();
     for (Peer peer : peers.values()) {
-      boolean useful = !peer.refused && now - peer.digestMillis <= DIGEST_USEFUL_MILLIS;
+      boolean useful = !peer.refused && now - peer.digestMillis <= MAX_DIGEST_AGE_MILLIS;
       if (useful && peer.room.tasksThatFit(item.resources()) >= item.tasks()) {
         withRoom.add(peer);
       }
@@ -135,10 +135,10 @@
   private static final class Peer {
     private final String name;
     private final long digestMillis;
-    private PeerRoom room;
+    private PeerCapacity room;
     private boolean refused;
 
-    Peer(String name, PeerRoom room, long digestMillis) {
+    Peer(String name, PeerCapacity room, long digestMillis) {
       this.name = name;
       this.room = room;
       this.digestMillis = digestMillis;
@@ -146,7 +146,7 @@
 
     // What waits there will take room before what we send.
     long merit(Resources size) {
-      return room.tasksThatFit(size) - room.waiting();
+      return room.tasksThatFit(size) - room.waitingTasks();
     }
 
     void forwarded(WorkItem item) {
@@ -157,8 +157,11 @@
               Math.min(room.free().memoryMebibytes(), size.memoryMebibytes() * item.tasks()),
               Math.min(room.free().accelerators(), size.accelerators() * item.tasks()));
       room =
-          new PeerRoom(
-              room.taking(), room.free().minus(taken), room.slots() - item.tasks(), room.waiting());
+          new PeerCapacity(
+              room.acceptsWork(),
+              room.free().minus(taken),
+              room.freeSlots() - item.tasks(),
+              room.waitingTasks());
     }
   }
 }
--- a/core/src/main/java/org/hickorypier/core/verification/PromiseChecker.java
+++ b/core/src/main/java/org/hickorypier/core/verification/GuaranteeChecker.java
@@ -21,7 +21,7 @@
  *
  * <p>Thread safe: the record comes from several threads where real processes are checked.
  */
-public final class PromiseChecker {
+public final class GuaranteeChecker {
 
   /** A cancelled submission starts nothing later than this after the acknowledgement. */
   private static final long CANCEL_MILLIS = 3_000;
@@ -32,10 +32,10 @@
   private static final int LIMIT_DENOMINATOR = 10;
 
   private final LongSupplier clock;
-  private final List<String> broken = new ArrayList<>();
-  private final Map<String, SubmissionSpec> handedIn = new HashMap<>();
+  private final List<String> violations = new ArrayList<>();
+  private final Map<String, SubmissionSpec> recordSubmitted = new HashMap<>();
   private final Map<String, Long> cancelledAt = new HashMap<>();
-  private final Set<String> refused = new HashSet<>();
+  private final Set<String> recordRejected = new HashSet<>();
   private final Set<String> begun = new HashSet<>();
   private final Map<TaskName, Set<ObservedRun>> running = new HashMap<>();
   private final Map<TaskName, List<DoneEnd>> done = new HashMap<>();
@@ -45,15 +45,15 @@
   private final Map<String, Long> usedOnWorker = new HashMap<>();
   private final Map<String, Resources> limits = new HashMap<>();
   private final Map<String, Resources> capacities = new HashMap<>();
-  private final LastingTasks lasting = new LastingTasks();
-  private int starts;
+  private final PersistentTaskMonitor lasting = new PersistentTaskMonitor();
+  private int startCount;
 
   /**
    * Creates a checker of an empty record.
    *
    * @param clock the time, in milliseconds
    */
-  public PromiseChecker(LongSupplier clock) {
+  public GuaranteeChecker(LongSupplier clock) {
     this.clock = clock;
   }
 
@@ -63,7 +63,7 @@
    * @param customer the customer
    * @param limit the limit
    */
-  public synchronized void limit(String customer, Resources limit) {
+  public synchronized void setLimit(String customer, Resources limit) {
     limits.put(customer, limit);
   }
 
@@ -73,7 +73,7 @@
    * @param worker its id
    * @param capacity its room
    */
-  public synchronized void capacity(String worker, Resources capacity) {
+  public synchronized void setCapacity(String worker, Resources capacity) {
     capacities.put(worker, capacity);
   }
 
@@ -82,8 +82,8 @@
    *
    * @param spec the submission
    */
-  public synchronized void handedIn(SubmissionSpec spec) {
-    handedIn.put(spec.id(), spec);
+  public synchronized void recordSubmitted(SubmissionSpec spec) {
+    recordSubmitted.put(spec.id(), spec);
   }
 
   /**
@@ -91,10 +91,10 @@
    *
    * @param id its id
    */
-  public synchronized void refused(String id) {
-    refused.add(id);
+  public synchronized void recordRejected(String id) {
+    recordRejected.add(id);
     if (begun.contains(id)) {
-      broken.add(clock.getAsLong() + ": " + id + " was refused and has run");
+      violations.add(clock.getAsLong() + ": " + id + " was refused and has run");
     }
   }
 
@@ -103,8 +103,8 @@
    *
    * @param id its id
    */
-  public synchronized void accepted(String id) {
-    lasting.accepted(handedIn.get(id), clock.getAsLong());
+  public synchronized void recordAccepted(String id) {
+    lasting.recordAccepted(recordSubmitted.get(id), clock.getAsLong());
   }
 
   /**
@@ -112,13 +112,13 @@
    *
    * @param id its id
    */
-  public synchronized void cancelSent(String id) {
-    lasting.cancelSent(id);
+  public synchronized void recordCancelRequested(String id) {
+    lasting.recordCancelRequested(id);
   }
 
   /** An unplanned disruption is there. */
-  public synchronized void disrupted() {
-    lasting.disrupted(clock.getAsLong());
+  public synchronized void recordDisruption() {
+    lasting.recordDisruption(clock.getAsLong());
   }
 
   /**
@@ -126,23 +126,23 @@
    *
    * @param sound the workers that may take work
    */
-  public synchronized void checkLasting(Collection<String> sound) {
+  public synchronized void checkPersistentTasks(Collection<String> sound) {
     long now = clock.getAsLong();
-    for (TaskName task : lasting.lacking(name -> roomTwiceOver(name, sound), now)) {
-      broken.add(
+    for (TaskName task : lasting.findOverdue(name -> roomTwiceOver(name, sound), now)) {
+      violations.add(
           now + ": no run for " + lasting.idleMillis(task, now) + " ms, with room for it: " + task);
     }
   }
 
   /** Checks at the end that all tasks that last are at work. */
-  public synchronized void checkLastingAtWork() {
-    for (TaskName task : lasting.idle()) {
-      broken.add(clock.getAsLong() + ": not at work at the end: " + task);
+  public synchronized void checkPersistentTasksRunning() {
+    for (TaskName task : lasting.idleTasks()) {
+      violations.add(clock.getAsLong() + ": not at work at the end: " + task);
     }
   }
 
   private boolean roomTwiceOver(TaskName task, Collection<String> sound) {
-    SubmissionSpec spec = handedIn.get(task.submission());
+    SubmissionSpec spec = recordSubmitted.get(task.submission());
     long size = spec.steps().get(task.step()).taskResources().milliProcessors();
     Resources limit = limits.get(spec.customer());
     if (limit != null
@@ -162,7 +162,7 @@
    *
    * @param id its id
    */
-  public synchronized void cancelAcknowledged(String id) {
+  public synchronized void recordCancelAcknowledged(String id) {
     cancelledAt.putIfAbsent(id, clock.getAsLong());
   }
 
@@ -171,16 +171,16 @@
    *
    * @param run the run
    */
-  public synchronized void started(ObservedRun run) {
-    starts++;
+  public synchronized void recordStart(ObservedRun run) {
+    startCount++;
     TaskName task = run.key().task();
-    SubmissionSpec spec = handedIn.get(task.submission());
+    SubmissionSpec spec = recordSubmitted.get(task.submission());
     if (spec == null) {
       breach("start of what nobody handed in", run.key());
       return;
     }
     begun.add(spec.id());
-    if (refused.contains(spec.id())) {
+    if (recordRejected.contains(spec.id())) {
       breach("start of what was refused", run.key());
     }
     Set<ObservedRun> others = running.computeIfAbsent(task, key -> new HashSet<>());
@@ -189,7 +189,7 @@
     }
     others.add(run);
     if (lasts(spec, task)) {
-      lasting.started(task);
+      lasting.recordStart(task);
     }
     for (DoneEnd end : done.getOrDefault(task, List.of())) {
       if (end.noted) {
@@ -288,13 +288,13 @@
    * @param run the run
    * @param how how it ended
    */
-  public synchronized void ended(ObservedRun run, RunEnd how) {
+  public synchronized void recordEnd(ObservedRun run, RunEnd how) {
     TaskName task = run.key().task();
     running.getOrDefault(task, new HashSet<>()).remove(run);
-    SubmissionSpec spec = handedIn.get(task.submission());
+    SubmissionSpec spec = recordSubmitted.get(task.submission());
     if (spec != null) {
       if (lasts(spec, task)) {
-        lasting.ended(task, clock.getAsLong());
+        lasting.recordEnd(task, clock.getAsLong());
       }
       usedByCustomer.merge(spec.customer(), -size(spec, run), Long::sum);
       usedOnWorker.merge(run.worker(), -size(spec, run), Long::sum);
@@ -314,9 +314,9 @@
    * @param run the run
    * @param how how it ended
    */
-  public synchronized void noted(ObservedRun run, RunEnd how) {
+  public synchronized void recordEndAcknowledged(ObservedRun run, RunEnd how) {
     if (how == RunEnd.FAILED) {
-      SubmissionSpec spec = handedIn.get(run.key().task().submission());
+      SubmissionSpec spec = recordSubmitted.get(run.key().task().submission());
       failedNoted
           .computeIfAbsent(counted(spec, run.key().task()), key -> new HashSet<>())
           .add(run.key().number());
@@ -336,7 +336,7 @@
    *
    * @param worker the worker's id
    */
-  public synchronized void lapsed(String worker) {
+  public synchronized void recordLeaseExpired(String worker) {
     for (List<DoneEnd> ends : done.values()) {
       for (DoneEnd end : ends) {
         if (end.run.worker().equals(worker) && !end.noted) {
@@ -352,10 +352,10 @@
    * @param id the submission's id
    * @param state the state
    */
-  public synchronized void shown(String id, SubmissionState state) {
-    SubmissionSpec spec = handedIn.get(id);
+  public synchronized void checkShownState(String id, SubmissionState state) {
+    SubmissionSpec spec = recordSubmitted.get(id);
     if (state == SubmissionState.FAILED && !attemptsUsed(spec)) {
-      broken.add(clock.getAsLong() + ": " + id + " is shown as failed before its last attempt");
+      violations.add(clock.getAsLong() + ": " + id + " is shown as failed before its last attempt");
     }
     if (state != SubmissionState.COMPLETED) {
       return;
@@ -363,7 +363,7 @@
     for (int occurrence = 0; occurrence < spec.occurrenceCount(); occurrence++) {
       for (int step = 0; step < spec.steps().size(); step++) {
         if (!allDone(spec, occurrence, step)) {
-          broken.add(clock.getAsLong() + ": " + id + " is shown as completed too early");
+          violations.add(clock.getAsLong() + ": " + id + " is shown as completed too early");
           return;
         }
       }
@@ -385,8 +385,8 @@
    * @param id its id
    * @param state what callers are told of it
    */
-  public synchronized void lost(String id, String state) {
-    broken.add(clock.getAsLong() + ": " + id + " was accepted and is " + state);
+  public synchronized void recordUnfinished(String id, String state) {
+    violations.add(clock.getAsLong() + ": " + id + " was accepted and is " + state);
   }
 
   /**
@@ -394,8 +394,8 @@
    *
    * @return one line a breach, with its time
    */
-  public synchronized List<String> broken() {
-    return List.copyOf(broken);
+  public synchronized List<String> violations() {
+    return List.copyOf(violations);
   }
 
   /**
@@ -403,12 +403,12 @@
    *
    * @return their number
    */
-  public synchronized int starts() {
-    return starts;
+  public synchronized int startCount() {
+    return startCount;
   }
 
   private void breach(String what, RunKey run) {
-    broken.add(clock.getAsLong() + ": " + what + ": " + run);
+    violations.add(clock.getAsLong() + ": " + what + ": " + run);
   }
 
   /** One end of a task that was done. */
--- a/core/src/main/java/org/hickorypier/core/verification/ObservedRun.java
+++ b/core/src/main/java/org/hickorypier/core/verification/ObservedRun.java
@@ -9,6 +9,6 @@
  *
  * @param key the run
  * @param worker the worker's id
- * @param born the start of the worker's life, milliseconds since 1970
+ * @param workerStartMillis the start of the worker's life, milliseconds since 1970
  */
-public record ObservedRun(RunKey key, String worker, long born) {}
+public record ObservedRun(RunKey key, String worker, long workerStartMillis) {}
--- a/core/src/main/java/org/hickorypier/core/verification/LastingTasks.java
+++ b/core/src/main/java/org/hickorypier/core/verification/PersistentTaskMonitor.java
@@ -18,26 +18,26 @@
  * <p>Invariant: a task without a run is reported once, until it runs again. Not thread safe; its
  * owner guards it.
  */
-final class LastingTasks {
+final class PersistentTaskMonitor {
 
   /** A task may be without a run for so long after its last one, or after its acceptance. */
-  static final long WITHOUT_RUN_MILLIS = 6_000;
+  static final long RESTART_GRACE_MILLIS = 6_000;
 
   /** Beyond that, a task may lack a run for so long while there is room. */
-  static final long LACKING_MILLIS = 3_000;
+  static final long MAX_UNSERVED_MILLIS = 3_000;
 
   /** An unplanned disruption excuses a lack that begins so shortly after it. */
-  static final long CALM_BEFORE_MILLIS = 4_000;
+  static final long DISRUPTION_GRACE_MILLIS = 4_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final Map<TaskName, Watch> watches = new HashMap<>();
-  private final Set<String> accepted = new HashSet<>();
+  private final Set<String> recordAccepted = new HashSet<>();
   private final Set<String> cancelled = new HashSet<>();
   private long disruptedAt = NEVER;
 
-  void accepted(SubmissionSpec spec, long now) {
-    if (!accepted.add(spec.id())) {
+  void recordAccepted(SubmissionSpec spec, long now) {
+    if (!recordAccepted.add(spec.id())) {
       return;
     }
     for (int step = 0; step < spec.steps().size(); step++) {
@@ -50,26 +50,26 @@
     }
   }
 
-  void cancelSent(String id) {
+  void recordCancelRequested(String id) {
     cancelled.add(id);
   }
 
-  void started(TaskName task) {
+  void recordStart(TaskName task) {
     watch(task).runs++;
   }
 
-  void ended(TaskName task, long now) {
+  void recordEnd(TaskName task, long now) {
     Watch watch = watch(task);
     watch.runs--;
     watch.idle(now);
   }
 
-  void disrupted(long now) {
+  void recordDisruption(long now) {
     disruptedAt = now;
   }
 
   /** Returns the tasks that have newly lacked a run for too long. */
-  List<TaskName> lacking(Predicate<TaskName> room, long now) {
+  List<TaskName> findOverdue(Predicate<TaskName> room, long now) {
     List<TaskName> lacking = new ArrayList<>();
     for (Map.Entry<TaskName, Watch> entry : watches.entrySet()) {
       Watch watch = entry.getValue();
@@ -78,8 +78,8 @@
       }
       if (!room.test(entry.getKey())) {
         watch.lackingSince = Math.max(watch.lackingSince, now);
-      } else if (now - watch.lackingSince >= LACKING_MILLIS
-          && now - disruptedAt > LACKING_MILLIS + CALM_BEFORE_MILLIS) {
+      } else if (now - watch.lackingSince >= MAX_UNSERVED_MILLIS
+          && now - disruptedAt > MAX_UNSERVED_MILLIS + DISRUPTION_GRACE_MILLIS) {
         watch.reported = true;
         lacking.add(entry.getKey());
       }
@@ -88,7 +88,7 @@
   }
 
   /** Returns the tasks that are wanted and not at work. */
-  List<TaskName> idle() {
+  List<TaskName> idleTasks() {
     return watches.keySet().stream()
         .filter(task -> wanted(task) && watches.get(task).runs == 0)
         .toList();
@@ -100,7 +100,7 @@
   }
 
   private boolean wanted(TaskName task) {
-    return accepted.contains(task.submission()) && !cancelled.contains(task.submission());
+    return recordAccepted.contains(task.submission()) && !cancelled.contains(task.submission());
   }
 
   private Watch watch(TaskName task) {
@@ -117,7 +117,7 @@
 
     void idle(long now) {
       idleSince = now;
-      lackingSince = now + WITHOUT_RUN_MILLIS;
+      lackingSince = now + RESTART_GRACE_MILLIS;
       reported = false;
     }
   }
--- a/core/src/test/java/org/hickorypier/core/cell/model/CellModelTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/CellModelTest.java
@@ -54,7 +54,7 @@
               .forEach(System.out::println);
         }
       }
-      runStarts += cluster.promises.starts();
+      runStarts += cluster.promises.startCount();
       events += cluster.time.executedEvents;
     }
     System.out.println(
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelCluster.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelCluster.java
@@ -18,7 +18,7 @@
 import org.hickorypier.core.submission.StepSpec;
 import org.hickorypier.core.submission.SubmissionSpec;
 import org.hickorypier.core.submission.SubmissionState;
-import org.hickorypier.core.verification.PromiseChecker;
+import org.hickorypier.core.verification.GuaranteeChecker;
 
 /**
  * A simulated cluster with seeded faults: successive owners, workers, a journal and callers.
@@ -62,7 +62,7 @@
       new QueueTerms("batches", "service", 2, 3, 2, 1_000, Optional.empty());
 
   final VirtualTime time;
-  final PromiseChecker promises;
+  final GuaranteeChecker promises;
   final ModelFaults faults = new ModelFaults();
   final ModelJournal journal = new ModelJournal();
   final List<ModelWorker> workers = new ArrayList<>();
@@ -93,13 +93,13 @@
     this.kind = kind;
     this.plannedOnly = kind == ScenarioKind.ROLLING_UPDATE && seed % 2 == 0;
     this.time = new VirtualTime(seed);
-    this.promises = new PromiseChecker(time::nowMillis);
+    this.promises = new GuaranteeChecker(time::nowMillis);
     for (int index = 0;
         index < (kind == ScenarioKind.ROLLING_UPDATE ? ROLLING_UPDATE_WORKERS : WORKERS);
         index++) {
       addWorker();
     }
-    promises.limit("small", new Resources(12_000, 0, 0));
+    promises.setLimit("small", new Resources(12_000, 0, 0));
     takeOver();
     for (int index = 0; index < 40; index++) {
       String id = "%016x".formatted(index);
@@ -127,15 +127,15 @@
     ModelWorker worker = new ModelWorker(workersById.size(), time, promises, gangs);
     workersById.put(worker.id, worker);
     workers.add(worker);
-    promises.capacity(worker.id, ModelWorker.CAPACITY);
+    promises.setCapacity(worker.id, ModelWorker.CAPACITY);
     return worker;
   }
 
   private void checkPeriodically() {
     if (time.nowMillis() < disruptedUntilMillis) {
-      promises.disrupted();
+      promises.recordDisruption();
     }
-    promises.checkLasting(
+    promises.checkPersistentTasks(
         workers.stream()
             .filter(worker -> isListed(worker) && !worker.draining)
             .map(worker -> worker.id)
@@ -159,12 +159,12 @@
       boolean ended = state != null && state.isTerminal();
       boolean persistent = state != null && !cancelled.contains(id) && isPersistent(id);
       if (persistent ? ended : !ended && !isPersistent(id)) {
-        promises.lost(id, "" + state);
+        promises.recordUnfinished(id, "" + state);
         notes.addAll(owner.cell.explain(id, time.nowMillis()));
       }
     }
-    promises.checkLastingAtWork();
-    return promises.broken();
+    promises.checkPersistentTasksRunning();
+    return promises.violations();
   }
 
   void note(int epoch, String event, Object[] fields) {
@@ -229,10 +229,10 @@
 
   void recordWritten(Submission submission) {
     accepted.add(submission.spec().id());
-    promises.accepted(submission.spec().id());
-    promises.shown(submission.spec().id(), submission.visibleState());
+    promises.recordAccepted(submission.spec().id());
+    promises.checkShownState(submission.spec().id(), submission.visibleState());
     if (submission.visibleState() == SubmissionState.CANCELLED) {
-      promises.cancelAcknowledged(submission.spec().id());
+      promises.recordCancelAcknowledged(submission.spec().id());
     }
   }
 
@@ -253,7 +253,7 @@
       return;
     }
     SubmissionSpec spec = spec(id);
-    promises.handedIn(spec);
+    promises.recordSubmitted(spec);
     Submission submission = owner.cell.accept(spec, time.nowMillis());
     if (submission == null) {
       accepted.add(id);
@@ -276,7 +276,7 @@
     Submission submission = owner.cell.find(id);
     if (!owner.ended && submission != null && submission.durable()) {
       cancelled.add(id);
-      promises.cancelSent(id);
+      promises.recordCancelRequested(id);
       owner.cell.cancel(submission, time.nowMillis());
     }
   }
--- a/core/src/test/java/org/hickorypier/core/cell/model/ModelWorker.java
+++ b/core/src/test/java/org/hickorypier/core/cell/model/ModelWorker.java
@@ -15,8 +15,8 @@
 import org.hickorypier.core.cell.WorkerEntry;
 import org.hickorypier.core.model.Resources;
 import org.hickorypier.core.submission.StepSpec;
+import org.hickorypier.core.verification.GuaranteeChecker;
 import org.hickorypier.core.verification.ObservedRun;
-import org.hickorypier.core.verification.PromiseChecker;
 
 /** A worker that implements the platform's protocol: fencing, leases, runs, ends and gangs. */
 final class ModelWorker {
@@ -29,7 +29,7 @@
   final String id;
   private final String address;
   private final VirtualTime time;
-  private final PromiseChecker promises;
+  private final GuaranteeChecker promises;
   private final Map<String, List<ModelRun>> gangs;
   private final double clockRate;
   private final Map<RunKey, ModelRun> runs = new LinkedHashMap<>();
@@ -52,7 +52,7 @@
   private boolean left;
 
   ModelWorker(
-      int index, VirtualTime time, PromiseChecker promises, Map<String, List<ModelRun>> gangs) {
+      int index, VirtualTime time, GuaranteeChecker promises, Map<String, List<ModelRun>> gangs) {
     this.id = "w" + index;
     this.address = "10.0.0." + (index + 1) + ":1";
     this.time = time;
@@ -94,7 +94,7 @@
     ModelRun run =
         new ModelRun(key, this, step.taskResources(), step.flags().gang() ? step.count() : 1);
     runs.put(key, run);
-    promises.started(run.observed());
+    promises.recordStart(run.observed());
     if (run.gangWidth == 1) {
       beginWork(run, workMillis, step.flags().persistent());
     } else {
@@ -156,7 +156,7 @@
     runs.remove(run.key);
     closedRunNumbers.merge(run.key.task(), run.key.number(), Math::max);
     ended.add(new EndedRun(++lastEndNumber, run.key, end, ""));
-    promises.ended(run.observed(), end);
+    promises.recordEnd(run.observed(), end);
     breakGang(run, end);
   }
 
@@ -202,7 +202,7 @@
     }
     while (!ended.isEmpty() && ended.get(0).number() <= acknowledged) {
       EndedRun acknowledgedEnd = ended.remove(0);
-      promises.noted(
+      promises.recordEndAcknowledged(
           new ObservedRun(acknowledgedEnd.run(), id, incarnation), acknowledgedEnd.how());
     }
     List<RunningTask> running = new ArrayList<>();
@@ -223,12 +223,12 @@
 
   private void expireLease() {
     if (localClockMillis() > leaseEndMillis && !runs.isEmpty()) {
-      promises.lapsed(id);
+      promises.recordLeaseExpired(id);
       for (ModelRun run : List.copyOf(runs.values())) {
         end(run, RunEnd.LAPSED);
       }
     } else if (localClockMillis() > leaseEndMillis) {
-      promises.lapsed(id);
+      promises.recordLeaseExpired(id);
     }
   }
 
@@ -262,7 +262,7 @@
   private void dropRuns() {
     for (ModelRun run : List.copyOf(runs.values())) {
       runs.remove(run.key);
-      promises.ended(run.observed(), RunEnd.LAPSED);
+      promises.recordEnd(run.observed(), RunEnd.LAPSED);
       breakGang(run, RunEnd.LAPSED);
     }
   }
--- a/core/src/test/java/org/hickorypier/core/journal/JournalTest.java
+++ b/core/src/test/java/org/hickorypier/core/journal/JournalTest.java
@@ -213,7 +213,7 @@
         new Accepted(TEAM, "open", true, "BATCH", "n", 1, 1, 0, 1, true, 1, 1, new byte[0]);
     journal.apply(2, open);
 
-    journal.apply(Journal.REMEMBERED_OFFSETS + 2, cancelled());
+    journal.apply(Journal.RETENTION_OFFSETS + 2, cancelled());
 
     assertThat(journal.find(KEY)).isEmpty();
     assertThat(journal.find(new WorkKey(TEAM, "open"))).isPresent();
--- a/core/src/test/java/org/hickorypier/core/membership/FreshnessProofTest.java
+++ b/core/src/test/java/org/hickorypier/core/membership/FreshnessProofTest.java
@@ -27,7 +27,7 @@
     "11, 300, 9223372036854775807, a peer that holds something newer proves nothing",
   })
   void peerVouches(long offset, long age, long expected, String because) {
-    proof.round(4_000, OWN_OFFSET, false, List.of(new PeerFreshness(offset, age)), 3);
+    proof.recordPeerRound(4_000, OWN_OFFSET, false, List.of(new PeerFreshness(offset, age)), 3);
 
     assertThat(proof.ageMillis(5_200)).as(because).isEqualTo(expected);
   }
@@ -46,7 +46,7 @@
         List.of(
             new PeerFreshness(10, PeerFreshness.NEVER), new PeerFreshness(9, PeerFreshness.NEVER));
 
-    proof.round(4_000, OWN_OFFSET, askedAll, answers, asked);
+    proof.recordPeerRound(4_000, OWN_OFFSET, askedAll, answers, asked);
 
     assertThat(proof.ageMillis(5_000)).as(because).isEqualTo(expected);
   }
@@ -55,15 +55,15 @@
   // still work if the answer counted from its arrival; it counts from when the question was sent.
   @Test
   void answerThatLayInTheSocketProvesNothingRecent() {
-    proof.round(1_000, OWN_OFFSET, false, List.of(new PeerFreshness(10, 0)), 1);
+    proof.recordPeerRound(1_000, OWN_OFFSET, false, List.of(new PeerFreshness(10, 0)), 1);
 
     assertThat(proof.ageMillis(61_000)).isEqualTo(60_000);
   }
 
   @Test
   void olderProofDoesNotReplaceNewerOne() {
-    proof.logRead(5_000);
-    proof.logRead(3_000);
+    proof.recordLogRead(5_000);
+    proof.recordLogRead(3_000);
 
     assertThat(proof.ageMillis(6_000)).isEqualTo(1_000);
   }
--- a/core/src/test/java/org/hickorypier/core/membership/HomeHistoryTest.java
+++ b/core/src/test/java/org/hickorypier/core/membership/HomeHistoryTest.java
@@ -24,19 +24,19 @@
     FormerHomes former = history.formerHomes("norte/r1", START_MILLIS);
 
     assertThat(former.complete()).isFalse();
-    assertThat(former.none()).isFalse();
+    assertThat(former.areRuledOut()).isFalse();
   }
 
   @Test
   void newcomerLearnsWhoWasHomeBefore() {
     HomeHistory old = history("entry-1", BOTH);
-    old.nothingBefore();
-    old.taughtByAll();
+    old.markHistoryComplete();
+    old.markHeardFromAllPeers();
     String moved = keyOf("entry-3", ALL);
     HomeHistory history = history("entry-3", ALL);
 
-    history.learn("entry-1", old.tell(START_MILLIS), START_MILLIS);
-    history.taughtByAll();
+    history.mergePeerHistory("entry-1", old.snapshot(START_MILLIS), START_MILLIS);
+    history.markHeardFromAllPeers();
 
     FormerHomes former = history.formerHomes(moved, START_MILLIS);
     assertThat(former.complete()).isTrue();
@@ -49,31 +49,31 @@
   @Test
   void restartedInstanceKnowsThatItsEarlierLifeWasHome() {
     HomeHistory old = history("entry-1", ALL);
-    old.nothingBefore();
-    old.taughtByAll();
+    old.markHistoryComplete();
+    old.markHeardFromAllPeers();
     final String own = keyOf("entry-3", ALL);
     HomeHistory history = new HomeHistory("entry-3", KEEP_MILLIS, INTERRUPTION_MILLIS, later(500));
-    history.note(ALL, later(500));
+    history.recordCandidates(ALL, later(500));
 
-    history.learn("entry-1", old.tell(later(500)), later(500));
-    history.taughtByAll();
+    history.mergePeerHistory("entry-1", old.snapshot(later(500)), later(500));
+    history.markHeardFromAllPeers();
 
-    assertThat(history.formerHomes(own, later(500)).ownEarlierLife()).isTrue();
+    assertThat(history.formerHomes(own, later(500)).ownEarlierIncarnation()).isTrue();
   }
 
   /** Guards against an instance that wakes from a pause and takes its homes for its own still. */
   @Test
   void pausedInstanceIsCertainOfNothingUntilItIsTaughtAgain() {
     HomeHistory history = history("entry-1", BOTH);
-    history.nothingBefore();
-    history.taughtByAll();
-    assertThat(history.formerHomes(keyOf("entry-1", BOTH), START_MILLIS).none()).isTrue();
+    history.markHistoryComplete();
+    history.markHeardFromAllPeers();
+    assertThat(history.formerHomes(keyOf("entry-1", BOTH), START_MILLIS).areRuledOut()).isTrue();
 
     long woken = later(INTERRUPTION_MILLIS + 1);
 
-    assertThat(history.formerHomes(keyOf("entry-1", BOTH), woken).none()).isFalse();
-    assertThat(history.isUnbroken(START_MILLIS, woken)).isFalse();
-    assertThat(history.unheard(Set.of("entry-2"))).containsExactly("entry-2");
+    assertThat(history.formerHomes(keyOf("entry-1", BOTH), woken).areRuledOut()).isFalse();
+    assertThat(history.isUninterruptedSince(START_MILLIS, woken)).isFalse();
+    assertThat(history.awaitedPeers(Set.of("entry-2"))).containsExactly("entry-2");
   }
 
   @Test
@@ -82,8 +82,8 @@
     HomeViews young =
         new HomeViews(KEEP_MILLIS / 2, List.of(new HomeViews.View(List.of("entry-1"), 30_000, 0)));
 
-    history.learn("entry-1", young, START_MILLIS);
-    history.taughtByAll();
+    history.mergePeerHistory("entry-1", young, START_MILLIS);
+    history.markHeardFromAllPeers();
 
     assertThat(history.formerHomes("norte/r1", START_MILLIS, KEEP_MILLIS).complete()).isFalse();
     assertThat(history.formerHomes("norte/r1", START_MILLIS, KEEP_MILLIS / 4).complete()).isTrue();
@@ -93,42 +93,42 @@
   @Test
   void instanceThatAppearsTellsWhatItTookInAlone() {
     HomeHistory history = history("entry-1", Set.of("entry-1"));
-    history.nothingBefore();
-    history.taughtByAll();
+    history.markHistoryComplete();
+    history.markHeardFromAllPeers();
     final String taken = keyOf("entry-1", BOTH);
     HomeHistory alone = new HomeHistory("entry-2", KEEP_MILLIS, INTERRUPTION_MILLIS, later(500));
-    alone.note(Set.of("entry-2"), later(500));
-    alone.note(BOTH, later(1_000));
-    history.note(BOTH, later(1_000));
+    alone.recordCandidates(Set.of("entry-2"), later(500));
+    alone.recordCandidates(BOTH, later(1_000));
+    history.recordCandidates(BOTH, later(1_000));
 
-    assertThat(history.unheard(Set.of("entry-2"))).containsExactly("entry-2");
-    assertThat(history.formerHomes(taken, later(1_000)).none()).isFalse();
-    history.learn("entry-2", alone.tell(later(1_100)), later(1_100));
-    history.taughtByAll();
+    assertThat(history.awaitedPeers(Set.of("entry-2"))).containsExactly("entry-2");
+    assertThat(history.formerHomes(taken, later(1_000)).areRuledOut()).isFalse();
+    history.mergePeerHistory("entry-2", alone.snapshot(later(1_100)), later(1_100));
+    history.markHeardFromAllPeers();
 
     assertThat(history.formerHomes(taken, later(1_100)).others()).containsExactly("entry-2");
-    assertThat(history.formerHomes(taken, later(1_100)).ownEarlierLife()).isFalse();
+    assertThat(history.formerHomes(taken, later(1_100)).ownEarlierIncarnation()).isFalse();
   }
 
   @Test
   void homeOfLongAgoIsForgotten() {
     HomeHistory history = history("entry-1", BOTH);
-    history.nothingBefore();
-    history.taughtByAll();
+    history.markHistoryComplete();
+    history.markHeardFromAllPeers();
     String lost = keyOf("entry-2", BOTH);
-    history.note(Set.of("entry-1"), later(1_000));
+    history.recordCandidates(Set.of("entry-1"), later(1_000));
     assertThat(history.formerHomes(lost, later(1_000)).others()).containsExactly("entry-2");
 
     for (long passed = 2_000; passed <= KEEP_MILLIS + 2_000; passed += 1_000) {
-      history.note(Set.of("entry-1"), later(passed));
+      history.recordCandidates(Set.of("entry-1"), later(passed));
     }
 
-    assertThat(history.formerHomes(lost, later(KEEP_MILLIS + 2_000)).none()).isTrue();
+    assertThat(history.formerHomes(lost, later(KEEP_MILLIS + 2_000)).areRuledOut()).isTrue();
   }
 
   private static HomeHistory history(String own, Set<String> candidates) {
     HomeHistory history = new HomeHistory(own, KEEP_MILLIS, INTERRUPTION_MILLIS, START_MILLIS);
-    history.note(candidates, START_MILLIS);
+    history.recordCandidates(candidates, START_MILLIS);
     return history;
   }
 
@@ -137,7 +137,7 @@
   }
 
   private static String home(String key, Set<String> among) {
-    return RendezvousHash.first(among, key).orElseThrow();
+    return RendezvousHash.preferred(among, key).orElseThrow();
   }
 
   private static String keyOf(String home, Set<String> among) {
--- a/core/src/test/java/org/hickorypier/core/membership/MembershipViewTest.java
+++ b/core/src/test/java/org/hickorypier/core/membership/MembershipViewTest.java
@@ -27,18 +27,18 @@
     "false, 5000, 5000, false", // link down and no longer listed
   })
   void peerLooksLive(boolean listed, long linkedUntil, long now, boolean live) {
-    view.listed(list("a", "b"), 0);
+    view.updateListed(list("a", "b"), 0);
     if (linkedUntil >= 0) {
-      view.up("b", 1, 0);
+      view.recordLinkUp("b", 1, 0);
     }
     if (!listed) {
-      view.listed(list("a"), 4_000);
+      view.updateListed(list("a"), 4_000);
     }
     if (linkedUntil >= 0 && linkedUntil <= now) {
-      view.down("b", linkedUntil);
+      view.recordLinkDown("b", linkedUntil);
     }
 
-    assertThat(view.live(now)).isEqualTo(live ? Set.of("a", "b") : Set.of("a"));
+    assertThat(view.liveInstances(now)).isEqualTo(live ? Set.of("a", "b") : Set.of("a"));
     assertThat(view.isLive("b", 1, now)).isEqualTo(live);
   }
 
@@ -46,10 +46,10 @@
   // the old incarnation, which has to look dead at once, or nobody would adopt them.
   @Test
   void restartedPeerIsLiveAndItsOldIncarnationDead() {
-    view.listed(list("a", "b"), 0);
-    view.up("b", 1, 0);
-    view.down("b", 100);
-    view.up("b", 2, 200);
+    view.updateListed(list("a", "b"), 0);
+    view.recordLinkUp("b", 1, 0);
+    view.recordLinkDown("b", 100);
+    view.recordLinkUp("b", 2, 200);
 
     assertThat(view.isLive("b", 1, 300)).isFalse();
     assertThat(view.isLive("b", 2, 300)).isTrue();
@@ -59,9 +59,9 @@
   // anew.
   @Test
   void incarnationThatHasNotLinkedYetIsNotTakenForDead() {
-    view.listed(list("a", "b"), 0);
-    view.up("b", 1, 0);
-    view.down("b", 100);
+    view.updateListed(list("a", "b"), 0);
+    view.recordLinkUp("b", 1, 0);
+    view.recordLinkDown("b", 100);
 
     assertThat(view.isLive("b", 2, 100 + TIMEOUT)).isTrue();
     assertThat(view.isLive("b", 2, 101 + TIMEOUT)).isFalse();
@@ -69,17 +69,17 @@
 
   @Test
   void leavingAndDrainedPeersAreLiveButGetNothingNew() {
-    view.listed(
+    view.updateListed(
         List.of(
             new ListedMember("a", false),
             new ListedMember("b", true),
             new ListedMember("c", false)),
         0);
-    view.drained(Set.of("c", "worker-7"));
+    view.updateDrained(Set.of("c", "worker-7"));
 
-    assertThat(view.live(0)).containsExactly("a", "b", "c");
+    assertThat(view.liveInstances(0)).containsExactly("a", "b", "c");
     assertThat(view.candidates(0)).containsExactly("a");
-    view.drained(Set.of("a", "c"));
+    view.updateDrained(Set.of("a", "c"));
     assertThat(view.candidates(0)).containsExactlyInAnyOrder("a", "b", "c");
   }
 
@@ -87,11 +87,11 @@
   // one, claim every worker, and hand most of them over again seconds later.
   @Test
   void startingInstanceDoesNotWantEverything() {
-    view.listed(list("a", "b", "c", "d"), 0);
+    view.updateListed(list("a", "b", "c", "d"), 0);
 
     long wanted =
         java.util.stream.IntStream.range(0, 100)
-            .filter(index -> view.wanted("worker-" + index, 10).equals("a"))
+            .filter(index -> view.preferredInstance("worker-" + index, 10).equals("a"))
             .count();
 
     assertThat(wanted).isBetween(10L, 40L);
@@ -100,13 +100,13 @@
   @Test
   void goneMembersAreForgotten() {
     for (int index = 0; index < 1_000; index++) {
-      view.up("x" + index, 1, index);
-      view.down("x" + index, index);
-      view.listed(list("a"), index);
+      view.recordLinkUp("x" + index, 1, index);
+      view.recordLinkDown("x" + index, index);
+      view.updateListed(list("a"), index);
     }
 
-    assertThat(view.live(1_000)).containsExactly("a");
-    assertThat(view.remembered()).isZero();
+    assertThat(view.liveInstances(1_000)).containsExactly("a");
+    assertThat(view.knownPeerCount()).isZero();
   }
 
   private static List<ListedMember> list(String... names) {
--- a/core/src/test/java/org/hickorypier/core/membership/RendezvousHashTest.java
+++ b/core/src/test/java/org/hickorypier/core/membership/RendezvousHashTest.java
@@ -31,7 +31,7 @@
     for (String key : keys(4_200)) {
       List<String> ranked = RendezvousHash.ranked(all, key);
       String expected = ranked.get(0).equals("entry-3") ? ranked.get(1) : ranked.get(0);
-      assertThat(RendezvousHash.first(without, key)).contains(expected);
+      assertThat(RendezvousHash.preferred(without, key)).contains(expected);
     }
   }
 
@@ -42,10 +42,12 @@
     List<String> moved =
         keys(4_200).stream()
             .filter(
-                key -> !RendezvousHash.first(before, key).equals(RendezvousHash.first(after, key)))
+                key ->
+                    !RendezvousHash.preferred(before, key)
+                        .equals(RendezvousHash.preferred(after, key)))
             .toList();
 
-    assertThat(moved).allMatch(key -> RendezvousHash.first(after, key).get().equals("entry-9"));
+    assertThat(moved).allMatch(key -> RendezvousHash.preferred(after, key).get().equals("entry-9"));
     assertThat(moved.size()).isBetween(4_200 / 9 * 85 / 100, 4_200 / 9 * 115 / 100);
   }
 
@@ -53,7 +55,9 @@
   // they would take each other's workers back and forth.
   @Test
   void numbersStayAsTheyAreBetweenVersions() {
-    assertThat(IntStream.range(0, 8).mapToObj(index -> RendezvousHash.first(names(8), "w" + index)))
+    assertThat(
+            IntStream.range(0, 8)
+                .mapToObj(index -> RendezvousHash.preferred(names(8), "w" + index)))
         .map(first -> first.orElseThrow())
         .containsExactly(
             "entry-7", "entry-5", "entry-5", "entry-1", "entry-4", "entry-2", "entry-7", "entry-6");
@@ -61,7 +65,7 @@
 
   private static Map<String, Long> load(List<String> instances, int keys) {
     return keys(keys).stream()
-        .map(key -> RendezvousHash.first(instances, key).orElseThrow())
+        .map(key -> RendezvousHash.preferred(instances, key).orElseThrow())
         .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()));
   }
 
--- a/core/src/test/java/org/hickorypier/core/routing/BackOffTest.java
+++ b/core/src/test/java/org/hickorypier/core/routing/BackOffTest.java
@@ -15,9 +15,9 @@
   void stepDoublesUpToTheLimit(int failuresBefore, long least, long most) {
     for (int seed = 0; seed < 50; seed++) {
       BackOff backOff = new BackOff(100, 5_000, new SplittableRandom(seed));
-      LongStream.range(0, failuresBefore).forEach(ignored -> backOff.afterFailure());
+      LongStream.range(0, failuresBefore).forEach(ignored -> backOff.nextDelayMillis());
 
-      assertThat(backOff.afterFailure()).isBetween(least, most);
+      assertThat(backOff.nextDelayMillis()).isBetween(least, most);
     }
   }
 
@@ -27,7 +27,7 @@
   void waitsAreSpread() {
     long different =
         LongStream.range(0, 100)
-            .map(seed -> new BackOff(1_000, 8_000, new SplittableRandom(seed)).afterFailure())
+            .map(seed -> new BackOff(1_000, 8_000, new SplittableRandom(seed)).nextDelayMillis())
             .distinct()
             .count();
 
@@ -37,9 +37,9 @@
   @Test
   void successStartsOver() {
     BackOff backOff = new BackOff(100, 5_000, new SplittableRandom(1));
-    LongStream.range(0, 5).forEach(ignored -> backOff.afterFailure());
-    backOff.afterSuccess();
+    LongStream.range(0, 5).forEach(ignored -> backOff.nextDelayMillis());
+    backOff.reset();
 
-    assertThat(backOff.afterFailure()).isLessThanOrEqualTo(100);
+    assertThat(backOff.nextDelayMillis()).isLessThanOrEqualTo(100);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/routing/RetryPolicyTest.java
+++ b/core/src/test/java/org/hickorypier/core/routing/RetryPolicyTest.java
@@ -32,7 +32,10 @@
   void attemptIsMadeAgain(boolean idempotent, boolean mayHaveRun, long now, boolean retried) {
     BackOff backOff = new BackOff(400, 800, new SplittableRandom(1));
 
-    assertThat(policy.nextAttempt(item("labels", idempotent), mayHaveRun, backOff, now).isPresent())
+    assertThat(
+            policy
+                .nextAttemptDelayMillis(item("labels", idempotent), mayHaveRun, backOff, now)
+                .isPresent())
         .isEqualTo(retried);
   }
 
@@ -42,21 +45,22 @@
   void failingTeamUsesUpOnlyItsOwnRetries() {
     int retries = 0;
     for (int attempt = 0; attempt < 1_000; attempt++) {
-      budget.firstAttempt("labels");
+      budget.recordFirstAttempt("labels");
       BackOff backOff = new BackOff(2, 4, new SplittableRandom(attempt));
-      retries += policy.nextAttempt(item("labels", true), true, backOff, 0).isPresent() ? 1 : 0;
+      retries +=
+          policy.nextAttemptDelayMillis(item("labels", true), true, backOff, 0).isPresent() ? 1 : 0;
     }
 
     assertThat(retries).isBetween(100, 103);
-    assertThat(budget.takeRetry("bulletins")).isTrue();
+    assertThat(budget.tryTakeRetry("bulletins")).isTrue();
   }
 
   @Test
   void calmSavesUpNoMoreThanTheBurst() {
-    IntStream.range(0, 3).forEach(ignored -> budget.takeRetry("labels"));
-    IntStream.range(0, 1_000).forEach(ignored -> budget.firstAttempt("labels"));
+    IntStream.range(0, 3).forEach(ignored -> budget.tryTakeRetry("labels"));
+    IntStream.range(0, 1_000).forEach(ignored -> budget.recordFirstAttempt("labels"));
 
-    assertThat(IntStream.range(0, 10).filter(ignored -> budget.takeRetry("labels")).count())
+    assertThat(IntStream.range(0, 10).filter(ignored -> budget.tryTakeRetry("labels")).count())
         .isEqualTo(3);
   }
 
--- a/core/src/test/java/org/hickorypier/core/routing/HerdTest.java
+++ b/core/src/test/java/org/hickorypier/core/routing/RouterLoadSpreadTest.java
@@ -15,7 +15,7 @@
  * <p>The plain choice of the emptiest peer is kept here as the baseline that the router has to
  * beat.
  */
-class HerdTest {
+class RouterLoadSpreadTest {
 
   private static final int INSTANCES = 8;
   private static final int[] FREE = {0, 40, 44, 48, 52, 56, 60, 64};
@@ -52,7 +52,7 @@
       Router router = new Router(random);
       for (int peer = 0; peer < INSTANCES; peer++) {
         if (peer != instance) {
-          router.digest(String.valueOf(peer), RouterTest.room(FREE[peer]), 0);
+          router.recordDigest(String.valueOf(peer), RouterTest.room(FREE[peer]), 0);
         }
       }
       routers.add(router);
--- a/core/src/test/java/org/hickorypier/core/routing/RouterTest.java
+++ b/core/src/test/java/org/hickorypier/core/routing/RouterTest.java
@@ -18,8 +18,8 @@
   @ParameterizedTest
   @CsvSource({
     // hops so far, at home, fits here, a peer has room, route
-    "0, true, true, true, Own",
-    "1, false, true, true, Own",
+    "0, true, true, true, Local",
+    "1, false, true, true, Local",
     "0, true, false, true, Forward",
     "1, true, false, true, Forward",
     "2, true, false, true, Queue",
@@ -29,7 +29,7 @@
   })
   void workGoesWhereItMay(
       int hops, boolean atHome, boolean fitsHere, boolean peerHasRoom, String route) {
-    router.digest("b", room(peerHasRoom ? 4 : 0), 0);
+    router.recordDigest("b", room(peerHasRoom ? 4 : 0), 0);
 
     assertThat(router.route(item(1), hops, atHome, fitsHere, 0).getClass().getSimpleName())
         .isEqualTo(route);
@@ -39,8 +39,8 @@
   // home forwards, and only before the second hop.
   @Test
   void workCannotLoop() {
-    router.digest("b", room(4), 0);
-    router.digest("c", room(4), 0);
+    router.recordDigest("b", room(4), 0);
+    router.recordDigest("c", room(4), 0);
 
     for (int hops = 0; hops < 5; hops++) {
       assertThat(router.route(item(1), hops, false, false, 0)).isEqualTo(new Route.Return());
@@ -72,7 +72,7 @@
       long age,
       boolean forwarded) {
     Resources free = new Resources(processors, memory, accelerators);
-    router.digest("b", new PeerRoom(taking, free, slots, 0), 0);
+    router.recordDigest("b", new PeerCapacity(taking, free, slots, 0), 0);
 
     assertThat(router.route(item(tasks), 0, true, false, age).equals(new Route.Forward("b")))
         .isEqualTo(forwarded);
@@ -80,28 +80,28 @@
 
   @Test
   void ownForwardsCountUntilTheNextDigest() {
-    router.digest("b", room(3), 0);
+    router.recordDigest("b", room(3), 0);
     for (int count = 0; count < 3; count++) {
       assertThat(router.route(item(1), 0, true, false, 0)).isEqualTo(new Route.Forward("b"));
     }
     assertThat(router.route(item(1), 0, true, false, 0)).isEqualTo(new Route.Queue());
 
-    router.digest("b", room(1), 1_000);
+    router.recordDigest("b", room(1), 1_000);
     assertThat(router.route(item(1), 0, true, false, 1_000)).isEqualTo(new Route.Forward("b"));
   }
 
   @Test
   void peerThatRefusedOrIsDownIsLeftAlone() {
-    router.digest("b", room(4), 0);
-    router.refused("b");
+    router.recordDigest("b", room(4), 0);
+    router.recordRefusal("b");
     assertThat(router.route(item(1), 0, true, false, 0)).isEqualTo(new Route.Queue());
-    router.digest("b", room(4), 1_000);
-    router.down("b");
+    router.recordDigest("b", room(4), 1_000);
+    router.removePeer("b");
     assertThat(router.route(item(1), 0, true, false, 1_000)).isEqualTo(new Route.Queue());
   }
 
-  static PeerRoom room(int tasks) {
-    return new PeerRoom(true, new Resources(1_000L * tasks, 1_024L * tasks, 0), tasks, 0);
+  static PeerCapacity room(int tasks) {
+    return new PeerCapacity(true, new Resources(1_000L * tasks, 1_024L * tasks, 0), tasks, 0);
   }
 
   static WorkItem item(int tasks) {
--- a/core/src/test/java/org/hickorypier/core/verification/PromiseCheckerTest.java
+++ b/core/src/test/java/org/hickorypier/core/verification/GuaranteeCheckerTest.java
@@ -18,19 +18,19 @@
 import org.junit.jupiter.api.Test;
 
 /** A checker that finds nothing proves nothing: each promise is broken here once. */
-class PromiseCheckerTest {
+class GuaranteeCheckerTest {
 
   private static final String ID = "0123456789abcdef";
 
   private final AtomicLong clock = new AtomicLong();
-  private final PromiseChecker checker = new PromiseChecker(clock::get);
+  private final GuaranteeChecker checker = new GuaranteeChecker(clock::get);
 
   @BeforeEach
   void handIn() {
     StepSpec first = step(List.of());
     StepSpec second = step(List.of(0));
     QueueTerms queue = new QueueTerms("q", "service", 0, 2, 1, 0, Optional.empty());
-    checker.handedIn(
+    checker.recordSubmitted(
         new SubmissionSpec(ID, "customer", queue, "", List.of(first, second), 0, 0, 0, 0));
   }
 
@@ -44,12 +44,12 @@
   }
 
   private void runs(ObservedRun run, RunEnd how) {
-    checker.started(run);
-    checker.ended(run, how);
+    checker.recordStart(run);
+    checker.recordEnd(run, how);
   }
 
   private void breaks(String words) {
-    assertThat(checker.broken()).singleElement().asString().contains(words);
+    assertThat(checker.violations()).singleElement().asString().contains(words);
   }
 
   @Test
@@ -59,29 +59,29 @@
     runs(run(0, 1, 1, "a"), RunEnd.DONE);
     runs(run(1, 0, 1, "a"), RunEnd.DONE);
     runs(run(1, 1, 1, "b"), RunEnd.DONE);
-    checker.shown(ID, SubmissionState.COMPLETED);
-    assertThat(checker.broken()).isEmpty();
-    assertThat(checker.starts()).isEqualTo(5);
+    checker.checkShownState(ID, SubmissionState.COMPLETED);
+    assertThat(checker.violations()).isEmpty();
+    assertThat(checker.startCount()).isEqualTo(5);
   }
 
   @Test
   void twoRunsAtOnce() {
-    checker.started(run(0, 0, 1, "a"));
-    checker.started(run(0, 0, 2, "b"));
+    checker.recordStart(run(0, 0, 1, "a"));
+    checker.recordStart(run(0, 0, 2, "b"));
     breaks("two runs at once");
   }
 
   @Test
   void startAfterAcknowledgedEnd() {
     runs(run(0, 0, 1, "a"), RunEnd.DONE);
-    checker.noted(run(0, 0, 1, "a"), RunEnd.DONE);
-    checker.started(run(0, 0, 2, "b"));
+    checker.recordEndAcknowledged(run(0, 0, 1, "a"), RunEnd.DONE);
+    checker.recordStart(run(0, 0, 2, "b"));
     breaks("start after an acknowledged end");
   }
 
   @Test
   void startBeforeEarlierStepIsDone() {
-    checker.started(run(1, 0, 1, "a"));
+    checker.recordStart(run(1, 0, 1, "a"));
     breaks("start before step 0 was done");
   }
 
@@ -89,55 +89,55 @@
   void startBeyondLastAttempt() {
     for (int number = 1; number <= 2; number++) {
       runs(run(0, 0, number, "a"), RunEnd.FAILED);
-      checker.noted(run(0, 0, number, "a"), RunEnd.FAILED);
+      checker.recordEndAcknowledged(run(0, 0, number, "a"), RunEnd.FAILED);
     }
-    checker.started(run(0, 0, 3, "a"));
+    checker.recordStart(run(0, 0, 3, "a"));
     breaks("start after the last attempt");
   }
 
   @Test
   void workerOverItsCapacity() {
-    checker.capacity("a", new Resources(5_000, 0, 0));
-    checker.started(run(0, 0, 1, "a"));
-    checker.started(run(0, 1, 1, "a"));
+    checker.setCapacity("a", new Resources(5_000, 0, 0));
+    checker.recordStart(run(0, 0, 1, "a"));
+    checker.recordStart(run(0, 1, 1, "a"));
     breaks("worker a has 6000 running");
   }
 
   @Test
   void customerOverItsLimit() {
-    checker.limit("customer", new Resources(2_000, 0, 0));
-    checker.started(run(0, 0, 1, "a"));
-    assertThat(checker.broken()).isEmpty();
-    checker.started(run(0, 1, 1, "b"));
+    checker.setLimit("customer", new Resources(2_000, 0, 0));
+    checker.recordStart(run(0, 0, 1, "a"));
+    assertThat(checker.violations()).isEmpty();
+    checker.recordStart(run(0, 1, 1, "b"));
     breaks("customer customer has 6000 running");
   }
 
   @Test
   void startLongAfterCancellation() {
-    checker.cancelAcknowledged(ID);
+    checker.recordCancelAcknowledged(ID);
     clock.set(3_001);
-    checker.started(run(0, 0, 1, "a"));
+    checker.recordStart(run(0, 0, 1, "a"));
     breaks("start after the cancellation");
   }
 
   @Test
   void refusedSubmissionThatRuns() {
-    checker.refused(ID);
-    checker.started(run(0, 0, 1, "a"));
+    checker.recordRejected(ID);
+    checker.recordStart(run(0, 0, 1, "a"));
     breaks("start of what was refused");
   }
 
   @Test
   void completedBeforeAllTasksAreDone() {
     runs(run(0, 0, 1, "a"), RunEnd.DONE);
-    checker.shown(ID, SubmissionState.COMPLETED);
+    checker.checkShownState(ID, SubmissionState.COMPLETED);
     breaks("shown as completed too early");
   }
 
   @Test
   void failedWithAttemptsLeft() {
     runs(run(0, 0, 1, "a"), RunEnd.FAILED);
-    checker.shown(ID, SubmissionState.FAILED);
+    checker.checkShownState(ID, SubmissionState.FAILED);
     breaks("shown as failed before its last attempt");
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
@@ -241,7 +241,7 @@
     permits.connect(permitStream.appender(), permitStream.follower());
     permits.onFenced(onFenced);
     work.beforePlacing(permits::recount);
-    work.soleHomeSince(since -> history().isUnbroken(since, control.nowMillis()));
+    work.soleHomeSince(since -> history().isUninterruptedSince(since, control.nowMillis()));
     keeper =
         new SnapshotKeeper(
             configuration, configurationStream, permits, permitStream, digests, cluster);
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
@@ -80,7 +80,7 @@
   private void takeLog() {
     long age = logAgeMillis.getAsLong();
     if (age != Long.MAX_VALUE) {
-      proof.logRead(timers.nowMillis() - age);
+      proof.recordLogRead(timers.nowMillis() - age);
     }
   }
 
@@ -110,7 +110,7 @@
             .flatMap(reply -> reply.text().stream())
             .flatMap(text -> parse(text).stream())
             .toList();
-    proof.round(sentMillis, offset.getAsLong(), true, came, replies.size());
+    proof.recordPeerRound(sentMillis, offset.getAsLong(), true, came, replies.size());
   }
 
   private static Optional<PeerFreshness> parse(String text) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/HistoryExchange.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/HistoryExchange.java
@@ -65,7 +65,7 @@
     this.firstGeneration = firstGeneration;
     requests.answer(
         QuestionKind.HOMES,
-        text -> Uni.createFrom().item(codec.encode(history.tell(timers.nowMillis()))));
+        text -> Uni.createFrom().item(codec.encode(history.snapshot(timers.nowMillis()))));
   }
 
   /** Starts to note and to learn. */
@@ -75,16 +75,16 @@
 
   private void look() {
     long now = timers.nowMillis();
-    history.note(cluster.candidates(), now);
+    history.recordCandidates(cluster.candidates(), now);
     if (!listRead.getAsBoolean()) {
       return;
     }
-    Set<String> unheard = history.unheard(cluster.liveOthers());
-    if (unheard.isEmpty() && !history.isTaught(now)) {
+    Set<String> unheard = history.awaitedPeers(cluster.liveOthers());
+    if (unheard.isEmpty() && !history.hasHeardFromAllPeers(now)) {
       if (firstGeneration.getAsBoolean()) {
-        history.nothingBefore();
+        history.markHistoryComplete();
       }
-      history.taughtByAll();
+      history.markHeardFromAllPeers();
       LOGGER.log(Level.INFO, "homes: taught by all of {0}", cluster.liveOthers());
     } else {
       unheard.forEach(this::ask);
@@ -110,11 +110,11 @@
 
   private void learn(String instance, byte[] data) {
     try {
-      history.learn(instance, codec.decode(data), timers.nowMillis());
+      history.mergePeerHistory(instance, codec.decode(data), timers.nowMillis());
     } catch (UndecodableException error) {
       // One of another version tells nothing, so what it did before is not known.
       LOGGER.log(Level.WARNING, "homes: {0} tells nothing: {1}", instance, error.getMessage());
-      history.learn(instance, new HomeViews(0, List.of()), timers.nowMillis());
+      history.mergePeerHistory(instance, new HomeViews(0, List.of()), timers.nowMillis());
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeIntake.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeIntake.java
@@ -113,7 +113,7 @@
   // What an earlier life of this instance started may run for longer than callers come back.
   private boolean neverTaken(WorkKey key) {
     FormerHomes former = history.formerHomes(key.toString(), timers.nowMillis());
-    return lately(key).complete() && !former.ownEarlierLife() && work.neverTaken(key);
+    return lately(key).complete() && !former.ownEarlierIncarnation() && work.neverTaken(key);
   }
 
   private FormerHomes lately(WorkKey key) {
@@ -129,7 +129,7 @@
    */
   public boolean isSettledHome(String instance, WorkKey key) {
     String home = AttemptKey.workOf(key).toString();
-    return history.hasBeenHome(instance, home, timers.nowMillis(), SETTLING_MILLIS);
+    return history.hasBeenSoleHome(instance, home, timers.nowMillis(), SETTLING_MILLIS);
   }
 
   /**
@@ -145,7 +145,7 @@
       return;
     }
     FormerHomes former = history.formerHomes(key.toString(), timers.nowMillis());
-    if (former.none()) {
+    if (former.areRuledOut()) {
       run(submission, answer);
     } else {
       ask(submission, former, whom(former), answer);
@@ -164,7 +164,7 @@
   /** An earlier life of an instance may have left tasks on any worker, so that all are asked. */
   private Set<String> whom(FormerHomes former) {
     boolean allLive = cluster.live().containsAll(former.others());
-    boolean suffices = former.complete() && !former.ownEarlierLife() && allLive;
+    boolean suffices = former.complete() && !former.ownEarlierIncarnation() && allLive;
     return suffices ? former.others() : cluster.liveOthers();
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/TakeInRule.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/TakeInRule.java
@@ -53,7 +53,7 @@
     replies.stream()
         .filter(reply -> reply.knowledge() == WorkKnowledge.NEVER_TAKEN)
         .forEach(reply -> unsure.remove(reply.instance()));
-    boolean never = lately.complete() && !lately.ownEarlierLife() && unsure.isEmpty();
+    boolean never = lately.complete() && !lately.ownEarlierIncarnation() && unsure.isEmpty();
     return never ? Step.RUN : Step.RUN_AFTER_EARLIER_TRY;
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
@@ -8,7 +8,7 @@
 import org.hickorypier.core.model.Resources;
 import org.hickorypier.core.model.WorkItem;
 import org.hickorypier.core.model.WorkKey;
-import org.hickorypier.core.routing.PeerRoom;
+import org.hickorypier.core.routing.PeerCapacity;
 import org.hickorypier.core.routing.Route;
 import org.hickorypier.core.routing.Router;
 import org.hickorypier.core.scheduling.Scheduler;
@@ -85,14 +85,14 @@
       Resources free =
           new Resources(digest.milliProcessors(), digest.memoryMebibytes(), digest.accelerators());
       int waiting = digest.waiting().stream().mapToInt(Integer::intValue).sum();
-      PeerRoom room = new PeerRoom(digest.taking(), free, digest.slots(), waiting);
-      router.digest(peer.name(), room, timers.nowMillis());
+      PeerCapacity room = new PeerCapacity(digest.taking(), free, digest.slots(), waiting);
+      router.recordDigest(peer.name(), room, timers.nowMillis());
     }
   }
 
   @Override
   public void down(PeerIdentity peer) {
-    router.down(peer.name());
+    router.removePeer(peer.name());
   }
 
   private void look() {
@@ -127,9 +127,9 @@
   // run a second time beside that: the history makes the home ask for it first.
   private void noteResult(WorkKey key, String peer, WorkResult result) {
     if (result.refusal().isPresent()) {
-      router.refused(peer);
+      router.recordRefusal(peer);
     } else if (result.outcome() == Outcome.UNKNOWN) {
-      history.sentTo(key.toString(), peer, timers.nowMillis());
+      history.recordLostForward(key.toString(), peer, timers.nowMillis());
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/job/JournalService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/job/JournalService.java
@@ -83,6 +83,6 @@
   @Override
   public void onUnreadable(long offset, byte[] data, UndecodableException reason) {
     LOGGER.log(Level.WARNING, "journal: offset {0} cannot be read, passed over", offset);
-    journal.passOver(offset);
+    journal.skip(offset);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/membership/Membership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/membership/Membership.java
@@ -50,7 +50,7 @@
             .filter(instance -> instance.kind() == InstanceKind.ENTRY)
             .map(Membership::member)
             .toList();
-    view.listed(entries, timers.nowMillis());
+    view.updateListed(entries, timers.nowMillis());
   }
 
   /**
@@ -59,17 +59,17 @@
    * @param names all drained instances and workers
    */
   public void onDrains(Set<String> names) {
-    view.drained(names);
+    view.updateDrained(names);
   }
 
   @Override
   public void up(PeerIdentity peer) {
-    view.up(peer.name(), peer.incarnation(), timers.nowMillis());
+    view.recordLinkUp(peer.name(), peer.incarnation(), timers.nowMillis());
   }
 
   @Override
   public void down(PeerIdentity peer) {
-    view.down(peer.name(), timers.nowMillis());
+    view.recordLinkDown(peer.name(), timers.nowMillis());
   }
 
   /**
@@ -78,7 +78,7 @@
    * @return their names
    */
   public Set<String> live() {
-    return view.live(timers.nowMillis());
+    return view.liveInstances(timers.nowMillis());
   }
 
   /**
@@ -108,7 +108,7 @@
    * @return the instance's name
    */
   public String wantedController(String worker) {
-    return view.wanted(worker, timers.nowMillis());
+    return view.preferredInstance(worker, timers.nowMillis());
   }
 
   /**
@@ -118,7 +118,7 @@
    * @return the instance's name
    */
   public String home(WorkKey key) {
-    return view.wanted(key.toString(), timers.nowMillis());
+    return view.preferredInstance(key.toString(), timers.nowMillis());
   }
 
   private static ListedMember member(ListedInstance instance) {
--- a/daemon/src/main/java/org/hickorypier/daemon/peer/PeerDialer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/peer/PeerDialer.java
@@ -108,11 +108,11 @@
 
     void ended(long now) {
       if (now - STABLE.toMillis() > linkedMillis) {
-        backOff.afterSuccess();
+        backOff.reset();
       }
       linkedMillis = Long.MAX_VALUE;
       busy = false;
-      nextMillis = now + backOff.afterFailure();
+      nextMillis = now + backOff.nextDelayMillis();
     }
   }
 }
--- a/measure/src/main/java/org/hickorypier/measure/soak/SoakCallers.java
+++ b/measure/src/main/java/org/hickorypier/measure/soak/SoakCallers.java
@@ -19,7 +19,7 @@
 import org.hickorypier.core.submission.StepSpec;
 import org.hickorypier.core.submission.SubmissionSpec;
 import org.hickorypier.core.submission.SubmissionState;
-import org.hickorypier.core.verification.PromiseChecker;
+import org.hickorypier.core.verification.GuaranteeChecker;
 import org.hickorypier.platform.http.HttpReply;
 import org.hickorypier.platform.http.PooledHttpClient;
 import org.hickorypier.platform.http.ServiceAddress;
@@ -59,7 +59,7 @@
   private final PooledHttpClient calls;
   private final StandInPlatform platform;
   private final List<ServiceAddress> fronts;
-  private final PromiseChecker checker;
+  private final GuaranteeChecker checker;
   private final LastingTaskCheck lasting;
   private final Random random;
 
@@ -79,7 +79,7 @@
       Vertx vertx,
       StandInPlatform platform,
       List<ServiceAddress> fronts,
-      PromiseChecker checker,
+      GuaranteeChecker checker,
       LastingTaskCheck lasting,
       long seed) {
     this.vertx = vertx;
@@ -141,7 +141,7 @@
   }
 
   private void handIn(SubmissionSpec spec) {
-    checker.handedIn(spec);
+    checker.recordSubmitted(spec);
     lasting.handedIn(spec);
     attempt(spec, MOST_TRIES, true);
   }
@@ -180,7 +180,7 @@
                     TRY_AGAIN_MILLIS, timer -> attempt(spec, triesLeft - 1, allRefused && refusal));
               } else if (allRefused && refusal) {
                 refused++;
-                checker.refused(spec.id());
+                checker.recordRejected(spec.id());
               }
             });
   }
@@ -218,13 +218,13 @@
         .onSuccess(
             reply -> {
               if (reply.status() == 410 && sentAt > acceptedAt + VISIBLE_MILLIS) {
-                checker.lost(spec.id(), "not known");
+                checker.recordUnfinished(spec.id(), "not known");
                 open.remove(spec.id());
                 return;
               }
               SubmissionState state = reply.status() == 200 ? state(reply) : null;
               if (state != null) {
-                checker.shown(spec.id(), state);
+                checker.checkShownState(spec.id(), state);
               }
               if (state != null && state.isTerminal()) {
                 open.remove(spec.id());
@@ -244,7 +244,7 @@
         .onSuccess(
             reply -> {
               if (reply.status() == 200 && state(reply) == SubmissionState.CANCELLED) {
-                checker.cancelAcknowledged(spec.id());
+                checker.recordCancelAcknowledged(spec.id());
               } else if (reply.status() != 200) {
                 vertx.setTimer(TRY_AGAIN_MILLIS, timer -> cancel(spec));
               }
--- a/measure/src/main/java/org/hickorypier/measure/soak/SoakRun.java
+++ b/measure/src/main/java/org/hickorypier/measure/soak/SoakRun.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.hickorypier.core.verification.PromiseChecker;
+import org.hickorypier.core.verification.GuaranteeChecker;
 import org.hickorypier.measure.fleet.FleetException;
 import org.hickorypier.platform.http.HttpReply;
 import org.hickorypier.platform.http.PooledHttpClient;
@@ -63,7 +63,7 @@
   }
 
   private SoakResult play(Vertx vertx, Path folder) throws SoakException, FleetException {
-    PromiseChecker checker = new PromiseChecker(this::sinceStart);
+    GuaranteeChecker checker = new GuaranteeChecker(this::sinceStart);
     LastingTaskCheck lasting = new LastingTaskCheck(this::sinceStart);
     StandInPlatform platform = new StandInPlatform(vertx, settings.workers(), checker, lasting);
     List<ServiceAddress> fronts = new ArrayList<>();
@@ -87,13 +87,13 @@
     vertx.runOnContext(none -> callers.rest());
     disturber.calm();
     Set<String> left = awaitEnds(vertx, callers, lasting);
-    left.forEach(id -> checker.lost(id, "not at an end after all was calm"));
-    List<String> broken = new ArrayList<>(checker.broken());
+    left.forEach(id -> checker.recordUnfinished(id, "not at an end after all was calm"));
+    List<String> broken = new ArrayList<>(checker.violations());
     broken.addAll(lasting.broken());
     lasting.unsettled().forEach(task -> broken.add(task + " after all was calm"));
     broken.addAll(Waiting.forResult(onLoop(vertx, callers::unlawful)));
     vertx.runOnContext(none -> callers.stop());
-    String summary = callers.summary() + ", " + checker.starts() + " starts";
+    String summary = callers.summary() + ", " + checker.startCount() + " starts";
     summary += settings.release() ? ", " + lasting.summary() : "";
     SoakResult result = new SoakResult(seed, broken, plan, summary);
     if (!broken.isEmpty()) {
--- a/measure/src/main/java/org/hickorypier/measure/soak/StandInPlatform.java
+++ b/measure/src/main/java/org/hickorypier/measure/soak/StandInPlatform.java
@@ -9,7 +9,7 @@
 import org.hickorypier.core.cluster.CustomerAccess;
 import org.hickorypier.core.model.Resources;
 import org.hickorypier.core.submission.QueueTerms;
-import org.hickorypier.core.verification.PromiseChecker;
+import org.hickorypier.core.verification.GuaranteeChecker;
 import org.hickorypier.platform.http.ServiceAddress;
 import org.hickorypier.standins.http.StoreServer;
 import org.hickorypier.standins.main.MonotonicClock;
@@ -46,7 +46,7 @@
   final InMemoryStore store = new InMemoryStore(PARTITIONS, new MonotonicClock());
   private final StandInOperator operator = new StandInOperator(store, HOST, PREFIX, QUEUE);
   final StoreServer storeServer;
-  final PromiseChecker checker;
+  final GuaranteeChecker checker;
   final LastingTaskCheck lasting;
 
   /** The workers that are to stay; those that drain are not here any more. */
@@ -58,7 +58,7 @@
   private int keysGiven;
   private int workersBegun;
 
-  StandInPlatform(Vertx vertx, int workerCount, PromiseChecker checker, LastingTaskCheck lasting)
+  StandInPlatform(Vertx vertx, int workerCount, GuaranteeChecker checker, LastingTaskCheck lasting)
       throws SoakException {
     this.vertx = vertx;
     this.checker = checker;
@@ -66,7 +66,7 @@
     storeServer = new StoreServer(vertx, store);
     storeAddress =
         new ServiceAddress(LOOPBACK, Waiting.forResult(storeServer.listen(0)).actualPort());
-    checker.limit(SMALL, SMALL_LIMIT);
+    checker.setLimit(SMALL, SMALL_LIMIT);
     configure();
     for (int index = 0; index < workerCount; index++) {
       workers.add(newWorker());
@@ -75,7 +75,7 @@
 
   private StandInWorker newWorker() throws SoakException {
     String id = "worker-" + workersBegun++;
-    checker.capacity(id, WORKER);
+    checker.setCapacity(id, WORKER);
     StandInWorker worker = new StandInWorker(vertx, id, this, WORK_UNIT_MILLIS);
     worker.begin();
     return worker;
--- a/measure/src/main/java/org/hickorypier/measure/soak/StandInWorker.java
+++ b/measure/src/main/java/org/hickorypier/measure/soak/StandInWorker.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 import org.hickorypier.core.cell.RunEnd;
 import org.hickorypier.core.cell.RunKey;
+import org.hickorypier.core.verification.GuaranteeChecker;
 import org.hickorypier.core.verification.ObservedRun;
-import org.hickorypier.core.verification.PromiseChecker;
 import org.hickorypier.platform.execution.TaskNames;
 import org.hickorypier.platform.http.ServiceAddress;
 import org.hickorypier.standins.executor.InMemoryExecutor;
@@ -45,7 +45,7 @@
   private final Vertx vertx;
   private final String id;
   private final InMemoryStore store;
-  private final PromiseChecker checker;
+  private final GuaranteeChecker checker;
   private final LastingTaskCheck lasting;
   private final long workUnitMillis;
   private ServiceAddress address;
@@ -193,24 +193,25 @@
 
     @Override
     public void started(String task, int run) {
-      checker.started(observed(task, run));
+      checker.recordStart(observed(task, run));
       lasting.started(observed(task, run));
     }
 
     @Override
     public void ended(String task, int run, String how) {
-      checker.ended(observed(task, run), RunEnd.valueOf(how.toUpperCase(Locale.ROOT)));
+      checker.recordEnd(observed(task, run), RunEnd.valueOf(how.toUpperCase(Locale.ROOT)));
       lasting.ended(observed(task, run));
     }
 
     @Override
     public void forgotten(String task, int run, String how) {
-      checker.noted(observed(task, run), RunEnd.valueOf(how.toUpperCase(Locale.ROOT)));
+      checker.recordEndAcknowledged(
+          observed(task, run), RunEnd.valueOf(how.toUpperCase(Locale.ROOT)));
     }
 
     @Override
     public void lapsed() {
-      checker.lapsed(id);
+      checker.recordLeaseExpired(id);
     }
   }
 }
