--- a/core/src/main/java/org/hickorypier/core/membership/FormerHomes.java
+++ b/core/src/main/java/org/hickorypier/core/membership/FormerHomes.java
@@ -3,25 +3,25 @@
 import java.util.Set;
 
 /**
- * Who may have taken work in before its present home.
+ * The instances that may have accepted work before its present home did.
  *
  * <p>Immutable.
  *
- * @param others the other instances that were its home
- * @param ownEarlierIncarnation whether an earlier incarnation of this instance was
- * @param complete whether no other instance can have been; false if not enough is known
+ * @param others the other instances that were home of the work
+ * @param ownEarlierIncarnation whether an earlier incarnation of this instance was its home
+ * @param complete whether no further instance can have been its home; false if not enough is known
  */
 public record FormerHomes(Set<String> others, boolean ownEarlierIncarnation, boolean complete) {
 
-  /** Copies the set. */
+  /** Creates an immutable copy of the set. */
   public FormerHomes {
     others = Set.copyOf(others);
   }
 
   /**
-   * Tells whether the present home is certain to be the only one.
+   * Returns whether the present home is certain to be the only one.
    *
-   * @return true if nobody else can have taken the work in
+   * @return true if no other incarnation can have accepted the work
    */
   public boolean areRuledOut() {
     return complete && !ownEarlierIncarnation && others.isEmpty();
--- a/core/src/main/java/org/hickorypier/core/membership/FreshnessProof.java
+++ b/core/src/main/java/org/hickorypier/core/membership/FreshnessProof.java
@@ -3,40 +3,41 @@
 import java.util.Collection;
 
 /**
- * How old the configuration of this instance can be at the most.
+ * Bounds the staleness of this instance's configuration.
  *
- * <p>Failure: an instance cut off from the log goes on taking work for a key that was withdrawn.
- * Three things prove that nothing newer was in force at a moment: reading to the end of the log;
- * the word of a peer that holds no newer state and has such a proof itself; and the word of every
- * listed instance that it holds nothing newer, for a change is only acknowledged by an instance
- * which has folded it. The third keeps all of them working while the log is down for all.
+ * <p>Without the bound, an instance that is partitioned from the log would keep accepting work for
+ * an API key that was withdrawn. Three observations prove that nothing newer was in force at a
+ * moment: a read to the end of the log; the answer of a peer that holds no newer state and has such
+ * a proof itself; and the answers of all listed instances that they hold nothing newer, because
+ * only an instance that has applied a change acknowledges it. The third one keeps all instances
+ * working while the log is unavailable to all of them.
  *
- * <p>A proof counts from the moment the question was sent, on this instance's own monotonic clock.
- * So an answer that lay in a socket while the process was paused proves nothing recent. Belongs to
- * the control thread.
+ * <p>A proof counts from the moment at which the query was sent, on this instance's own monotonic
+ * clock, so an answer that waited in a socket while the process was paused proves nothing recent.
+ * Confined to the control thread.
  */
 public final class FreshnessProof {
 
-  private boolean proved;
-  private long provedMillis;
+  private boolean hasProof;
+  private long newestProofMillis;
 
   /**
-   * Takes in that the end of the log was read.
+   * Records that the end of the log was read.
    *
-   * @param sentMillis when the read was sent
+   * @param sentMillis the time at which the read was sent, in milliseconds
    */
   public void recordLogRead(long sentMillis) {
-    prove(sentMillis);
+    recordProof(sentMillis);
   }
 
   /**
-   * Takes in one round of answers from peers.
+   * Records one round of answers from peers.
    *
-   * @param sentMillis when the questions were sent
-   * @param ownOffset the offset that this instance had folded when the answers were in
-   * @param askedAll whether every other listed instance was asked
-   * @param answers the answers that came; one for each instance asked if all came
-   * @param asked how many instances were asked
+   * @param sentMillis the time at which the queries were sent, in milliseconds
+   * @param ownOffset the offset that this instance had applied when the answers had arrived
+   * @param askedAll whether every other listed instance was queried
+   * @param answers the answers that arrived; one for each queried instance if all arrived
+   * @param asked the number of instances queried
    */
   public void recordPeerRound(
       long sentMillis,
@@ -49,28 +50,28 @@
       if (answer.offset() > ownOffset) {
         nothingNewer = false;
       } else if (answer.ageMillis() != PeerFreshness.NEVER) {
-        prove(sentMillis - answer.ageMillis());
+        recordProof(sentMillis - answer.ageMillis());
       }
     }
     if (askedAll && asked > 0 && answers.size() == asked && nothingNewer) {
-      prove(sentMillis);
+      recordProof(sentMillis);
     }
   }
 
   /**
-   * Returns for how long changes may have been missed.
+   * Returns how old the newest proof is: changes since then may have been missed.
    *
-   * @param now the time
-   * @return milliseconds, {@link Long#MAX_VALUE} if nothing was ever proved
+   * @param now the time in milliseconds
+   * @return the age in milliseconds, {@link Long#MAX_VALUE} if there is no proof yet
    */
   public long ageMillis(long now) {
-    return proved ? Math.max(0, now - provedMillis) : Long.MAX_VALUE;
+    return hasProof ? Math.max(0, now - newestProofMillis) : Long.MAX_VALUE;
   }
 
-  private void prove(long millis) {
-    if (!proved || millis > provedMillis) {
-      proved = true;
-      provedMillis = millis;
+  private void recordProof(long millis) {
+    if (!hasProof || millis > newestProofMillis) {
+      hasProof = true;
+      newestProofMillis = millis;
     }
   }
 }
--- a/core/src/main/java/org/hickorypier/core/membership/HomeHistory.java
+++ b/core/src/main/java/org/hickorypier/core/membership/HomeHistory.java
@@ -13,66 +13,68 @@
 import org.hickorypier.wire.message.HomeViews;
 
 /**
- * Remembers which instances were candidates for homes, to find those that were home of some work
- * before, and says how far back it can tell.
+ * Records which instances were candidates for homes, to find the former homes of a key, and how far
+ * back the record is complete.
  *
- * <p>Load: 260 restarts a day move a part of all keys to another home, several times an hour.
- * Failure prevented: a caller repeats a request while its first attempt still runs; the new home
- * has never heard of it and would run it a second time, or call it not run. It is enough to ask the
- * former homes, because only a home takes work in, and because no synchronous request runs longer
- * than the history reaches back. An instance that has just started, or was paused for so long that
- * the others took it for gone, learns from them what it missed; until then nothing is certain.
+ * <p>260 restarts a day move a part of all keys to another home, several times an hour. If a caller
+ * retries a request while its first attempt still runs, the new home does not know the request and
+ * would run it a second time, or report it as not run. Asking the former homes is enough, because
+ * only a home accepts work, and because no synchronous request runs longer than the history is
+ * retained. An instance that has just started, or was paused for so long that its peers considered
+ * it dead, learns from them what it missed; until then its answers are not complete.
  *
- * <p>Belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 public final class HomeHistory {
 
-  /** A flapping link must not fill the memory; what is dropped is not known any more. */
-  private static final int VIEWS_KEPT = 64;
+  /** Bounds the memory when a link flaps; the history is incomplete before a dropped view. */
+  private static final int MAX_VIEWS = 64;
 
   private static final long EVER = Long.MIN_VALUE;
 
   private final String own;
-  private final long keepMillis;
+  private final long retentionMillis;
   private final long interruptionMillis;
   private final Deque<View> views = new ArrayDeque<>();
-  private final Map<Set<String>, View> learned = new HashMap<>();
+  private final Map<Set<String>, View> earlierViews = new HashMap<>();
 
-  /** Views of others since this instance notes, such as that of one that had no link yet. */
-  private final Map<Set<String>, View> beside = new HashMap<>();
+  /** Views that peers held while this instance recorded, such as those of a peer not yet linked. */
+  private final Map<Set<String>, View> concurrentViews = new HashMap<>();
 
-  private final Set<String> heard = new HashSet<>();
-  private final Map<String, Lost> lostWith = new HashMap<>();
-  private long unbrokenSinceMillis;
-  private long knownSinceMillis;
-  private long lastNotedMillis;
-  private boolean markHeardFromAllPeers;
+  private final Set<String> mergedPeers = new HashSet<>();
+  private final Map<String, LostForward> lostForwards = new HashMap<>();
+  private long uninterruptedSinceMillis;
+  private long completeSinceMillis;
+  private long lastRecordedMillis;
+  private boolean heardFromAllPeers;
 
   /**
-   * Creates a history that knows nothing of the time before.
+   * Creates an empty history, which is incomplete before the present time.
    *
    * @param own this instance's name
-   * @param keepMillis how far back it reaches, at least the longest run of a synchronous request
-   * @param interruptionMillis after so long without a note the others may have taken this instance
-   *     for gone
+   * @param retentionMillis how long views are retained, at least the longest run of a synchronous
+   *     request
+   * @param interruptionMillis after this time without a record the peers may have considered this
+   *     instance dead
    * @param now the time
    */
-  public HomeHistory(String own, long keepMillis, long interruptionMillis, long now) {
+  public HomeHistory(String own, long retentionMillis, long interruptionMillis, long now) {
     this.own = own;
-    this.keepMillis = keepMillis;
+    this.retentionMillis = retentionMillis;
     this.interruptionMillis = interruptionMillis;
-    beginAnew(now);
+    restartRecord(now);
   }
 
   /**
-   * Notes the present candidates. Cheap if they have not changed; to be called regularly.
+   * Records the present candidates. The caller invokes this regularly; it is cheap if they have not
+   * changed.
    *
-   * @param candidates the instances that new work is homed at
+   * @param candidates the instances that can be home of new work
    * @param now the time
    */
   public void recordCandidates(Set<String> candidates, long now) {
-    lookForInterruption(now);
-    lastNotedMillis = now;
+    checkForInterruption(now);
+    lastRecordedMillis = now;
     View last = views.peekLast();
     if (last != null && last.candidates.equals(candidates)) {
       return;
@@ -81,160 +83,161 @@
       last.endedMillis = now;
     }
     views.addLast(new View(Set.copyOf(candidates), now));
-    forget(now);
+    removeExpired(now);
   }
 
   /**
-   * Notes that work was sent to an instance which was lost before it answered.
+   * Records that work was sent to an instance which was lost before it answered.
    *
    * @param key the key
    * @param instance the instance
    * @param now the time
    */
   public void recordLostForward(String key, String instance, long now) {
-    lostWith.put(key, new Lost(instance, now));
+    lostForwards.put(key, new LostForward(instance, now));
   }
 
   /**
-   * Tells another instance what is known here.
+   * Returns the recorded views, to be sent to another instance.
    *
    * @param now the time
-   * @return the views, with their ages
+   * @return the views, with their ages in milliseconds
    */
   public HomeViews snapshot(long now) {
-    lookForInterruption(now);
-    forget(now);
-    List<HomeViews.View> told = new ArrayList<>();
-    learned.values().forEach(view -> told.add(view.told(now)));
-    views.forEach(view -> told.add(view.told(now)));
-    long knownFor = knownSinceMillis == EVER ? HomeViews.EVER : now - knownSinceMillis;
-    return new HomeViews(knownFor, told);
+    checkForInterruption(now);
+    removeExpired(now);
+    List<HomeViews.View> exported = new ArrayList<>();
+    earlierViews.values().forEach(view -> exported.add(view.toHomeView(now)));
+    views.forEach(view -> exported.add(view.toHomeView(now)));
+    long knownFor = completeSinceMillis == EVER ? HomeViews.EVER : now - completeSinceMillis;
+    return new HomeViews(knownFor, exported);
   }
 
   /**
-   * Takes in what another instance knows of the time before this one began to note.
+   * Merges another instance's history, which covers the time before this one began to record.
    *
    * @param instance the instance
-   * @param told what it knows
+   * @param peerViews the views that it recorded
    * @param now the time
    */
-  public void mergePeerHistory(String instance, HomeViews told, long now) {
-    heard.add(instance);
-    for (HomeViews.View past : told.views()) {
+  public void mergePeerHistory(String instance, HomeViews peerViews, long now) {
+    mergedPeers.add(instance);
+    for (HomeViews.View past : peerViews.views()) {
       View view = new View(Set.copyOf(past.candidates()), now - past.sinceMillis());
       view.endedMillis = now - past.endedMillis();
-      if (view.sinceMillis <= unbrokenSinceMillis) {
-        view.endedMillis = Math.min(view.endedMillis, unbrokenSinceMillis);
-        learned.merge(view.candidates, view, View::join);
+      if (view.sinceMillis <= uninterruptedSinceMillis) {
+        view.endedMillis = Math.min(view.endedMillis, uninterruptedSinceMillis);
+        earlierViews.merge(view.candidates, view, View::merge);
       } else {
-        beside.merge(view.candidates, view, View::join);
+        concurrentViews.merge(view.candidates, view, View::merge);
       }
     }
-    boolean ever = told.knownForMillis() == HomeViews.EVER;
-    long since = ever ? EVER : now - told.knownForMillis();
-    knownSinceMillis = Math.min(knownSinceMillis, since);
+    boolean ever = peerViews.knownForMillis() == HomeViews.EVER;
+    long since = ever ? EVER : now - peerViews.knownForMillis();
+    completeSinceMillis = Math.min(completeSinceMillis, since);
   }
 
   /**
-   * Returns which instances are still to be heard. Until they are nothing is certain: one that has
-   * just appeared may have been home by its own view alone.
+   * Returns the instances whose history is not merged yet. Until it is, this history is incomplete:
+   * an instance that has just appeared may have been home by its own view alone.
    *
    * @param others the other instances that look live
-   * @return those that have not told yet what they know
+   * @return those whose history is missing
    */
   public Set<String> awaitedPeers(Set<String> others) {
-    heard.retainAll(others);
+    mergedPeers.retainAll(others);
     Set<String> missing = new TreeSet<>(others);
-    missing.removeAll(heard);
-    markHeardFromAllPeers &= missing.isEmpty();
+    missing.removeAll(mergedPeers);
+    heardFromAllPeers &= missing.isEmpty();
     return missing;
   }
 
-  /** Notes that every other instance has told what it knows. */
+  /** Records that the histories of all other instances are merged. */
   public void markHeardFromAllPeers() {
-    markHeardFromAllPeers = true;
+    heardFromAllPeers = true;
   }
 
-  /** Notes that no instance was lost before the present ones: what they have told is all. */
+  /** Records that no instance was lost before the present ones, so their histories are complete. */
   public void markHistoryComplete() {
-    knownSinceMillis = EVER;
+    completeSinceMillis = EVER;
   }
 
   /**
-   * Tells whether every other instance has told what it knows since this one began to note.
+   * Returns whether all other histories were merged since this instance began to record.
    *
    * @param now the time
-   * @return false for a moment after the start, and after a long pause
+   * @return false for a short time after the start and after a long pause
    */
   public boolean hasHeardFromAllPeers(long now) {
-    lookForInterruption(now);
-    return markHeardFromAllPeers;
+    checkForInterruption(now);
+    return heardFromAllPeers;
   }
 
   /**
-   * Tells whether nobody else can have become home of this instance's work unnoticed since a time.
+   * Returns whether no other instance can have become home of this instance's work unnoticed since
+   * a time.
    *
    * @param sinceMillis the time
    * @param now the present time
-   * @return false if the notes were interrupted after that time
+   * @return false if the record was interrupted after that time
    */
   public boolean isUninterruptedSince(long sinceMillis, long now) {
-    lookForInterruption(now);
-    return unbrokenSinceMillis <= sinceMillis;
+    checkForInterruption(now);
+    return uninterruptedSinceMillis <= sinceMillis;
   }
 
   /**
-   * Returns who was home of a key and may still be running it.
+   * Returns the former homes of a key that may still be running it.
    *
    * @param key the key
    * @param now the time
-   * @return nobody in quiet times
+   * @return the former homes; none unless the candidates changed or the history is incomplete
    */
   public FormerHomes formerHomes(String key, long now) {
-    return formerHomes(key, now, keepMillis);
+    return formerHomes(key, now, retentionMillis);
   }
 
   /**
-   * Returns who was home of a key within a time.
+   * Returns the former homes of a key within a period.
    *
    * @param key the key
    * @param now the time
-   * @param backMillis how far to look back
-   * @return nobody in quiet times
+   * @param backMillis the length of the period in milliseconds, back from the present
+   * @return the former homes; none unless the candidates changed or the history is incomplete
    */
   public FormerHomes formerHomes(String key, long now, long backMillis) {
-    lookForInterruption(now);
-    forget(now);
+    checkForInterruption(now);
+    removeExpired(now);
     Set<String> homes = new TreeSet<>();
     addHomes(homes, views, key, now - backMillis);
-    addHomes(homes, beside.values(), key, now - backMillis);
-    Lost lost = lostWith.get(key);
+    addHomes(homes, concurrentViews.values(), key, now - backMillis);
+    LostForward lost = lostForwards.get(key);
     if (lost != null && lost.sinceMillis >= now - backMillis) {
       homes.add(lost.instance);
     }
     homes.remove(own);
-    Set<String> before = new TreeSet<>();
-    addHomes(before, learned.values(), key, now - backMillis);
-    final boolean ownEarlierLife = before.remove(own);
-    homes.addAll(before);
-    boolean complete = markHeardFromAllPeers && knownSinceMillis <= now - backMillis;
-    return new FormerHomes(homes, ownEarlierLife, complete);
+    Set<String> earlierHomes = new TreeSet<>();
+    addHomes(earlierHomes, earlierViews.values(), key, now - backMillis);
+    final boolean ownEarlierIncarnation = earlierHomes.remove(own);
+    homes.addAll(earlierHomes);
+    boolean complete = heardFromAllPeers && completeSinceMillis <= now - backMillis;
+    return new FormerHomes(homes, ownEarlierIncarnation, complete);
   }
 
   /**
-   * Tells whether an instance has been home of a key for some time.
+   * Returns whether an instance has been the only home of a key for some time.
    *
    * @param instance the instance
    * @param key the key
    * @param now the time
-   * @param sinceMillis for how long
-   * @return false if another was home meanwhile, or if the notes do not reach back so far
+   * @param sinceMillis the length of the period in milliseconds
+   * @return false if another instance was home meanwhile, or if the record begins later
    */
   public boolean hasBeenSoleHome(String instance, String key, long now, long sinceMillis) {
-    lookForInterruption(now);
+    checkForInterruption(now);
     Set<String> homes = new TreeSet<>();
     addHomes(homes, views, key, now - sinceMillis);
-    return homes.equals(Set.of(instance)) && unbrokenSinceMillis <= now - sinceMillis;
+    return homes.equals(Set.of(instance)) && uninterruptedSinceMillis <= now - sinceMillis;
   }
 
   private static void addHomes(Set<String> homes, Collection<View> among, String key, long since) {
@@ -245,42 +248,43 @@
     }
   }
 
-  private void lookForInterruption(long now) {
-    if (now - lastNotedMillis > interruptionMillis) {
-      beginAnew(now);
+  private void checkForInterruption(long now) {
+    if (now - lastRecordedMillis > interruptionMillis) {
+      restartRecord(now);
     }
   }
 
-  private void beginAnew(long now) {
+  private void restartRecord(long now) {
     View last = views.peekLast();
     if (last != null) {
       last.endedMillis = now;
     }
-    // What was noted belongs to the time before now, like what the others will tell.
-    views.forEach(view -> learned.merge(view.candidates, view, View::join));
+    // The recorded views precede the interruption, as do those that the peers will send.
+    views.forEach(view -> earlierViews.merge(view.candidates, view, View::merge));
     views.clear();
-    beside.forEach((candidates, view) -> learned.merge(candidates, view, View::join));
-    beside.clear();
-    heard.clear();
-    markHeardFromAllPeers = false;
-    unbrokenSinceMillis = now;
-    knownSinceMillis = now;
-    lastNotedMillis = now;
+    concurrentViews.forEach(
+        (candidates, view) -> earlierViews.merge(candidates, view, View::merge));
+    concurrentViews.clear();
+    mergedPeers.clear();
+    heardFromAllPeers = false;
+    uninterruptedSinceMillis = now;
+    completeSinceMillis = now;
+    lastRecordedMillis = now;
   }
 
-  private void forget(long now) {
-    lostWith.values().removeIf(lost -> now - lost.sinceMillis > keepMillis);
-    learned.values().removeIf(view -> now - view.endedMillis > keepMillis);
-    beside.values().removeIf(view -> now - view.endedMillis > keepMillis);
-    while (views.size() > 1 && now - views.peekFirst().endedMillis > keepMillis) {
+  private void removeExpired(long now) {
+    lostForwards.values().removeIf(lost -> now - lost.sinceMillis > retentionMillis);
+    earlierViews.values().removeIf(view -> now - view.endedMillis > retentionMillis);
+    concurrentViews.values().removeIf(view -> now - view.endedMillis > retentionMillis);
+    while (views.size() > 1 && now - views.peekFirst().endedMillis > retentionMillis) {
       views.removeFirst();
     }
-    while (views.size() > VIEWS_KEPT) {
-      knownSinceMillis = Math.max(knownSinceMillis, views.removeFirst().endedMillis);
+    while (views.size() > MAX_VIEWS) {
+      completeSinceMillis = Math.max(completeSinceMillis, views.removeFirst().endedMillis);
     }
   }
 
-  private record Lost(String instance, long sinceMillis) {}
+  private record LostForward(String instance, long sinceMillis) {}
 
   private static final class View {
     private final Set<String> candidates;
@@ -292,14 +296,14 @@
       this.sinceMillis = sinceMillis;
     }
 
-    /** Returns one view of the same candidates that lasts from the first to the end of the last. */
-    View join(View other) {
-      View joined = new View(candidates, Math.min(sinceMillis, other.sinceMillis));
-      joined.endedMillis = Math.max(endedMillis, other.endedMillis);
-      return joined;
+    /** Returns a view of the same candidates from the earlier start to the later end. */
+    View merge(View other) {
+      View merged = new View(candidates, Math.min(sinceMillis, other.sinceMillis));
+      merged.endedMillis = Math.max(endedMillis, other.endedMillis);
+      return merged;
     }
 
-    HomeViews.View told(long now) {
+    HomeViews.View toHomeView(long now) {
       long ended = Math.min(endedMillis, now);
       return new HomeViews.View(List.copyOf(candidates), now - sinceMillis, now - ended);
     }
--- a/core/src/main/java/org/hickorypier/core/membership/ListedMember.java
+++ b/core/src/main/java/org/hickorypier/core/membership/ListedMember.java
@@ -5,7 +5,7 @@
  *
  * <p>Immutable.
  *
- * @param name its name
- * @param leaving whether the platform says that it is in graceful shutdown
+ * @param name the instance's name
+ * @param leaving whether the platform reports that it is in graceful shutdown
  */
 public record ListedMember(String name, boolean leaving) {}
--- a/core/src/main/java/org/hickorypier/core/membership/MembershipView.java
+++ b/core/src/main/java/org/hickorypier/core/membership/MembershipView.java
@@ -11,37 +11,38 @@
 import java.util.stream.Collectors;
 
 /**
- * Which entry instances this instance takes for live.
+ * The failure detector of this instance: the entry instances that it considers live.
  *
- * <p>A peer looks live while its link stands, whatever the list says. It looks dead once the link
- * has been down for longer than the peer timeout, or at once if the list names it no more. A listed
- * peer that was never linked looks live for one timeout from when it was first listed, so that an
- * instance that has just started does not claim every worker before it has linked to anybody.
+ * <p>A peer counts as live while its link is up, regardless of the list. It counts as dead once the
+ * link has been down for longer than the peer timeout, or immediately if it is not listed any more.
+ * A listed peer that was never linked counts as live for one timeout after it was first listed, so
+ * that an instance that has just started does not claim every worker before it has any link.
  *
- * <p>The view may be wrong both ways. A live peer looks dead when only the network between the two
- * is cut, or when it is paused past the timeout; then two instances may both take themselves for
- * wanted, and both claim a worker. That costs a refused order and never a double start: the worker
- * grants one control token at a time and refuses every order under a lower one. A dead peer looks
- * live for up to one timeout; its workers are claimed that much later. Nothing may rest on the view
- * that is not checked by the worker's token or by the fold of the log.
+ * <p>The view can be wrong in both directions. A live peer counts as dead when only the network
+ * between the two instances is partitioned, or when it is paused for longer than the timeout; then
+ * two instances may both consider themselves preferred and both claim a worker. The cost is a
+ * refused order and never a double start: the worker grants one control token at a time and refuses
+ * every order under a lower one. A dead peer counts as live for up to one timeout, and its workers
+ * are claimed later by that time. No decision may rely on the view alone: it is also checked by the
+ * worker's token or by the state folded from the log.
  *
- * <p>Not thread safe: it belongs to the control thread. Time is passed in, as milliseconds of this
- * instance's own monotonic clock, so no other instance's clock matters.
+ * <p>Confined to the control thread. Times are milliseconds of this instance's own monotonic clock
+ * and are passed in, so no other instance's clock matters.
  */
 public final class MembershipView {
 
   private final String own;
   private final long timeoutMillis;
   private final Map<String, Member> members = new HashMap<>();
-  private Set<String> updateListed = Set.of();
+  private Set<String> listed = Set.of();
   private Set<String> leaving = Set.of();
-  private Set<String> updateDrained = Set.of();
+  private Set<String> drained = Set.of();
 
   /**
-   * Creates a view that knows only its own instance.
+   * Creates a view that contains only this instance.
    *
    * @param own this instance's name
-   * @param timeoutMillis how long a link may be down before the peer looks dead
+   * @param timeoutMillis how long a link may be down before the peer counts as dead
    */
   public MembershipView(String own, long timeoutMillis) {
     this.own = own;
@@ -49,40 +50,40 @@
   }
 
   /**
-   * Takes in the platform's list of entry instances.
+   * Applies the platform's list of entry instances.
    *
    * @param list the whole list
    * @param now the time
    */
   public void updateListed(Collection<ListedMember> list, long now) {
-    updateListed = list.stream().map(ListedMember::name).collect(Collectors.toUnmodifiableSet());
+    listed = list.stream().map(ListedMember::name).collect(Collectors.toUnmodifiableSet());
     leaving =
         list.stream()
             .filter(ListedMember::leaving)
             .map(ListedMember::name)
             .collect(Collectors.toUnmodifiableSet());
-    for (String name : updateListed) {
+    for (String name : listed) {
       if (!name.equals(own)) {
         members.computeIfAbsent(name, ignored -> new Member(now));
       }
     }
-    members.entrySet().removeIf(entry -> isForgotten(entry.getKey(), entry.getValue(), now));
+    members.entrySet().removeIf(entry -> isRemovable(entry.getKey(), entry.getValue(), now));
   }
 
   /**
-   * Takes in the operators' drains.
+   * Applies the operators' drains.
    *
    * @param names all drained instances and workers
    */
   public void updateDrained(Set<String> names) {
-    updateDrained = Set.copyOf(names);
+    drained = Set.copyOf(names);
   }
 
   /**
-   * Hears that the link to a peer stands.
+   * Records that the link to a peer is up.
    *
    * @param name the peer's name
-   * @param incarnation its incarnation; earlier ones are dead
+   * @param incarnation its incarnation; earlier ones count as dead
    * @param now the time
    */
   public void recordLinkUp(String name, long incarnation, long now) {
@@ -92,7 +93,7 @@
   }
 
   /**
-   * Hears that the link to a peer is gone.
+   * Records that the link to a peer is down.
    *
    * @param name the peer's name
    * @param now the time
@@ -104,7 +105,7 @@
   }
 
   /**
-   * Returns the instances that look live, this one included.
+   * Returns the instances that count as live, this one included.
    *
    * @param now the time
    * @return their names
@@ -122,8 +123,8 @@
   }
 
   /**
-   * Returns the live instances that may be given workers and work: those that are neither leaving
-   * nor drained. If none is left, all live ones, since somebody has to end the work in hand.
+   * Returns the live instances that may be assigned workers and work: those that are neither
+   * leaving nor drained. If there are none, all live ones, so that accepted work can finish.
    *
    * @param now the time
    * @return their names
@@ -132,18 +133,18 @@
     Set<String> live = liveInstances(now);
     Set<String> staying = new HashSet<>(live);
     staying.removeAll(leaving);
-    staying.removeAll(updateDrained);
+    staying.removeAll(drained);
     return staying.isEmpty() ? live : staying;
   }
 
   /**
-   * Tells whether one incarnation of an instance looks live. One that is newer than what was linked
-   * does: its link may not stand yet, and it acts from its first moment.
+   * Returns whether one incarnation of an instance counts as live. An incarnation newer than the
+   * linked one does: it may act before its link is up.
    *
    * @param name the instance's name
    * @param incarnation the incarnation
    * @param now the time
-   * @return false also if a later incarnation has taken its place
+   * @return false also if a later incarnation has replaced it
    */
   public boolean isLive(String name, long incarnation, long now) {
     return Optional.ofNullable(members.get(name))
@@ -153,7 +154,7 @@
   }
 
   /**
-   * Returns the instance that is wanted for a worker or a piece of work.
+   * Returns the preferred instance for a worker or a piece of work.
    *
    * @param key the worker's name, or the text of the work's key
    * @param now the time
@@ -163,7 +164,7 @@
     return RendezvousHash.preferred(candidates(now), key).orElse(own);
   }
 
-  /** Returns how many peers are remembered, live or not. */
+  /** Returns the number of peers that are tracked, live or not. */
   int knownPeerCount() {
     return members.size();
   }
@@ -172,11 +173,11 @@
     if (member.linked) {
       return true;
     }
-    return updateListed.contains(name) && now - member.sinceMillis <= timeoutMillis;
+    return listed.contains(name) && now - member.sinceMillis <= timeoutMillis;
   }
 
-  private boolean isForgotten(String name, Member member, long now) {
-    return !updateListed.contains(name) && !looksLive(name, member, now);
+  private boolean isRemovable(String name, Member member, long now) {
+    return !listed.contains(name) && !looksLive(name, member, now);
   }
 
   private static final class Member {
--- a/core/src/main/java/org/hickorypier/core/membership/PeerFreshness.java
+++ b/core/src/main/java/org/hickorypier/core/membership/PeerFreshness.java
@@ -1,33 +1,33 @@
 package org.hickorypier.core.membership;
 
 /**
- * A peer's word on its configuration.
+ * The state of a peer's configuration, as the peer reports it.
  *
  * <p>Immutable.
  *
- * @param offset the offset that it has folded
- * @param ageMillis its own age by {@link FreshnessProof}, or {@link #NEVER}
+ * @param offset the offset that the peer has applied
+ * @param ageMillis the age in milliseconds of its newest {@link FreshnessProof}, or {@link #NEVER}
  */
 public record PeerFreshness(long offset, long ageMillis) {
 
-  /** The age of an instance that has proved nothing yet. */
+  /** The age of an instance that has no proof yet. */
   public static final long NEVER = Long.MAX_VALUE;
 
   /**
    * Returns the text form used between instances.
    *
-   * @return offset and age, with a space between
+   * @return offset and age, separated by a space
    */
   public String text() {
     return offset + " " + ageMillis;
   }
 
   /**
-   * Reads the text form back.
+   * Parses the text form.
    *
    * @param text the text form
-   * @return the word
-   * @throws NumberFormatException if the text is not such a form
+   * @return the reported state
+   * @throws NumberFormatException if the text is not in this form
    */
   public static PeerFreshness parse(String text) {
     int space = text.indexOf(' ');
--- a/core/src/test/java/org/hickorypier/core/membership/FreshnessProofTest.java
+++ b/core/src/test/java/org/hickorypier/core/membership/FreshnessProofTest.java
@@ -14,33 +14,35 @@
   private final FreshnessProof proof = new FreshnessProof();
 
   @Test
-  void nothingIsProvedAtFirst() {
+  void newInstanceHasNoProof() {
     assertThat(proof.ageMillis(5_000)).isEqualTo(Long.MAX_VALUE);
   }
 
-  // The log is down for this instance only. Its callers see no break: a peer that reads the log
-  // vouches for it. The age is the peer's plus the time since the question was sent.
+  // The log is unavailable to this instance only. Its callers are not affected: a peer that reads
+  // the log proves the freshness. The age is the peer's age plus the time since the query was sent.
   @ParameterizedTest
   @CsvSource({
-    "10, 300, 1500, a peer as new as we are",
-    "9, 300, 1500, a peer behind us",
-    "11, 300, 9223372036854775807, a peer that holds something newer proves nothing",
+    "10, 300, 1500, a peer at the same offset",
+    "9, 300, 1500, a peer at an older offset",
+    "11, 300, 9223372036854775807, a peer at a newer offset proves nothing",
   })
-  void peerVouches(long offset, long age, long expected, String because) {
+  void peerProvesFreshnessDuringLocalLogOutage(
+      long offset, long age, long expected, String because) {
     proof.recordPeerRound(4_000, OWN_OFFSET, false, List.of(new PeerFreshness(offset, age)), 3);
 
     assertThat(proof.ageMillis(5_200)).as(because).isEqualTo(expected);
   }
 
-  // The log is down for all. Nobody can have acknowledged a change, so all go on; as soon as one
-  // listed instance does not answer it may be the one that hears the log, and the age grows.
+  // The log is unavailable to all instances. None can have acknowledged a change, so all keep
+  // working. If one listed instance does not answer, it may be the one that reads the log, and the
+  // age grows.
   @ParameterizedTest
   @CsvSource({
     "true, 2, 1000, all listed instances answer",
     "true, 3, 9223372036854775807, one does not answer",
-    "false, 2, 9223372036854775807, not all could be asked",
+    "false, 2, 9223372036854775807, not all could be queried",
   })
-  void unanimousOutageKeepsEverybodyGoing(
+  void unanimousAnswersProveFreshnessDuringLogOutage(
       boolean askedAll, int asked, long expected, String because) {
     List<PeerFreshness> answers =
         List.of(
@@ -51,17 +53,18 @@
     assertThat(proof.ageMillis(5_000)).as(because).isEqualTo(expected);
   }
 
-  // The process is paused with a peer's answer in its socket. When it wakes, a withdrawn key would
-  // still work if the answer counted from its arrival; it counts from when the question was sent.
+  // The process is paused while a peer's answer waits in its socket. If the answer counted from its
+  // arrival, a withdrawn key would still work after the pause; it counts from when the query was
+  // sent.
   @Test
-  void answerThatLayInTheSocketProvesNothingRecent() {
+  void answerDelayedByPauseProvesNothingRecent() {
     proof.recordPeerRound(1_000, OWN_OFFSET, false, List.of(new PeerFreshness(10, 0)), 1);
 
     assertThat(proof.ageMillis(61_000)).isEqualTo(60_000);
   }
 
   @Test
-  void olderProofDoesNotReplaceNewerOne() {
+  void olderProofDoesNotReplaceNewerProof() {
     proof.recordLogRead(5_000);
     proof.recordLogRead(3_000);
 
--- a/core/src/test/java/org/hickorypier/core/membership/HomeHistoryTest.java
+++ b/core/src/test/java/org/hickorypier/core/membership/HomeHistoryTest.java
@@ -7,18 +7,17 @@
 import org.hickorypier.wire.message.HomeViews;
 import org.junit.jupiter.api.Test;
 
-/** What an instance can say of the homes that a key had. */
 class HomeHistoryTest {
 
-  private static final long KEEP_MILLIS = 60_000;
+  private static final long RETENTION_MILLIS = 60_000;
   private static final long INTERRUPTION_MILLIS = 1_500;
   private static final long START_MILLIS = 100_000;
   private static final Set<String> BOTH = Set.of("entry-1", "entry-2");
   private static final Set<String> ALL = Set.of("entry-1", "entry-2", "entry-3");
 
-  /** Guards against a second run at an instance that joined, and takes its empty memory for all. */
+  /** Guards against a second run at a new instance that considers its empty history complete. */
   @Test
-  void newcomerIsCertainOfNothingBeforeItIsTaught() {
+  void newInstanceIsIncompleteBeforePeersReport() {
     HomeHistory history = history("entry-3", ALL);
 
     FormerHomes former = history.formerHomes("norte/r1", START_MILLIS);
@@ -28,7 +27,7 @@
   }
 
   @Test
-  void newcomerLearnsWhoWasHomeBefore() {
+  void newInstanceLearnsFormerHomesFromPeer() {
     HomeHistory old = history("entry-1", BOTH);
     old.markHistoryComplete();
     old.markHeardFromAllPeers();
@@ -44,15 +43,17 @@
   }
 
   /**
-   * Guards against "not run" at an instance that started anew and has forgotten its former life.
+   * Guards against the answer "not run" from a restarted instance that has lost the memory of its
+   * earlier incarnation.
    */
   @Test
-  void restartedInstanceKnowsThatItsEarlierLifeWasHome() {
+  void restartedInstanceReportsItsEarlierIncarnationAsHome() {
     HomeHistory old = history("entry-1", ALL);
     old.markHistoryComplete();
     old.markHeardFromAllPeers();
     final String own = keyOf("entry-3", ALL);
-    HomeHistory history = new HomeHistory("entry-3", KEEP_MILLIS, INTERRUPTION_MILLIS, later(500));
+    HomeHistory history =
+        new HomeHistory("entry-3", RETENTION_MILLIS, INTERRUPTION_MILLIS, later(500));
     history.recordCandidates(ALL, later(500));
 
     history.mergePeerHistory("entry-1", old.snapshot(later(500)), later(500));
@@ -61,57 +62,61 @@
     assertThat(history.formerHomes(own, later(500)).ownEarlierIncarnation()).isTrue();
   }
 
-  /** Guards against an instance that wakes from a pause and takes its homes for its own still. */
+  /** Guards against an instance that resumes from a pause and still considers itself home. */
   @Test
-  void pausedInstanceIsCertainOfNothingUntilItIsTaughtAgain() {
+  void pausedInstanceIsIncompleteUntilPeersReportAgain() {
     HomeHistory history = history("entry-1", BOTH);
     history.markHistoryComplete();
     history.markHeardFromAllPeers();
     assertThat(history.formerHomes(keyOf("entry-1", BOTH), START_MILLIS).areRuledOut()).isTrue();
 
-    long woken = later(INTERRUPTION_MILLIS + 1);
+    long resumedMillis = later(INTERRUPTION_MILLIS + 1);
 
-    assertThat(history.formerHomes(keyOf("entry-1", BOTH), woken).areRuledOut()).isFalse();
-    assertThat(history.isUninterruptedSince(START_MILLIS, woken)).isFalse();
+    assertThat(history.formerHomes(keyOf("entry-1", BOTH), resumedMillis).areRuledOut()).isFalse();
+    assertThat(history.isUninterruptedSince(START_MILLIS, resumedMillis)).isFalse();
     assertThat(history.awaitedPeers(Set.of("entry-2"))).containsExactly("entry-2");
   }
 
   @Test
-  void whatOnlyOneYoungInstanceTellsIsNotComplete() {
+  void historyOfOneRecentlyStartedPeerIsNotComplete() {
     HomeHistory history = history("entry-3", ALL);
-    HomeViews young =
-        new HomeViews(KEEP_MILLIS / 2, List.of(new HomeViews.View(List.of("entry-1"), 30_000, 0)));
+    HomeViews recentlyStarted =
+        new HomeViews(
+            RETENTION_MILLIS / 2, List.of(new HomeViews.View(List.of("entry-1"), 30_000, 0)));
 
-    history.mergePeerHistory("entry-1", young, START_MILLIS);
+    history.mergePeerHistory("entry-1", recentlyStarted, START_MILLIS);
     history.markHeardFromAllPeers();
 
-    assertThat(history.formerHomes("norte/r1", START_MILLIS, KEEP_MILLIS).complete()).isFalse();
-    assertThat(history.formerHomes("norte/r1", START_MILLIS, KEEP_MILLIS / 4).complete()).isTrue();
+    assertThat(history.formerHomes("norte/r1", START_MILLIS, RETENTION_MILLIS).complete())
+        .isFalse();
+    assertThat(history.formerHomes("norte/r1", START_MILLIS, RETENTION_MILLIS / 4).complete())
+        .isTrue();
   }
 
-  /** Guards against a second run of what an instance took in before it had a link to this one. */
+  /** Guards against a second run of work that a peer accepted before it was linked to this one. */
   @Test
-  void instanceThatAppearsTellsWhatItTookInAlone() {
+  void newPeerReportsHomesFromBeforeItsLink() {
     HomeHistory history = history("entry-1", Set.of("entry-1"));
     history.markHistoryComplete();
     history.markHeardFromAllPeers();
-    final String taken = keyOf("entry-1", BOTH);
-    HomeHistory alone = new HomeHistory("entry-2", KEEP_MILLIS, INTERRUPTION_MILLIS, later(500));
-    alone.recordCandidates(Set.of("entry-2"), later(500));
-    alone.recordCandidates(BOTH, later(1_000));
+    final String accepted = keyOf("entry-1", BOTH);
+    HomeHistory unlinked =
+        new HomeHistory("entry-2", RETENTION_MILLIS, INTERRUPTION_MILLIS, later(500));
+    unlinked.recordCandidates(Set.of("entry-2"), later(500));
+    unlinked.recordCandidates(BOTH, later(1_000));
     history.recordCandidates(BOTH, later(1_000));
 
     assertThat(history.awaitedPeers(Set.of("entry-2"))).containsExactly("entry-2");
-    assertThat(history.formerHomes(taken, later(1_000)).areRuledOut()).isFalse();
-    history.mergePeerHistory("entry-2", alone.snapshot(later(1_100)), later(1_100));
+    assertThat(history.formerHomes(accepted, later(1_000)).areRuledOut()).isFalse();
+    history.mergePeerHistory("entry-2", unlinked.snapshot(later(1_100)), later(1_100));
     history.markHeardFromAllPeers();
 
-    assertThat(history.formerHomes(taken, later(1_100)).others()).containsExactly("entry-2");
-    assertThat(history.formerHomes(taken, later(1_100)).ownEarlierIncarnation()).isFalse();
+    assertThat(history.formerHomes(accepted, later(1_100)).others()).containsExactly("entry-2");
+    assertThat(history.formerHomes(accepted, later(1_100)).ownEarlierIncarnation()).isFalse();
   }
 
   @Test
-  void homeOfLongAgoIsForgotten() {
+  void formerHomeExpiresAfterRetention() {
     HomeHistory history = history("entry-1", BOTH);
     history.markHistoryComplete();
     history.markHeardFromAllPeers();
@@ -119,15 +124,15 @@
     history.recordCandidates(Set.of("entry-1"), later(1_000));
     assertThat(history.formerHomes(lost, later(1_000)).others()).containsExactly("entry-2");
 
-    for (long passed = 2_000; passed <= KEEP_MILLIS + 2_000; passed += 1_000) {
+    for (long passed = 2_000; passed <= RETENTION_MILLIS + 2_000; passed += 1_000) {
       history.recordCandidates(Set.of("entry-1"), later(passed));
     }
 
-    assertThat(history.formerHomes(lost, later(KEEP_MILLIS + 2_000)).areRuledOut()).isTrue();
+    assertThat(history.formerHomes(lost, later(RETENTION_MILLIS + 2_000)).areRuledOut()).isTrue();
   }
 
   private static HomeHistory history(String own, Set<String> candidates) {
-    HomeHistory history = new HomeHistory(own, KEEP_MILLIS, INTERRUPTION_MILLIS, START_MILLIS);
+    HomeHistory history = new HomeHistory(own, RETENTION_MILLIS, INTERRUPTION_MILLIS, START_MILLIS);
     history.recordCandidates(candidates, START_MILLIS);
     return history;
   }
--- a/core/src/test/java/org/hickorypier/core/membership/MembershipViewTest.java
+++ b/core/src/test/java/org/hickorypier/core/membership/MembershipViewTest.java
@@ -11,22 +11,22 @@
 
 class MembershipViewTest {
 
-  private static final long TIMEOUT = 3_000;
+  private static final long TIMEOUT_MILLIS = 3_000;
 
-  private final MembershipView view = new MembershipView("a", TIMEOUT);
+  private final MembershipView view = new MembershipView("a", TIMEOUT_MILLIS);
 
   @ParameterizedTest
   @CsvSource({
-    // listed, linked until, now, live
-    "true, -1, 3000, true", // listed at 0, never linked, still in its first timeout
-    "true, -1, 3001, false", // never linked, timeout over
+    // listed, linked until (ms), now (ms), live
+    "true, -1, 3000, true", // listed at 0, never linked, within its first timeout
+    "true, -1, 3001, false", // never linked, timeout expired
     "true, 99999, 90000, true", // linked
-    "false, 99999, 90000, true", // linked, the list lags
+    "false, 99999, 90000, true", // linked, the list is outdated
     "true, 5000, 8000, true", // link down, within the timeout
-    "true, 5000, 8001, false", // link down, timeout over
+    "true, 5000, 8001, false", // link down, timeout expired
     "false, 5000, 5000, false", // link down and no longer listed
   })
-  void peerLooksLive(boolean listed, long linkedUntil, long now, boolean live) {
+  void peerIsLiveByLinkListAndTimeout(boolean listed, long linkedUntil, long now, boolean live) {
     view.updateListed(list("a", "b"), 0);
     if (linkedUntil >= 0) {
       view.recordLinkUp("b", 1, 0);
@@ -42,10 +42,10 @@
     assertThat(view.isLive("b", 1, now)).isEqualTo(live);
   }
 
-  // An instance is killed and restarted under its name before anyone missed it. Its tasks belong to
-  // the old incarnation, which has to look dead at once, or nobody would adopt them.
+  // An instance is killed and restarted under the same name before its timeout expires. Its tasks
+  // belong to the old incarnation, which must count as dead at once, or no instance adopts them.
   @Test
-  void restartedPeerIsLiveAndItsOldIncarnationDead() {
+  void restartedPeerIsLiveAndItsOldIncarnationIsDead() {
     view.updateListed(list("a", "b"), 0);
     view.recordLinkUp("b", 1, 0);
     view.recordLinkDown("b", 100);
@@ -55,20 +55,20 @@
     assertThat(view.isLive("b", 2, 300)).isTrue();
   }
 
-  // A new incarnation was fenced off at once by those to whom it had not linked yet, and started
-  // anew.
+  // Guards against a restart loop: peers to which a new incarnation has not linked yet fence it at
+  // once, and it starts again.
   @Test
-  void incarnationThatHasNotLinkedYetIsNotTakenForDead() {
+  void newIncarnationIsLiveBeforeItsLinkIsUp() {
     view.updateListed(list("a", "b"), 0);
     view.recordLinkUp("b", 1, 0);
     view.recordLinkDown("b", 100);
 
-    assertThat(view.isLive("b", 2, 100 + TIMEOUT)).isTrue();
-    assertThat(view.isLive("b", 2, 101 + TIMEOUT)).isFalse();
+    assertThat(view.isLive("b", 2, 100 + TIMEOUT_MILLIS)).isTrue();
+    assertThat(view.isLive("b", 2, 101 + TIMEOUT_MILLIS)).isFalse();
   }
 
   @Test
-  void leavingAndDrainedPeersAreLiveButGetNothingNew() {
+  void leavingAndDrainedPeersAreLiveButNotCandidates() {
     view.updateListed(
         List.of(
             new ListedMember("a", false),
@@ -83,22 +83,22 @@
     assertThat(view.candidates(0)).containsExactlyInAnyOrder("a", "b", "c");
   }
 
-  // All instances start together. Without the first timeout each would take itself for the only
-  // one, claim every worker, and hand most of them over again seconds later.
+  // All instances start together. Without the first timeout each one would consider itself the only
+  // live instance, claim every worker, and hand most of them over seconds later.
   @Test
-  void startingInstanceDoesNotWantEverything() {
+  void startingInstanceDoesNotClaimEveryWorker() {
     view.updateListed(list("a", "b", "c", "d"), 0);
 
-    long wanted =
+    long preferred =
         java.util.stream.IntStream.range(0, 100)
             .filter(index -> view.preferredInstance("worker-" + index, 10).equals("a"))
             .count();
 
-    assertThat(wanted).isBetween(10L, 40L);
+    assertThat(preferred).isBetween(10L, 40L);
   }
 
   @Test
-  void goneMembersAreForgotten() {
+  void unlistedDeadPeersAreRemoved() {
     for (int index = 0; index < 1_000; index++) {
       view.recordLinkUp("x" + index, 1, index);
       view.recordLinkDown("x" + index, index);
--- a/core/src/test/java/org/hickorypier/core/membership/RendezvousHashTest.java
+++ b/core/src/test/java/org/hickorypier/core/membership/RendezvousHashTest.java
@@ -15,16 +15,16 @@
 
   @ParameterizedTest
   @CsvSource({"8, 60, 2.0", "8, 4200, 1.15", "60, 4200, 1.4", "60, 42000, 1.15"})
-  void loadIsBalanced(int instances, int keys, double worst) {
+  void loadIsBalanced(int instances, int keys, double worstRatio) {
     Map<String, Long> load = load(names(instances), keys);
 
     double mean = (double) keys / instances;
     assertThat(load).hasSize(instances);
-    assertThat(load.values()).allMatch(count -> count <= worst * mean);
+    assertThat(load.values()).allMatch(count -> count <= worstRatio * mean);
   }
 
   @Test
-  void leaverMovesOnlyItsOwnKeys() {
+  void leavingInstanceMovesOnlyItsOwnKeys() {
     List<String> all = names(8);
     List<String> without = all.stream().filter(name -> !name.equals("entry-3")).toList();
 
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void joinerTakesItsShareAndNothingElseMoves() {
+  void joiningInstanceTakesItsShareAndNoOtherKeyMoves() {
     List<String> before = names(8);
     List<String> after = names(9);
     List<String> moved =
@@ -51,14 +51,14 @@
     assertThat(moved.size()).isBetween(4_200 / 9 * 85 / 100, 4_200 / 9 * 115 / 100);
   }
 
-  // Two versions of the program run side by side during a rollout. If they drew different numbers
-  // they would take each other's workers back and forth.
+  // Two versions of the program run side by side during a rollout. If their scores differed, they
+  // would claim each other's workers repeatedly.
   @Test
-  void numbersStayAsTheyAreBetweenVersions() {
+  void scoresDoNotChangeBetweenVersions() {
     assertThat(
             IntStream.range(0, 8)
                 .mapToObj(index -> RendezvousHash.preferred(names(8), "w" + index)))
-        .map(first -> first.orElseThrow())
+        .map(preferred -> preferred.orElseThrow())
         .containsExactly(
             "entry-7", "entry-5", "entry-5", "entry-1", "entry-4", "entry-2", "entry-7", "entry-6");
   }
