--- a/core/src/main/java/org/hickorypier/core/routing/BackOff.java
+++ b/core/src/main/java/org/hickorypier/core/routing/BackOff.java
@@ -3,56 +3,59 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait before the next try: doubled after each failure up to a limit, with jitter.
+ * Exponential backoff with jitter: the delay doubles after each failure up to a limit.
  *
- * <p>Load it is made for: an instance comes back after an outage and many callers or peers try
- * again. Without the jitter all of them come back in the same moment and bring it down once more,
- * so each wait is drawn from the upper half of its step. The lower half stays unused, so that a
- * series of short draws cannot turn into a burst.
+ * <p>When an instance recovers from an outage, many callers or peers retry. Without jitter all of
+ * them retry at the same moment and overload it again, so each delay is drawn from the upper half
+ * of its step. The lower half is not used, so that a series of short draws cannot become a burst.
  *
- * <p>Not thread safe. All draws come from the generator given, so a seeded one repeats them. Seeds
- * that lie close together, as those of instances may, need a generator that mixes its seed, such as
- * {@link java.util.SplittableRandom}: the first draws of {@code Random} are alike.
+ * <p>Not thread-safe. All draws come from the given generator, so a seeded one reproduces them.
+ * Seeds that are close together, as those of instances may be, need a generator that mixes its
+ * seed, such as {@link java.util.SplittableRandom}: the first draws of {@code Random} are alike.
  */
 public final class BackOff {
 
   private static final int MAX_DOUBLINGS = 30;
 
-  private final long firstMillis;
-  private final long limitMillis;
+  private final long initialStepMillis;
+  private final long maxStepMillis;
   private final RandomGenerator random;
   private int failures;
 
   /**
-   * Creates a back-off that has seen no failure.
+   * Creates a backoff without failures.
    *
-   * @param firstMillis the step after the first failure, at least 2
-   * @param limitMillis the longest step
-   * @param random where the jitter comes from
+   * @param initialStepMillis the step after the first failure in milliseconds, at least 2
+   * @param maxStepMillis the longest step in milliseconds
+   * @param random the source of the jitter
    */
-  public BackOff(long firstMillis, long limitMillis, RandomGenerator random) {
-    if (firstMillis < 2 || limitMillis < firstMillis) {
-      throw new IllegalArgumentException("back-off of " + firstMillis + " to " + limitMillis);
+  public BackOff(long initialStepMillis, long maxStepMillis, RandomGenerator random) {
+    if (initialStepMillis < 2 || maxStepMillis < initialStepMillis) {
+      throw new IllegalArgumentException(
+          "invalid backoff range in ms: " + initialStepMillis + " to " + maxStepMillis);
     }
-    this.firstMillis = firstMillis;
-    this.limitMillis = limitMillis;
+    this.initialStepMillis = initialStepMillis;
+    this.maxStepMillis = maxStepMillis;
     this.random = random;
   }
 
   /**
-   * Counts a failure.
+   * Records a failure and returns the delay before the next attempt.
    *
-   * @return how long to wait before the next try, in milliseconds
+   * @return the delay in milliseconds
    */
   public long nextDelayMillis() {
     int doublings = Math.min(failures, MAX_DOUBLINGS);
     failures++;
-    long step = limitMillis >> doublings < firstMillis ? limitMillis : firstMillis << doublings;
+    long step =
+        maxStepMillis >> doublings < initialStepMillis
+            ? maxStepMillis
+            : initialStepMillis << doublings;
     long half = step / 2;
     return half + random.nextLong(step - half + 1);
   }
 
-  /** Forgets the failures. */
+  /** Records a success: the next failure counts as the first one. */
   public void reset() {
     failures = 0;
   }
--- a/core/src/main/java/org/hickorypier/core/routing/PeerCapacity.java
+++ b/core/src/main/java/org/hickorypier/core/routing/PeerCapacity.java
@@ -3,22 +3,22 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * What a peer's digest says of its room.
+ * The free capacity that a peer's digest reports.
  *
  * <p>Immutable.
  *
- * @param acceptsWork whether it takes new work
- * @param free what is free on its workers, added up
- * @param freeSlots slots free on its workers, added up
- * @param waitingTasks tasks that wait there already
+ * @param acceptsWork whether the peer accepts new work
+ * @param free the total of the free resources on its workers
+ * @param freeSlots the total of the free slots on its workers
+ * @param waitingTasks the number of tasks that already wait there
  */
 public record PeerCapacity(boolean acceptsWork, Resources free, int freeSlots, int waitingTasks) {
 
   /**
-   * Returns how many tasks of a size have room, by the sums alone.
+   * Returns how many tasks of a size fit, according to the totals.
    *
-   * @param size what one task declares
-   * @return the number of tasks; the peer may still refuse, as the room may be in pieces
+   * @param size the resources that one task declares
+   * @return the number of tasks; the peer may still refuse, as its capacity may be fragmented
    */
   public long tasksThatFit(Resources size) {
     long fitting = acceptsWork ? freeSlots : 0;
--- a/core/src/main/java/org/hickorypier/core/routing/RetryBudget.java
+++ b/core/src/main/java/org/hickorypier/core/routing/RetryBudget.java
@@ -4,59 +4,60 @@
 import java.util.Map;
 
 /**
- * How many retries each team may cause: a fraction of its first attempts.
+ * Limits the retries of each team to a fraction of its first attempts.
  *
- * <p>Load it is made for: workers or peers fail most of what they are sent. Without a bound every
- * failure would become another attempt and the load would double when it hurts most; a fraction of
- * a tenth keeps it at 1.1 times the callers' own. A token bucket for each team, so that one team's
- * failing work uses up no other's retries. A new team begins with a full bucket, so that the first
- * failure of a quiet team can be retried; the bucket's size bounds a burst after a calm.
+ * <p>When workers or peers fail most of the work that they are sent, an unbounded retry would turn
+ * every failure into another attempt and double the load during the outage; a fraction of a tenth
+ * keeps the load at 1.1 times that of the callers. Each team has its own token bucket, so that its
+ * failing work does not use up the retries of other teams. A new team starts with a full bucket, so
+ * that the first failure of a team with little work can be retried; the size of the bucket bounds a
+ * burst after a period without failures.
  *
- * <p>Not thread safe: it belongs to the control thread. It needs no time.
+ * <p>Confined to the control thread. It does not depend on time.
  */
 public final class RetryBudget {
 
   private final double fraction;
-  private final double burst;
+  private final double maxTokens;
   private final Map<String, Double> tokens = new HashMap<>();
 
   /**
-   * Creates full budgets.
+   * Creates the budgets, with a full bucket for each team.
    *
-   * @param fraction retries allowed for each first attempt
-   * @param burst the most retries that a team may save up
+   * @param fraction the number of retries allowed for each first attempt
+   * @param maxTokens the capacity of a bucket, in retries
    */
-  public RetryBudget(double fraction, int burst) {
+  public RetryBudget(double fraction, int maxTokens) {
     this.fraction = fraction;
-    this.burst = burst;
+    this.maxTokens = maxTokens;
   }
 
   /**
-   * Counts a first attempt.
+   * Records a first attempt.
    *
    * @param team the team
    */
   public void recordFirstAttempt(String team) {
-    tokens.computeIfPresent(team, (name, saved) -> Math.min(burst, saved + fraction));
+    tokens.computeIfPresent(team, (name, available) -> Math.min(maxTokens, available + fraction));
   }
 
   /**
-   * Takes a retry out of the team's budget.
+   * Takes one retry from a team's budget.
    *
    * @param team the team
-   * @return false if the budget is used up; the work is then not retried
+   * @return false if the budget is exhausted; the work is then not retried
    */
   public boolean tryTakeRetry(String team) {
-    double saved = tokens.getOrDefault(team, burst);
-    if (saved < 1) {
+    double available = tokens.getOrDefault(team, maxTokens);
+    if (available < 1) {
       return false;
     }
-    tokens.put(team, saved - 1);
+    tokens.put(team, available - 1);
     return true;
   }
 
   /**
-   * Forgets a team that is gone.
+   * Removes the bucket of a deleted team.
    *
    * @param team the team
    */
--- a/core/src/main/java/org/hickorypier/core/routing/RetryPolicy.java
+++ b/core/src/main/java/org/hickorypier/core/routing/RetryPolicy.java
@@ -4,13 +4,13 @@
 import org.hickorypier.core.model.WorkItem;
 
 /**
- * Decides whether and when a failed attempt is made again.
+ * Decides whether and when a failed attempt is retried.
  *
  * <p>Invariants: work that is not idempotent and may have run is never retried; no retry begins
- * after the deadline; a team's retries stay within its {@link RetryBudget}. The budget is asked
- * last, so a retry that cannot be made uses none of it.
+ * after the deadline; a team's retries stay within its {@link RetryBudget}. The budget is checked
+ * last, so a retry that is ruled out consumes none of it.
  *
- * <p>Not thread safe: it belongs to the control thread.
+ * <p>Confined to the control thread.
  */
 public final class RetryPolicy {
 
@@ -26,24 +26,24 @@
   }
 
   /**
-   * Decides about the next attempt.
+   * Returns the delay before the next attempt, and consumes budget if there is one.
    *
    * @param item the work
    * @param mayHaveRun whether the failed attempt may have had an effect
-   * @param backOff the work's own back-off; the failure is counted in it
-   * @param now the time
-   * @return how long to wait before the next attempt, or empty if there is to be none
+   * @param backOff the backoff of this work, in which the failure is recorded
+   * @param now the time in milliseconds
+   * @return the delay in milliseconds, or empty if the work is not retried
    */
   public OptionalLong nextAttemptDelayMillis(
       WorkItem item, boolean mayHaveRun, BackOff backOff, long now) {
     if (mayHaveRun && !item.idempotent()) {
       return OptionalLong.empty();
     }
-    long wait = backOff.nextDelayMillis();
-    boolean inTime = now + wait < item.deadlineMillis();
-    if (!inTime || !budget.tryTakeRetry(item.key().team())) {
+    long delayMillis = backOff.nextDelayMillis();
+    boolean beforeDeadline = now + delayMillis < item.deadlineMillis();
+    if (!beforeDeadline || !budget.tryTakeRetry(item.key().team())) {
       return OptionalLong.empty();
     }
-    return OptionalLong.of(wait);
+    return OptionalLong.of(delayMillis);
   }
 }
--- a/core/src/main/java/org/hickorypier/core/routing/Route.java
+++ b/core/src/main/java/org/hickorypier/core/routing/Route.java
@@ -1,21 +1,21 @@
 package org.hickorypier.core.routing;
 
-/** Where a piece of work goes next. Immutable. */
+/** The routing decision for a piece of work. Immutable. */
 public sealed interface Route {
 
-  /** It is placed on a worker of this instance now. */
+  /** The work is placed on workers of this instance now. */
   record Local() implements Route {}
 
   /**
-   * It is handed to a peer that seems to have room.
+   * The work is forwarded to a peer that reports enough free capacity.
    *
    * @param peer the peer's name
    */
   record Forward(String peer) implements Route {}
 
-  /** It waits here, at its home. */
+  /** The work is queued at this instance, its home. */
   record Queue() implements Route {}
 
-  /** It goes back to its home, which queues it; it may not be handed on any further. */
+  /** The work is returned to its home, which queues it; it must not be forwarded any further. */
   record Return() implements Route {}
 }
--- a/core/src/main/java/org/hickorypier/core/routing/Router.java
+++ b/core/src/main/java/org/hickorypier/core/routing/Router.java
@@ -9,31 +9,34 @@
 import org.hickorypier.core.model.WorkItem;
 
 /**
- * Chooses where a request is run: on this instance's own workers, on a peer's, or later.
+ * Decides where a request runs: on this instance's own workers, on those of a peer, or later.
  *
- * <p>Load it is made for: this instance is full while others are not, and many instances look for
- * room in the same second with digests up to a second old. Own workers go first, since each hop
- * costs a round trip. Else two peers with room are drawn and the better one is taken. Taking the
- * emptiest of all would be the harm: every instance sees the same digests and all would send a
- * second's worth of work to the same peer. Drawing two keeps what each peer is sent near its fair
- * part, however old the digests. What was sent to a peer since its last digest is taken off its
- * room, so one instance alone cannot overfill it either.
+ * <p>This instance may be full while others are not, and many instances look for free capacity in
+ * the same second with digests up to a second old. Local workers are preferred, since each hop
+ * costs a round trip. Otherwise the router uses the power of two choices: it draws two peers with
+ * enough capacity and takes the better one. Choosing the peer with the most free capacity would
+ * cause herding: every instance sees the same digests, and all would send a second's worth of work
+ * to the same peer. Drawing two keeps the load of each peer near its fair share, however old the
+ * digests are. Work sent to a peer since its last digest is deducted from its capacity, so one
+ * instance alone cannot overfill the peer either.
  *
- * <p>It cannot loop: work travels from where it entered to its home, and from there to one peer, so
- * it is handed on {@link #MAX_HOPS} times at the most; a peer without room returns it to the home,
- * which queues it.
+ * <p>Routing cannot loop: work moves from the instance where it entered to its home, and from there
+ * to one peer, so it is forwarded at most {@link #MAX_HOPS} times; a peer without capacity returns
+ * it to the home, which queues it.
  *
- * <p>Not thread safe: it belongs to the control thread. Time is passed in.
+ * <p>Confined to the control thread. Time is passed in.
  */
 public final class Router {
 
-  /** Entry to home, home to peer. A third hop would cost more than the wait in the queue. */
+  /**
+   * From entry to home and from home to peer; a third hop costs more than the wait in the queue.
+   */
   public static final int MAX_HOPS = 2;
 
   /**
-   * Digests come every second at 8 instances and every 5 s at 60. A peer whose link has been dead
-   * is known within 3.5 s anyway; this limit is for one that lives and has stopped telling its
-   * room.
+   * The age at which a digest is ignored. Digests arrive every second with 8 instances and every 5
+   * s with 60. A dead link is detected within 3.5 s, so this limit is for a peer that is live but
+   * does not send digests any more.
    */
   public static final long MAX_DIGEST_AGE_MILLIS = 12_000;
 
@@ -41,27 +44,27 @@
   private final Map<String, Peer> peers = new HashMap<>();
 
   /**
-   * Creates a router that knows no peer.
+   * Creates a router without peers.
    *
-   * @param random draws the peers
+   * @param random the source of randomness for drawing peers
    */
   public Router(RandomGenerator random) {
     this.random = random;
   }
 
   /**
-   * Takes in a peer's digest. What was sent there before is in it, or comes back.
+   * Records a peer's digest. Work sent there before is either counted in it or is returned.
    *
    * @param peer the peer's name
-   * @param room its room
+   * @param capacity the free capacity that it reports
    * @param now the time
    */
-  public void recordDigest(String peer, PeerCapacity room, long now) {
-    peers.put(peer, new Peer(peer, room, now));
+  public void recordDigest(String peer, PeerCapacity capacity, long now) {
+    peers.put(peer, new Peer(peer, capacity, now));
   }
 
   /**
-   * Forgets a peer.
+   * Removes a peer whose link is down.
    *
    * @param peer the peer's name
    */
@@ -70,7 +73,8 @@
   }
 
   /**
-   * Hears that a peer had no room after all. Until its next digest it is sent nothing.
+   * Records that a peer refused work for lack of capacity. It is sent nothing until its next
+   * digest.
    *
    * @param peer the peer's name
    */
@@ -82,14 +86,14 @@
   }
 
   /**
-   * Chooses where a piece of work goes.
+   * Chooses the route of a piece of work.
    *
    * @param item the work
-   * @param hops how many times it was handed on so far
+   * @param hops how many times it has been forwarded so far
    * @param atHome whether this instance is its home
-   * @param fitsHere whether all its tasks can be placed on own workers now
+   * @param fitsHere whether all its tasks can be placed on local workers now
    * @param now the time
-   * @return the choice; a forward is counted against the peer's room
+   * @return the route; the work of a forward is deducted from the peer's capacity
    */
   public Route route(WorkItem item, int hops, boolean atHome, boolean fitsHere, long now) {
     if (fitsHere) {
@@ -101,67 +105,67 @@
     if (hops >= MAX_HOPS) {
       return new Route.Queue();
     }
-    List<Peer> withRoom = withRoom(item, now);
-    if (withRoom.isEmpty()) {
+    List<Peer> withCapacity = withCapacity(item, now);
+    if (withCapacity.isEmpty()) {
       return new Route.Queue();
     }
-    Peer chosen = betterOfTwo(withRoom, item.resources());
-    chosen.forwarded(item);
+    Peer chosen = betterOfTwo(withCapacity, item.resources());
+    chosen.deduct(item);
     return new Route.Forward(chosen.name);
   }
 
-  private List<Peer> withRoom(WorkItem item, long now) {
-    List<Peer> withRoom = new ArrayList<>();
+  private List<Peer> withCapacity(WorkItem item, long now) {
+    List<Peer> withCapacity = new ArrayList<>();
     for (Peer peer : peers.values()) {
-      boolean useful = !peer.refused && now - peer.digestMillis <= MAX_DIGEST_AGE_MILLIS;
-      if (useful && peer.room.tasksThatFit(item.resources()) >= item.tasks()) {
-        withRoom.add(peer);
+      boolean usable = !peer.refused && now - peer.digestMillis <= MAX_DIGEST_AGE_MILLIS;
+      if (usable && peer.capacity.tasksThatFit(item.resources()) >= item.tasks()) {
+        withCapacity.add(peer);
       }
     }
-    return withRoom;
+    return withCapacity;
   }
 
-  private Peer betterOfTwo(List<Peer> withRoom, Resources size) {
-    int first = random.nextInt(withRoom.size());
-    if (withRoom.size() == 1) {
-      return withRoom.get(first);
+  private Peer betterOfTwo(List<Peer> withCapacity, Resources size) {
+    int first = random.nextInt(withCapacity.size());
+    if (withCapacity.size() == 1) {
+      return withCapacity.get(first);
     }
-    int step = 1 + random.nextInt(withRoom.size() - 1);
-    Peer one = withRoom.get(first);
-    Peer other = withRoom.get((first + step) % withRoom.size());
-    return one.merit(size) >= other.merit(size) ? one : other;
+    int step = 1 + random.nextInt(withCapacity.size() - 1);
+    Peer one = withCapacity.get(first);
+    Peer other = withCapacity.get((first + step) % withCapacity.size());
+    return one.score(size) >= other.score(size) ? one : other;
   }
 
   private static final class Peer {
     private final String name;
     private final long digestMillis;
-    private PeerCapacity room;
+    private PeerCapacity capacity;
     private boolean refused;
 
-    Peer(String name, PeerCapacity room, long digestMillis) {
+    Peer(String name, PeerCapacity capacity, long digestMillis) {
       this.name = name;
-      this.room = room;
+      this.capacity = capacity;
       this.digestMillis = digestMillis;
     }
 
-    // What waits there will take room before what we send.
-    long merit(Resources size) {
-      return room.tasksThatFit(size) - room.waitingTasks();
+    // The tasks that wait at the peer take its capacity before newly forwarded ones.
+    long score(Resources size) {
+      return capacity.tasksThatFit(size) - capacity.waitingTasks();
     }
 
-    void forwarded(WorkItem item) {
+    void deduct(WorkItem item) {
       Resources size = item.resources();
       Resources taken =
           new Resources(
-              Math.min(room.free().milliProcessors(), size.milliProcessors() * item.tasks()),
-              Math.min(room.free().memoryMebibytes(), size.memoryMebibytes() * item.tasks()),
-              Math.min(room.free().accelerators(), size.accelerators() * item.tasks()));
-      room =
+              Math.min(capacity.free().milliProcessors(), size.milliProcessors() * item.tasks()),
+              Math.min(capacity.free().memoryMebibytes(), size.memoryMebibytes() * item.tasks()),
+              Math.min(capacity.free().accelerators(), size.accelerators() * item.tasks()));
+      capacity =
           new PeerCapacity(
-              room.acceptsWork(),
-              room.free().minus(taken),
-              room.freeSlots() - item.tasks(),
-              room.waitingTasks());
+              capacity.acceptsWork(),
+              capacity.free().minus(taken),
+              capacity.freeSlots() - item.tasks(),
+              capacity.waitingTasks());
     }
   }
 }
--- a/core/src/test/java/org/hickorypier/core/routing/BackOffTest.java
+++ b/core/src/test/java/org/hickorypier/core/routing/BackOffTest.java
@@ -12,19 +12,20 @@
 
   @ParameterizedTest
   @CsvSource({"0, 50, 100", "1, 100, 200", "2, 200, 400", "6, 2500, 5000", "200, 2500, 5000"})
-  void stepDoublesUpToTheLimit(int failuresBefore, long least, long most) {
+  void stepDoublesUpToTheLimit(int failuresBefore, long minMillis, long maxMillis) {
     for (int seed = 0; seed < 50; seed++) {
       BackOff backOff = new BackOff(100, 5_000, new SplittableRandom(seed));
       LongStream.range(0, failuresBefore).forEach(ignored -> backOff.nextDelayMillis());
 
-      assertThat(backOff.nextDelayMillis()).isBetween(least, most);
+      assertThat(backOff.nextDelayMillis()).isBetween(minMillis, maxMillis);
     }
   }
 
-  // 100 peers lose the same instance in the same moment. If they all came back after the same
-  // wait, the returning instance would meet 100 handshakes at once.
+  // 100 peers lose the same instance at the same moment. If all of them retried after the same
+  // delay,
+  // the recovered instance would receive 100 handshakes at once.
   @Test
-  void waitsAreSpread() {
+  void delaysAreSpreadByJitter() {
     long different =
         LongStream.range(0, 100)
             .map(seed -> new BackOff(1_000, 8_000, new SplittableRandom(seed)).nextDelayMillis())
@@ -35,7 +36,7 @@
   }
 
   @Test
-  void successStartsOver() {
+  void successRestartsAtFirstStep() {
     BackOff backOff = new BackOff(100, 5_000, new SplittableRandom(1));
     LongStream.range(0, 5).forEach(ignored -> backOff.nextDelayMillis());
     backOff.reset();
--- a/core/src/test/java/org/hickorypier/core/routing/RetryPolicyTest.java
+++ b/core/src/test/java/org/hickorypier/core/routing/RetryPolicyTest.java
@@ -14,22 +14,23 @@
 
 class RetryPolicyTest {
 
-  private static final long DEADLINE = 10_000;
+  private static final long DEADLINE_MILLIS = 10_000;
 
   private final RetryBudget budget = new RetryBudget(0.1, 3);
   private final RetryPolicy policy = new RetryPolicy(budget);
 
   @ParameterizedTest
   @CsvSource({
-    // idempotent, may have run, now, retried
+    // idempotent, may have run, now (ms), retried
     "true, false, 0, true",
     "true, true, 0, true",
     "false, false, 0, true",
     "false, true, 0, false", // it might run twice
-    "true, false, 9900, false", // the wait alone goes past the deadline
+    "true, false, 9900, false", // the delay alone exceeds the deadline
     "true, false, 20000, false",
   })
-  void attemptIsMadeAgain(boolean idempotent, boolean mayHaveRun, long now, boolean retried) {
+  void retriesOnlySafeAttemptsBeforeDeadline(
+      boolean idempotent, boolean mayHaveRun, long now, boolean retried) {
     BackOff backOff = new BackOff(400, 800, new SplittableRandom(1));
 
     assertThat(
@@ -39,10 +40,10 @@
         .isEqualTo(retried);
   }
 
-  // Every worker fails everything for a while. The retries stay a tenth of the first attempts, and
-  // another team's first failure is retried all the same.
+  // Guards against a retry storm when every worker fails all tasks. The retries stay a tenth of the
+  // first attempts, and the first failure of another team is still retried.
   @Test
-  void failingTeamUsesUpOnlyItsOwnRetries() {
+  void failingTeamConsumesOnlyItsOwnRetries() {
     int retries = 0;
     for (int attempt = 0; attempt < 1_000; attempt++) {
       budget.recordFirstAttempt("labels");
@@ -56,7 +57,7 @@
   }
 
   @Test
-  void calmSavesUpNoMoreThanTheBurst() {
+  void budgetIsCappedAtBurstSize() {
     IntStream.range(0, 3).forEach(ignored -> budget.tryTakeRetry("labels"));
     IntStream.range(0, 1_000).forEach(ignored -> budget.recordFirstAttempt("labels"));
 
@@ -73,7 +74,7 @@
         1,
         idempotent,
         0,
-        DEADLINE,
+        DEADLINE_MILLIS,
         50);
   }
 }
--- a/core/src/test/java/org/hickorypier/core/routing/RouterTest.java
+++ b/core/src/test/java/org/hickorypier/core/routing/RouterTest.java
@@ -17,7 +17,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // hops so far, at home, fits here, a peer has room, route
+    // hops so far, at home, fits here, a peer has capacity, route
     "0, true, true, true, Local",
     "1, false, true, true, Local",
     "0, true, false, true, Forward",
@@ -27,20 +27,20 @@
     "1, false, false, true, Return",
     "2, false, false, true, Return",
   })
-  void workGoesWhereItMay(
-      int hops, boolean atHome, boolean fitsHere, boolean peerHasRoom, String route) {
-    router.recordDigest("b", room(peerHasRoom ? 4 : 0), 0);
+  void routeDependsOnHopsHomeAndCapacity(
+      int hops, boolean atHome, boolean fitsHere, boolean peerHasCapacity, String route) {
+    router.recordDigest("b", capacityFor(peerHasCapacity ? 4 : 0), 0);
 
     assertThat(router.route(item(1), hops, atHome, fitsHere, 0).getClass().getSimpleName())
         .isEqualTo(route);
   }
 
-  // However the instances' views differ, a piece of work is handed on twice at the most: only its
-  // home forwards, and only before the second hop.
+  // Guards against a forwarding loop when the instances' views differ: only the home forwards, and
+  // only before the second hop, so work is forwarded at most twice.
   @Test
-  void workCannotLoop() {
-    router.recordDigest("b", room(4), 0);
-    router.recordDigest("c", room(4), 0);
+  void workIsForwardedAtMostTwice() {
+    router.recordDigest("b", capacityFor(4), 0);
+    router.recordDigest("c", capacityFor(4), 0);
 
     for (int hops = 0; hops < 5; hops++) {
       assertThat(router.route(item(1), hops, false, false, 0)).isEqualTo(new Route.Return());
@@ -52,7 +52,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // taking, processors, MiB, accelerators, slots, tasks, digest's age, forwarded
+    // accepts work, milli-processors, MiB, accelerators, slots, tasks, digest age (ms), forwarded
     "true, 8000, 8192, 0, 8, 8, 0, true",
     "true, 8000, 8192, 0, 8, 9, 0, false", // slots and processors for 8
     "true, 7999, 8192, 0, 8, 8, 0, false",
@@ -62,45 +62,45 @@
     "true, 8000, 8192, 0, 8, 1, 12000, true",
     "true, 8000, 8192, 0, 8, 1, 12001, false", // the digest is too old
   })
-  void peerIsChosenOnlyIfTheWorkSeemsToFit(
-      boolean taking,
-      long processors,
-      long memory,
+  void peerIsChosenOnlyIfItReportsEnoughCapacity(
+      boolean acceptsWork,
+      long milliProcessors,
+      long memoryMebibytes,
       int accelerators,
       int slots,
       int tasks,
-      long age,
+      long ageMillis,
       boolean forwarded) {
-    Resources free = new Resources(processors, memory, accelerators);
-    router.recordDigest("b", new PeerCapacity(taking, free, slots, 0), 0);
+    Resources free = new Resources(milliProcessors, memoryMebibytes, accelerators);
+    router.recordDigest("b", new PeerCapacity(acceptsWork, free, slots, 0), 0);
 
-    assertThat(router.route(item(tasks), 0, true, false, age).equals(new Route.Forward("b")))
+    assertThat(router.route(item(tasks), 0, true, false, ageMillis).equals(new Route.Forward("b")))
         .isEqualTo(forwarded);
   }
 
   @Test
-  void ownForwardsCountUntilTheNextDigest() {
-    router.recordDigest("b", room(3), 0);
+  void forwardedWorkIsDeductedUntilNextDigest() {
+    router.recordDigest("b", capacityFor(3), 0);
     for (int count = 0; count < 3; count++) {
       assertThat(router.route(item(1), 0, true, false, 0)).isEqualTo(new Route.Forward("b"));
     }
     assertThat(router.route(item(1), 0, true, false, 0)).isEqualTo(new Route.Queue());
 
-    router.recordDigest("b", room(1), 1_000);
+    router.recordDigest("b", capacityFor(1), 1_000);
     assertThat(router.route(item(1), 0, true, false, 1_000)).isEqualTo(new Route.Forward("b"));
   }
 
   @Test
-  void peerThatRefusedOrIsDownIsLeftAlone() {
-    router.recordDigest("b", room(4), 0);
+  void peerThatRefusedOrIsDownIsNotChosen() {
+    router.recordDigest("b", capacityFor(4), 0);
     router.recordRefusal("b");
     assertThat(router.route(item(1), 0, true, false, 0)).isEqualTo(new Route.Queue());
-    router.recordDigest("b", room(4), 1_000);
+    router.recordDigest("b", capacityFor(4), 1_000);
     router.removePeer("b");
     assertThat(router.route(item(1), 0, true, false, 1_000)).isEqualTo(new Route.Queue());
   }
 
-  static PeerCapacity room(int tasks) {
+  static PeerCapacity capacityFor(int tasks) {
     return new PeerCapacity(true, new Resources(1_000L * tasks, 1_024L * tasks, 0), tasks, 0);
   }
 
