--- a/core/src/main/java/org/hickorypier/core/journal/AttemptKey.java
+++ b/core/src/main/java/org/hickorypier/core/journal/AttemptKey.java
@@ -5,25 +5,26 @@
 import org.hickorypier.core.model.WorkKey;
 
 /**
- * The key under which the decisions see one attempt of one task of journaled work.
+ * The key by which the scheduling decisions identify one attempt of a task of journaled work.
  *
- * <p>Immutable. Each attempt has a key of its own, so an attempt by a new home never looks to a
- * worker like a repeated order of an earlier one. The separator is not allowed in callers' ids.
+ * <p>Immutable. Each attempt has its own key, so a worker cannot mistake an attempt by a new home
+ * for a repeated order of an earlier attempt. The separator is not allowed in request ids of
+ * callers.
  *
  * @param work the work
- * @param index the task, or {@link #WHOLE_GANG}
+ * @param index the task's index, or {@link #WHOLE_GANG}
  * @param attempt the attempt's number
  */
 public record AttemptKey(WorkKey work, int index, int attempt) {
 
-  /** The index that stands for all tasks of a gang, which are attempted together. */
+  /** The index that denotes all tasks of a gang, which are attempted together. */
   public static final int WHOLE_GANG = -1;
 
   private static final char SEPARATOR = '@';
   private static final char NUMBER_SEPARATOR = '.';
 
   /**
-   * Returns the key for the decisions.
+   * Returns the key of this attempt for the scheduling decisions.
    *
    * @return the key
    */
@@ -43,9 +44,9 @@
   }
 
   /**
-   * Returns the identity of the work that a key of the decisions belongs to.
+   * Returns the key of the work that an attempt belongs to.
    *
-   * @param key the key as the decisions see it
+   * @param key the key in the scheduling decisions
    * @return the work of the attempt, or the key itself if the work is not journaled
    */
   public static WorkKey workOf(WorkKey key) {
@@ -53,10 +54,10 @@
   }
 
   /**
-   * Reads a key back.
+   * Parses the key of an attempt.
    *
-   * @param key the key as the decisions see it
-   * @return the attempt, or empty if the work is not journaled
+   * @param key the key in the scheduling decisions
+   * @return the attempt, or empty if the key is not that of journaled work
    */
   public static Optional<AttemptKey> parse(WorkKey key) {
     String text = key.requestId();
--- a/core/src/main/java/org/hickorypier/core/journal/Journal.java
+++ b/core/src/main/java/org/hickorypier/core/journal/Journal.java
@@ -18,25 +18,26 @@
 import org.hickorypier.wire.record.JournalRecord.Ended;
 
 /**
- * The fold of the journal: which work is accepted, which attempts may be running, what has ended.
+ * The state that is folded from the journal: the accepted work, the attempts that may be running,
+ * and the outcomes.
  *
- * <p>Failure prevented: two instances both believe that they are home of the same work and both
- * start it. An attempt is taken only if the task has no open one, whoever asks; both read the same
- * records in the same order, so exactly one of them finds its own attempt open and the other starts
- * nothing.
+ * <p>Two instances may both consider themselves home of the same work and both try to start it. An
+ * attempt is applied only if the task has no open attempt, whichever instance appended it; both
+ * instances read the same records in the same order, so exactly one finds its own attempt open and
+ * the other starts nothing.
  *
- * <p>Deterministic: the same records at the same offsets give the same state at every instance.
- * Belongs to the control thread. Invariant: an offset folds once, and entries leave only by the
- * distance of offsets, never by time.
+ * <p>Deterministic: the same records at the same offsets produce the same state at every instance.
+ * Invariants: each offset is applied once; entries are removed by the distance of offsets, never by
+ * time. Confined to the control thread.
  */
 public final class Journal {
 
-  /** How often a task of idempotent work is attempted; then its last outcome stands. */
+  /** The maximum number of attempts of a task of idempotent work; its last outcome is final. */
   public static final int MAX_ATTEMPTS = 3;
 
   /**
-   * Ended work is remembered for this many records. At the target's 42,000 jobs a day with four
-   * records each that is half a day, long past a caller's last question.
+   * Ended work is retained for this many records. At the target load of 42,000 jobs a day with four
+   * records each this is half a day, long after a caller's last status query.
    */
   static final long RETENTION_OFFSETS = 80_000;
 
@@ -46,11 +47,11 @@
   private long offset = -1;
 
   /**
-   * Folds one record.
+   * Applies one record.
    *
    * @param at the record's offset
    * @param record the record
-   * @return what became of it
+   * @return how the record was applied, or why it was not
    */
   public Verdict apply(long at, JournalRecord record) {
     if (at <= offset) {
@@ -58,12 +59,12 @@
     }
     offset = at;
     Verdict verdict = applyNew(at, record);
-    forget(at);
+    removeExpired(at);
     return verdict;
   }
 
   /**
-   * Passes over a record that cannot be read.
+   * Skips a record that cannot be decoded.
    *
    * @param at the record's offset
    */
@@ -72,19 +73,19 @@
   }
 
   /**
-   * Returns the offset up to which the journal is folded.
+   * Returns the offset of the last record that was applied or skipped.
    *
-   * @return the offset, -1 at first
+   * @return the offset, -1 before the first record
    */
   public long offset() {
     return offset;
   }
 
   /**
-   * Finds work.
+   * Returns the entry of a piece of work.
    *
-   * @param key its identity
-   * @return the entry, or empty if it was never accepted or is forgotten
+   * @param key the key of the work
+   * @return the entry, or empty if the work was never accepted or its entry was removed
    */
   public Optional<JournalEntry> find(WorkKey key) {
     return Optional.ofNullable(entries.get(key));
@@ -93,17 +94,17 @@
   /**
    * Returns all entries.
    *
-   * @return a view, in the order of acceptance
+   * @return an unmodifiable view, in the order of acceptance
    */
   public Collection<JournalEntry> entries() {
     return Collections.unmodifiableCollection(entries.values());
   }
 
   /**
-   * Tells whether an attempt was taken and is still open, so that its start may be ordered.
+   * Returns whether an attempt was applied and is still open, so that its start may be ordered.
    *
    * @param attempt the attempt as it was appended
-   * @return true only for the one attempt that the fold took
+   * @return true only for the one attempt that was applied
    */
   public boolean isOpen(Attempt attempt) {
     return task(attempt, attempt.index())
@@ -167,8 +168,8 @@
     if (isOpen(attempt)) {
       return Verdict.DUPLICATE;
     }
-    boolean free = task.open().isEmpty() && task.outcome().isEmpty() && !entry.isCancelled();
-    if (!free || attempt.attempt() <= task.lastAttempt()) {
+    boolean canBegin = task.open().isEmpty() && task.outcome().isEmpty() && !entry.isCancelled();
+    if (!canBegin || attempt.attempt() <= task.lastAttempt()) {
       return Verdict.CONFLICT;
     }
     task.begin(
@@ -178,7 +179,7 @@
 
   private Verdict closeAttempt(JournalEntry entry, AttemptVoid closed) {
     JournalTask task = task(closed, closed.index()).orElse(null);
-    if (task == null || !isNumber(task, closed.attempt())) {
+    if (task == null || !hasOpenAttempt(task, closed.attempt())) {
       return Verdict.CONFLICT;
     }
     if (entry.isCancelled()) {
@@ -196,17 +197,17 @@
       return Verdict.INVALID;
     }
     boolean neverAttempted = end.attempt() == 0 && task.open().isEmpty();
-    if (task.outcome().isPresent() || !(neverAttempted || isNumber(task, end.attempt()))) {
+    if (task.outcome().isPresent() || !(neverAttempted || hasOpenAttempt(task, end.attempt()))) {
       return Verdict.CONFLICT;
     }
-    boolean again =
+    boolean retry =
         entry.accepted().job()
             && entry.accepted().idempotent()
             && !entry.isCancelled()
             && !neverAttempted
             && outcome.get() != Outcome.COMPLETED
             && end.attempt() < MAX_ATTEMPTS;
-    if (again) {
+    if (retry) {
       task.closeForRetry(outcome.get(), end.detail());
     } else {
       task.end(outcome.get(), end.detail());
@@ -233,7 +234,7 @@
         .map(entry -> entry.tasks().get(index));
   }
 
-  private static boolean isNumber(JournalTask task, int attempt) {
+  private static boolean hasOpenAttempt(JournalTask task, int attempt) {
     return task.open().filter(open -> open.attempt() == attempt).isPresent();
   }
 
@@ -246,19 +247,19 @@
     return Optional.empty();
   }
 
-  private void forget(long at) {
+  private void removeExpired(long at) {
     while (!ended.isEmpty() && ended.peekFirst().lastOffset() < at - RETENTION_OFFSETS) {
       JournalEntry entry = ended.removeFirst();
       entries.remove(entry.key(), entry);
     }
-    // A request that was refused after it had been accepted never ends in the journal.
-    while (!requests.isEmpty() && isForgettable(requests.peekFirst(), at)) {
+    // A request that is refused after its acceptance never gets an end record in the journal.
+    while (!requests.isEmpty() && isExpired(requests.peekFirst(), at)) {
       JournalEntry entry = requests.removeFirst();
       entries.remove(entry.key(), entry);
     }
   }
 
-  private static boolean isForgettable(JournalEntry entry, long at) {
+  private static boolean isExpired(JournalEntry entry, long at) {
     return entry.lastOffset() < at - RETENTION_OFFSETS && !entry.hasOpenAttempt();
   }
 }
--- a/core/src/main/java/org/hickorypier/core/journal/JournalEntry.java
+++ b/core/src/main/java/org/hickorypier/core/journal/JournalEntry.java
@@ -11,7 +11,7 @@
 /**
  * Accepted work with its tasks.
  *
- * <p>Belongs to the control thread; changed only by {@link Journal}.
+ * <p>Confined to the control thread; modified only by {@link Journal}.
  */
 public final class JournalEntry {
 
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Returns the identity of the work.
+   * Returns the key of the work.
    *
    * @return the key
    */
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Returns the record with which it was accepted.
+   * Returns the record by which the work was accepted.
    *
    * @return the record
    */
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Returns the offset at which it was accepted.
+   * Returns the offset at which the work was accepted.
    *
    * @return the offset
    */
@@ -61,45 +61,45 @@
   }
 
   /**
-   * Returns its tasks, by their index.
+   * Returns the tasks of the work, by index.
    *
-   * @return a view
+   * @return an unmodifiable view
    */
   public List<JournalTask> tasks() {
     return Collections.unmodifiableList(tasks);
   }
 
   /**
-   * Tells whether it was cancelled.
+   * Returns whether the work was cancelled.
    *
-   * @return true after a cancellation was folded
+   * @return true after a cancellation was applied
    */
   public boolean isCancelled() {
     return cancelled;
   }
 
   /**
-   * Tells whether every task has ended.
+   * Returns whether every task has ended.
    *
-   * @return true if nothing runs and nothing will
+   * @return true if no task runs or will run
    */
   public boolean hasEnded() {
     return tasks.stream().allMatch(task -> task.outcome().isPresent());
   }
 
   /**
-   * Tells whether an attempt of some task may be running.
+   * Returns whether an attempt of any task may be running.
    *
-   * @return true if one is open
+   * @return true if an attempt is open
    */
   public boolean hasOpenAttempt() {
     return tasks.stream().anyMatch(task -> task.open().isPresent());
   }
 
   /**
-   * Returns the outcome of the whole work: the worst of its tasks'.
+   * Returns the outcome of the whole work, which is the worst outcome of its tasks.
    *
-   * @return the outcome, or empty if it has not ended
+   * @return the outcome, or empty if the work has not ended
    */
   public Optional<Outcome> outcome() {
     if (!hasEnded()) {
@@ -114,9 +114,9 @@
   }
 
   /**
-   * Returns the first sentence that says why the work did not complete.
+   * Returns the first reason why the work did not complete.
    *
-   * @return the sentence, empty if there is nothing to say
+   * @return a sentence, empty if there is no reason
    */
   public String detail() {
     return tasks.stream()
--- a/core/src/main/java/org/hickorypier/core/journal/JournalTask.java
+++ b/core/src/main/java/org/hickorypier/core/journal/JournalTask.java
@@ -6,8 +6,8 @@
 /**
  * One task of journaled work.
  *
- * <p>Belongs to the control thread; changed only by {@link Journal}. Invariant: at most one attempt
- * is open; a task with an outcome has none.
+ * <p>Confined to the control thread; modified only by {@link Journal}. Invariant: at most one
+ * attempt is open, and none if the task has an outcome.
  */
 public final class JournalTask {
 
@@ -16,8 +16,8 @@
   private OpenAttempt open;
   private Outcome outcome;
   private String detail = "";
-  private Outcome ranAs;
-  private String ranDetail = "";
+  private Outcome earlierOutcome;
+  private String earlierDetail = "";
 
   JournalTask() {}
 
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Returns the worker of the last attempt, which may still hold its answer.
+   * Returns the worker of the last attempt, which may still hold its result.
    *
    * @return the worker's name, empty if there was no attempt
    */
@@ -40,7 +40,7 @@
   }
 
   /**
-   * Returns the attempt that may be running.
+   * Returns the open attempt, which may be running.
    *
    * @return the attempt, or empty if none is open
    */
@@ -49,16 +49,16 @@
   }
 
   /**
-   * Returns how the task ended.
+   * Returns the outcome of the task.
    *
-   * @return the outcome, or empty if it has not ended
+   * @return the outcome, or empty if the task has not ended
    */
   public Optional<Outcome> outcome() {
     return Optional.ofNullable(outcome);
   }
 
   /**
-   * Returns a sentence on its end.
+   * Returns a sentence that explains the outcome.
    *
    * @return the sentence, empty if there is none
    */
@@ -76,21 +76,22 @@
     open = null;
   }
 
-  /** Closes an attempt that is to be followed by another one. */
+  /** Closes an attempt that another attempt will follow. */
   void closeForRetry(Outcome attemptOutcome, String sentence) {
     open = null;
     if (attemptOutcome != Outcome.NOT_RUN) {
-      ranAs = attemptOutcome;
-      ranDetail = sentence;
+      earlierOutcome = attemptOutcome;
+      earlierDetail = sentence;
     }
   }
 
-  // A task whose first attempt ran and failed may be cancelled, or its second one may never start.
-  // "Not run" would be untrue then: the caller would repeat work that has had its effects.
-  void end(Outcome endedAs, String sentence) {
+  // After a first attempt ran and failed, the task may be cancelled, or its second attempt may
+  // never
+  // start. NOT_RUN would be wrong then: the caller would repeat work that has had its effects.
+  void end(Outcome lastOutcome, String sentence) {
     open = null;
-    boolean ranBefore = endedAs == Outcome.NOT_RUN && ranAs != null;
-    outcome = ranBefore ? ranAs : endedAs;
-    detail = ranBefore ? ranDetail : sentence;
+    boolean ranBefore = lastOutcome == Outcome.NOT_RUN && earlierOutcome != null;
+    outcome = ranBefore ? earlierOutcome : lastOutcome;
+    detail = ranBefore ? earlierDetail : sentence;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/journal/package-info.java
+++ b/core/src/main/java/org/hickorypier/core/journal/package-info.java
@@ -1,2 +1,2 @@
-/** The fold of the journal: accepted work, its attempts and its ends. */
+/** The state that is folded from the journal: accepted work, its attempts and its outcomes. */
 package org.hickorypier.core.journal;
--- a/core/src/test/java/org/hickorypier/core/journal/JournalTest.java
+++ b/core/src/test/java/org/hickorypier/core/journal/JournalTest.java
@@ -39,7 +39,7 @@
     return new Attempt(TEAM, ID, 0, number, owner, "worker-1", number);
   }
 
-  private static AttemptVoid closed(int number) {
+  private static AttemptVoid voided(int number) {
     return new AttemptVoid(TEAM, ID, 0, number);
   }
 
@@ -60,76 +60,81 @@
   static Stream<Arguments> cases() {
     Accepted job = accepted(true, true);
     return Stream.of(
-        Arguments.of("attempt of nothing", List.of(), attempt(1, "a#1"), Verdict.CONFLICT, null),
+        Arguments.of(
+            "attempt of work that was not accepted",
+            List.of(),
+            attempt(1, "a#1"),
+            Verdict.CONFLICT,
+            null),
         Arguments.of("first attempt", List.of(job), attempt(1, "a#1"), Verdict.APPLIED, null),
         Arguments.of(
-            "two homes",
+            "second home attempts while an attempt is open",
             List.of(job, attempt(1, "a#1")),
             attempt(1, "b#1"),
             Verdict.CONFLICT,
             null),
         Arguments.of(
-            "next number while open",
+            "next attempt while one is open",
             List.of(job, attempt(1, "a#1")),
             attempt(2, "b#1"),
             Verdict.CONFLICT,
             null),
         Arguments.of(
-            "repeated late",
-            List.of(job, attempt(1, "a#1"), closed(1)),
+            "closed attempt is appended again",
+            List.of(job, attempt(1, "a#1"), voided(1)),
             attempt(1, "a#1"),
             Verdict.CONFLICT,
             null),
         Arguments.of(
-            "cancelled first",
+            "attempt after cancellation",
             List.of(job, cancelled()),
             attempt(1, "a#1"),
             Verdict.CONFLICT,
             Outcome.NOT_RUN),
         Arguments.of(
-            "cancelled while running",
+            "completion after cancellation while running",
             List.of(job, attempt(1, "a#1"), cancelled()),
             ended(1, Outcome.COMPLETED),
             Verdict.APPLIED,
             Outcome.COMPLETED),
         Arguments.of(
-            "completed first",
+            "cancellation after completion",
             List.of(job, attempt(1, "a#1"), ended(1, Outcome.COMPLETED)),
             cancelled(),
             Verdict.CONFLICT,
             Outcome.COMPLETED),
         Arguments.of(
-            "void after cancellation",
+            "void attempt after cancellation",
             List.of(job, attempt(1, "a#1"), cancelled()),
-            closed(1),
+            voided(1),
             Verdict.APPLIED,
             Outcome.NOT_RUN),
         Arguments.of(
-            "end of an old attempt",
-            List.of(job, attempt(1, "a#1"), closed(1), attempt(2, "b#1")),
+            "end of an earlier attempt",
+            List.of(job, attempt(1, "a#1"), voided(1), attempt(2, "b#1")),
             ended(1, Outcome.COMPLETED),
             Verdict.CONFLICT,
             null),
         Arguments.of(
-            "never attempted but it is",
+            "end without an attempt while one is open",
             List.of(job, attempt(1, "a#1")),
             ended(0, Outcome.NOT_RUN),
             Verdict.CONFLICT,
             null),
         Arguments.of(
-            "cancelled between two attempts",
+            "cancellation between two attempts",
             List.of(job, attempt(1, "a#1"), ended(1, Outcome.FAILED)),
             cancelled(),
             Verdict.APPLIED,
             Outcome.FAILED),
         Arguments.of(
-            "given up after an unknown attempt",
+            "abandoned after an attempt with unknown outcome",
             List.of(job, attempt(1, "a#1"), ended(1, Outcome.UNKNOWN)),
             ended(0, Outcome.NOT_RUN),
             Verdict.APPLIED,
             Outcome.UNKNOWN),
         Arguments.of(
-            "not idempotent, unknown",
+            "second attempt of work that is not idempotent, after unknown outcome",
             List.of(accepted(false, false), attempt(1, "a#1"), ended(1, Outcome.UNKNOWN)),
             attempt(2, "b#1"),
             Verdict.CONFLICT,
@@ -150,12 +155,13 @@
     assertThat(journal.find(KEY).flatMap(JournalEntry::outcome).orElse(null)).isEqualTo(outcome);
   }
 
-  // Two homes and a caller append at will; appends are repeated late, and starts come after the own
-  // attempt has been read back as taken. Of work that is not idempotent, at most one attempt may
-  // start unless it was void; and an outcome of "not run" must mean that no attempt was reported to
-  // have run.
+  // Guards against a double start and an untrue "not run". Two homes and a caller append records in
+  // random order, appends are repeated late, and an instance starts an attempt only after it has
+  // read it back as applied. Of work that is not idempotent, at most one attempt that is not void
+  // may
+  // start; the outcome "not run" must mean that no attempt was reported to have run.
   @Property(tries = 2000, seed = "21")
-  void atMostOnceAndNotRunIsTrue(@ForAll Random random) {
+  void startsAtMostOnceAndReportsNotRunCorrectly(@ForAll Random random) {
     boolean idempotent = random.nextBoolean();
     List<JournalRecord> log = new ArrayList<>();
     Journal journal = new Journal();
@@ -165,7 +171,7 @@
     journal.apply(0, log.get(0));
     for (int step = 1; step < 40; step++) {
       JournalRecord next =
-          random.nextInt(4) == 0 ? log.get(random.nextInt(log.size())) : any(random);
+          random.nextInt(4) == 0 ? log.get(random.nextInt(log.size())) : randomRecord(random);
       boolean openBefore = journal.find(KEY).orElseThrow().hasOpenAttempt();
       Verdict verdict = journal.apply(step, next);
       log.add(next);
@@ -173,8 +179,8 @@
         assertThat(openBefore).isFalse();
         assertThat(begun.add(attempt.attempt())).isTrue();
       }
-      if (verdict == Verdict.APPLIED && next instanceof AttemptVoid closed) {
-        begun.remove(closed.attempt());
+      if (verdict == Verdict.APPLIED && next instanceof AttemptVoid voided) {
+        begun.remove(voided.attempt());
       }
       if (verdict == Verdict.APPLIED
           && next instanceof Ended end
@@ -194,20 +200,21 @@
         .isEqualTo(journal.find(KEY).orElseThrow().outcome());
   }
 
-  private static JournalRecord any(Random random) {
+  private static JournalRecord randomRecord(Random random) {
     int number = random.nextInt(4);
     return switch (random.nextInt(6)) {
       case 0, 1 -> attempt(number, random.nextBoolean() ? "a#1" : "b#1");
-      case 2 -> closed(number);
+      case 2 -> voided(number);
       case 3 -> random.nextInt(5) == 0 ? cancelled() : ended(0, Outcome.NOT_RUN);
       default ->
           ended(Math.max(1, number), Outcome.values()[random.nextInt(Outcome.values().length)]);
     };
   }
 
-  // Ended work leaves by the distance of offsets, at the same record everywhere; open work stays.
+  // Ended work is removed by the distance of offsets, so at the same record at every instance; open
+  // work is retained.
   @Test
-  void endedWorkIsForgottenAndOpenWorkIsNot() {
+  void endedWorkIsRemovedAndOpenWorkIsRetained() {
     Journal journal = fold(List.of(accepted(true, true), cancelled()));
     Accepted open =
         new Accepted(TEAM, "open", true, "BATCH", "n", 1, 1, 0, 1, true, 1, 1, new byte[0]);
