--- a/core/src/main/java/org/hickorypier/core/verification/GuaranteeChecker.java
+++ b/core/src/main/java/org/hickorypier/core/verification/GuaranteeChecker.java
@@ -17,148 +17,156 @@
 import org.hickorypier.core.submission.SubmissionState;
 
 /**
- * Checks the promises from what workers and callers see, never from an owner's state.
+ * Checks the scheduler's guarantees, based on what workers and callers observe and never on an
+ * owner's state.
  *
- * <p>Thread safe: the record comes from several threads where real processes are checked.
+ * <p>Thread-safe: when real processes are checked, observations arrive on several threads.
  */
 public final class GuaranteeChecker {
 
-  /** A cancelled submission starts nothing later than this after the acknowledgement. */
-  private static final long CANCEL_MILLIS = 3_000;
+  /** No task of a cancelled submission starts later than this after the acknowledgement. */
+  private static final long CANCEL_GRACE_MILLIS = 3_000;
 
-  /** A customer may have a tenth more running than its limit, and one task. */
+  /** The running work of a customer may exceed its limit by a tenth and one task. */
   private static final int LIMIT_NUMERATOR = 11;
 
   private static final int LIMIT_DENOMINATOR = 10;
 
   private final LongSupplier clock;
   private final List<String> violations = new ArrayList<>();
-  private final Map<String, SubmissionSpec> recordSubmitted = new HashMap<>();
+  private final Map<String, SubmissionSpec> submissions = new HashMap<>();
   private final Map<String, Long> cancelledAt = new HashMap<>();
-  private final Set<String> recordRejected = new HashSet<>();
-  private final Set<String> begun = new HashSet<>();
+  private final Set<String> rejected = new HashSet<>();
+  private final Set<String> startedSubmissions = new HashSet<>();
   private final Map<TaskName, Set<ObservedRun>> running = new HashMap<>();
   private final Map<TaskName, List<DoneEnd>> done = new HashMap<>();
-  private final Map<TaskName, Set<Integer>> failedSeen = new HashMap<>();
-  private final Map<TaskName, Set<Integer>> failedNoted = new HashMap<>();
+  private final Map<TaskName, Set<Integer>> observedFailures = new HashMap<>();
+  private final Map<TaskName, Set<Integer>> acknowledgedFailures = new HashMap<>();
   private final Map<String, Long> usedByCustomer = new HashMap<>();
   private final Map<String, Long> usedOnWorker = new HashMap<>();
-  private final Map<String, Resources> limits = new HashMap<>();
-  private final Map<String, Resources> capacities = new HashMap<>();
-  private final PersistentTaskMonitor lasting = new PersistentTaskMonitor();
+  private final Map<String, Resources> customerLimits = new HashMap<>();
+  private final Map<String, Resources> workerCapacities = new HashMap<>();
+  private final PersistentTaskMonitor persistentTasks = new PersistentTaskMonitor();
   private int startCount;
 
   /**
-   * Creates a checker of an empty record.
+   * Creates a checker without observations.
    *
-   * @param clock the time, in milliseconds
+   * @param clock the source of the time in milliseconds
    */
   public GuaranteeChecker(LongSupplier clock) {
     this.clock = clock;
   }
 
   /**
-   * Sets what a customer may have running.
+   * Sets the limit on the running work of a customer.
    *
    * @param customer the customer
    * @param limit the limit
    */
   public synchronized void setLimit(String customer, Resources limit) {
-    limits.put(customer, limit);
+    customerLimits.put(customer, limit);
   }
 
   /**
-   * Sets what a worker holds.
+   * Sets the capacity of a worker.
    *
-   * @param worker its id
-   * @param capacity its room
+   * @param worker the worker's id
+   * @param capacity its capacity
    */
   public synchronized void setCapacity(String worker, Resources capacity) {
-    capacities.put(worker, capacity);
+    workerCapacities.put(worker, capacity);
   }
 
   /**
-   * A caller begins to hand a submission in.
+   * Records that a caller begins to submit a submission.
    *
    * @param spec the submission
    */
   public synchronized void recordSubmitted(SubmissionSpec spec) {
-    recordSubmitted.put(spec.id(), spec);
+    submissions.put(spec.id(), spec);
   }
 
   /**
-   * All tries of a caller to hand a submission in were refused, so it must never run.
+   * Records that all of a caller's attempts to submit were refused, so the submission must never
+   * run.
    *
    * @param id its id
    */
   public synchronized void recordRejected(String id) {
-    recordRejected.add(id);
-    if (begun.contains(id)) {
-      violations.add(clock.getAsLong() + ": " + id + " was refused and has run");
+    rejected.add(id);
+    if (startedSubmissions.contains(id)) {
+      violations.add(clock.getAsLong() + ": " + id + " was refused but has run");
     }
   }
 
   /**
-   * A caller was told that a submission is accepted.
+   * Records that the acceptance of a submission was acknowledged to a caller.
    *
    * @param id its id
    */
   public synchronized void recordAccepted(String id) {
-    lasting.recordAccepted(recordSubmitted.get(id), clock.getAsLong());
+    persistentTasks.recordAccepted(submissions.get(id), clock.getAsLong());
   }
 
   /**
-   * A caller has asked to cancel a submission; whether that took effect is open.
+   * Records that a caller requested a cancellation, which may or may not have taken effect.
    *
    * @param id its id
    */
   public synchronized void recordCancelRequested(String id) {
-    lasting.recordCancelRequested(id);
+    persistentTasks.recordCancelRequested(id);
   }
 
-  /** An unplanned disruption is there. */
+  /** Records an unplanned disruption. */
   public synchronized void recordDisruption() {
-    lasting.recordDisruption(clock.getAsLong());
+    persistentTasks.recordDisruption(clock.getAsLong());
   }
 
   /**
-   * Checks that tasks that last run again in time; to be called several times a second.
+   * Checks that persistent tasks are restarted in time. The caller invokes this several times a
+   * second.
    *
-   * @param sound the workers that may take work
+   * @param available the workers that may accept work
    */
-  public synchronized void checkPersistentTasks(Collection<String> sound) {
+  public synchronized void checkPersistentTasks(Collection<String> available) {
     long now = clock.getAsLong();
-    for (TaskName task : lasting.findOverdue(name -> roomTwiceOver(name, sound), now)) {
+    for (TaskName task :
+        persistentTasks.findOverdue(name -> hasCapacityForTwo(name, available), now)) {
       violations.add(
-          now + ": no run for " + lasting.idleMillis(task, now) + " ms, with room for it: " + task);
+          now
+              + ": no run for "
+              + persistentTasks.idleMillis(task, now)
+              + " ms despite free capacity: "
+              + task);
     }
   }
 
-  /** Checks at the end that all tasks that last are at work. */
+  /** Checks at the end of a run that all persistent tasks are running. */
   public synchronized void checkPersistentTasksRunning() {
-    for (TaskName task : lasting.idleTasks()) {
-      violations.add(clock.getAsLong() + ": not at work at the end: " + task);
+    for (TaskName task : persistentTasks.idleTasks()) {
+      violations.add(clock.getAsLong() + ": not running at the end: " + task);
     }
   }
 
-  private boolean roomTwiceOver(TaskName task, Collection<String> sound) {
-    SubmissionSpec spec = recordSubmitted.get(task.submission());
+  private boolean hasCapacityForTwo(TaskName task, Collection<String> available) {
+    SubmissionSpec spec = submissions.get(task.submission());
     long size = spec.steps().get(task.step()).taskResources().milliProcessors();
-    Resources limit = limits.get(spec.customer());
+    Resources limit = customerLimits.get(spec.customer());
     if (limit != null
         && 2 * usedByCustomer.getOrDefault(spec.customer(), 0L) >= limit.milliProcessors()) {
       return false;
     }
-    long places = 0;
-    for (String worker : sound) {
+    long taskCount = 0;
+    for (String worker : available) {
       long used = usedOnWorker.getOrDefault(worker, 0L);
-      places += (capacities.get(worker).milliProcessors() - used) / size;
+      taskCount += (workerCapacities.get(worker).milliProcessors() - used) / size;
     }
-    return places >= 2;
+    return taskCount >= 2;
   }
 
   /**
-   * A caller was told that a submission is cancelled.
+   * Records that the cancellation of a submission was acknowledged to a caller.
    *
    * @param id its id
    */
@@ -167,42 +175,43 @@
   }
 
   /**
-   * A worker has begun a run.
+   * Records that a worker started a run, and checks all guarantees about starts.
    *
    * @param run the run
    */
   public synchronized void recordStart(ObservedRun run) {
     startCount++;
     TaskName task = run.key().task();
-    SubmissionSpec spec = recordSubmitted.get(task.submission());
+    SubmissionSpec spec = submissions.get(task.submission());
     if (spec == null) {
-      breach("start of what nobody handed in", run.key());
+      addViolation("start of an unknown submission", run.key());
       return;
     }
-    begun.add(spec.id());
-    if (recordRejected.contains(spec.id())) {
-      breach("start of what was refused", run.key());
+    startedSubmissions.add(spec.id());
+    if (rejected.contains(spec.id())) {
+      addViolation("start of a refused submission", run.key());
     }
     Set<ObservedRun> others = running.computeIfAbsent(task, key -> new HashSet<>());
     if (!others.isEmpty()) {
-      breach("two runs at once, the other on " + others.iterator().next().worker(), run.key());
+      addViolation(
+          "two runs at once, the other on " + others.iterator().next().worker(), run.key());
     }
     others.add(run);
-    if (lasts(spec, task)) {
-      lasting.recordStart(task);
+    if (isPersistent(spec, task)) {
+      persistentTasks.recordStart(task);
     }
     for (DoneEnd end : done.getOrDefault(task, List.of())) {
-      if (end.noted) {
-        breach("start after an acknowledged end", run.key());
+      if (end.acknowledged) {
+        addViolation("start after an acknowledged end", run.key());
       }
       end.startedAfter = true;
     }
     checkOrder(spec, run);
-    checkBudget(spec, run);
-    checkRoom(spec, run);
+    checkAttempts(spec, run);
+    checkLimitAndCapacity(spec, run);
     Long cancelled = cancelledAt.get(task.submission());
-    if (cancelled != null && clock.getAsLong() > cancelled + CANCEL_MILLIS) {
-      breach("start after the cancellation", run.key());
+    if (cancelled != null && clock.getAsLong() > cancelled + CANCEL_GRACE_MILLIS) {
+      addViolation("start after the cancellation", run.key());
     }
   }
 
@@ -210,7 +219,7 @@
     TaskName task = run.key().task();
     for (int earlier : spec.steps().get(task.step()).dependsOn()) {
       if (!allDone(spec, task.occurrence(), earlier)) {
-        breach("start before step " + earlier + " was done", run.key());
+        addViolation("start before step " + earlier + " was done", run.key());
       }
     }
   }
@@ -231,7 +240,7 @@
     if (!spec.steps().get(task.step()).flags().gang()) {
       return false;
     }
-    // One end of a gang stands for all members.
+    // The end of one member of a gang counts for all members.
     for (TaskName other : done.keySet()) {
       if (other.submission().equals(task.submission())
           && other.occurrence() == task.occurrence()
@@ -242,38 +251,39 @@
     return false;
   }
 
-  private static boolean lasts(SubmissionSpec spec, TaskName task) {
+  private static boolean isPersistent(SubmissionSpec spec, TaskName task) {
     return spec.steps().get(task.step()).flags().persistent();
   }
 
-  private void checkBudget(SubmissionSpec spec, ObservedRun run) {
-    if (lasts(spec, run.key().task())) {
+  private void checkAttempts(SubmissionSpec spec, ObservedRun run) {
+    if (isPersistent(spec, run.key().task())) {
       return;
     }
-    TaskName counted = counted(spec, run.key().task());
-    if (failedNoted.getOrDefault(counted, Set.of()).size() >= spec.queue().maxAttempts()) {
-      breach("start after the last attempt", run.key());
+    TaskName countedTask = countedTask(spec, run.key().task());
+    if (acknowledgedFailures.getOrDefault(countedTask, Set.of()).size()
+        >= spec.queue().maxAttempts()) {
+      addViolation("start after the last attempt", run.key());
     }
   }
 
   /** The members of a gang share their attempts. */
-  private static TaskName counted(SubmissionSpec spec, TaskName task) {
+  private static TaskName countedTask(SubmissionSpec spec, TaskName task) {
     boolean gang = spec != null && spec.steps().get(task.step()).flags().gang();
     return gang ? new TaskName(task.submission(), task.occurrence(), task.step(), 0) : task;
   }
 
-  private void checkRoom(SubmissionSpec spec, ObservedRun run) {
+  private void checkLimitAndCapacity(SubmissionSpec spec, ObservedRun run) {
     long size = size(spec, run);
     long used = usedByCustomer.merge(spec.customer(), size, Long::sum);
-    Resources limit = limits.get(spec.customer());
+    Resources limit = customerLimits.get(spec.customer());
     if (limit != null
         && used > limit.milliProcessors() * LIMIT_NUMERATOR / LIMIT_DENOMINATOR + size) {
-      breach("customer " + spec.customer() + " has " + used + " running", run.key());
+      addViolation("customer " + spec.customer() + " has " + used + " running", run.key());
     }
     long sum = usedOnWorker.merge(run.worker(), size, Long::sum);
-    Resources capacity = capacities.get(run.worker());
+    Resources capacity = workerCapacities.get(run.worker());
     if (capacity != null && sum > capacity.milliProcessors()) {
-      breach("worker " + run.worker() + " has " + sum + " running", run.key());
+      addViolation("worker " + run.worker() + " has " + sum + " running", run.key());
     }
   }
 
@@ -283,77 +293,78 @@
   }
 
   /**
-   * A run has ended at its worker.
+   * Records that a run ended at its worker.
    *
    * @param run the run
-   * @param how how it ended
+   * @param outcome how the run ended
    */
-  public synchronized void recordEnd(ObservedRun run, RunEnd how) {
+  public synchronized void recordEnd(ObservedRun run, RunEnd outcome) {
     TaskName task = run.key().task();
     running.getOrDefault(task, new HashSet<>()).remove(run);
-    SubmissionSpec spec = recordSubmitted.get(task.submission());
+    SubmissionSpec spec = submissions.get(task.submission());
     if (spec != null) {
-      if (lasts(spec, task)) {
-        lasting.recordEnd(task, clock.getAsLong());
+      if (isPersistent(spec, task)) {
+        persistentTasks.recordEnd(task, clock.getAsLong());
       }
       usedByCustomer.merge(spec.customer(), -size(spec, run), Long::sum);
       usedOnWorker.merge(run.worker(), -size(spec, run), Long::sum);
     }
-    if (how == RunEnd.DONE) {
+    if (outcome == RunEnd.DONE) {
       done.computeIfAbsent(task, key -> new ArrayList<>()).add(new DoneEnd(run));
-    } else if (how == RunEnd.FAILED) {
-      failedSeen
-          .computeIfAbsent(counted(spec, task), key -> new HashSet<>())
+    } else if (outcome == RunEnd.FAILED) {
+      observedFailures
+          .computeIfAbsent(countedTask(spec, task), key -> new HashSet<>())
           .add(run.key().number());
     }
   }
 
   /**
-   * A worker was told that it may forget an end.
+   * Records that the end of a run was acknowledged to its worker, which may then discard it.
    *
    * @param run the run
-   * @param how how it ended
+   * @param outcome how the run ended
    */
-  public synchronized void recordEndAcknowledged(ObservedRun run, RunEnd how) {
-    if (how == RunEnd.FAILED) {
-      SubmissionSpec spec = recordSubmitted.get(run.key().task().submission());
-      failedNoted
-          .computeIfAbsent(counted(spec, run.key().task()), key -> new HashSet<>())
+  public synchronized void recordEndAcknowledged(ObservedRun run, RunEnd outcome) {
+    if (outcome == RunEnd.FAILED) {
+      SubmissionSpec spec = submissions.get(run.key().task().submission());
+      acknowledgedFailures
+          .computeIfAbsent(countedTask(spec, run.key().task()), key -> new HashSet<>())
           .add(run.key().number());
     }
     for (DoneEnd end : done.getOrDefault(run.key().task(), List.of())) {
-      if (end.run.equals(run) && !end.lapsed) {
-        end.noted = true;
+      if (end.run.equals(run) && !end.leaseExpired) {
+        end.acknowledged = true;
         if (end.startedAfter) {
-          breach("an end was acknowledged after the task had started again", run.key());
+          addViolation("an end was acknowledged after the task had started again", run.key());
         }
       }
     }
   }
 
   /**
-   * A worker's lease lapsed: ends from before stand, but no longer count against a new start.
+   * Records that a worker's lease expired: its unacknowledged ends remain valid, but a new start of
+   * the same task is no longer a violation.
    *
    * @param worker the worker's id
    */
   public synchronized void recordLeaseExpired(String worker) {
     for (List<DoneEnd> ends : done.values()) {
       for (DoneEnd end : ends) {
-        if (end.run.worker().equals(worker) && !end.noted) {
-          end.lapsed = true;
+        if (end.run.worker().equals(worker) && !end.acknowledged) {
+          end.leaseExpired = true;
         }
       }
     }
   }
 
   /**
-   * A caller was shown a state.
+   * Records the state that was shown to a caller, and checks it.
    *
    * @param id the submission's id
    * @param state the state
    */
   public synchronized void checkShownState(String id, SubmissionState state) {
-    SubmissionSpec spec = recordSubmitted.get(id);
+    SubmissionSpec spec = submissions.get(id);
     if (state == SubmissionState.FAILED && !attemptsUsed(spec)) {
       violations.add(clock.getAsLong() + ": " + id + " is shown as failed before its last attempt");
     }
@@ -371,52 +382,52 @@
   }
 
   private boolean attemptsUsed(SubmissionSpec spec) {
-    return failedSeen.entrySet().stream()
+    return observedFailures.entrySet().stream()
         .anyMatch(
             entry ->
                 entry.getKey().submission().equals(spec.id())
-                    && !lasts(spec, entry.getKey())
+                    && !isPersistent(spec, entry.getKey())
                     && entry.getValue().size() >= spec.queue().maxAttempts());
   }
 
   /**
-   * An accepted submission has not come to an end though all was calm.
+   * Records that an accepted submission did not end although there was no disruption.
    *
    * @param id its id
-   * @param state what callers are told of it
+   * @param state the state that is shown to callers
    */
   public synchronized void recordUnfinished(String id, String state) {
     violations.add(clock.getAsLong() + ": " + id + " was accepted and is " + state);
   }
 
   /**
-   * Returns what was broken so far.
+   * Returns the violations found so far.
    *
-   * @return one line a breach, with its time
+   * @return one line for each violation, with its time
    */
   public synchronized List<String> violations() {
     return List.copyOf(violations);
   }
 
   /**
-   * Returns how many runs were begun.
+   * Returns the number of runs that were started.
    *
-   * @return their number
+   * @return the number of starts
    */
   public synchronized int startCount() {
     return startCount;
   }
 
-  private void breach(String what, RunKey run) {
-    violations.add(clock.getAsLong() + ": " + what + ": " + run);
+  private void addViolation(String description, RunKey run) {
+    violations.add(clock.getAsLong() + ": " + description + ": " + run);
   }
 
-  /** One end of a task that was done. */
+  /** A run of a task that ended as done. */
   private static final class DoneEnd {
 
     private final ObservedRun run;
-    private boolean noted;
-    private boolean lapsed;
+    private boolean acknowledged;
+    private boolean leaseExpired;
     private boolean startedAfter;
 
     DoneEnd(ObservedRun run) {
--- a/core/src/main/java/org/hickorypier/core/verification/PersistentTaskMonitor.java
+++ b/core/src/main/java/org/hickorypier/core/verification/PersistentTaskMonitor.java
@@ -12,39 +12,39 @@
 import org.hickorypier.core.submission.SubmissionSpec;
 
 /**
- * Checks that tasks that last run again in time, from what workers and callers see. Steps that
- * depend on others are not watched.
+ * Checks that persistent tasks are restarted in time, based on what workers and callers observe.
+ * Steps that depend on other steps are not monitored.
  *
- * <p>Invariant: a task without a run is reported once, until it runs again. Not thread safe; its
- * owner guards it.
+ * <p>Invariant: a task without a run is reported once, until it runs again. Not thread-safe; the
+ * owner synchronizes access.
  */
 final class PersistentTaskMonitor {
 
-  /** A task may be without a run for so long after its last one, or after its acceptance. */
+  /** The time a task may be without a run after its last run or after its acceptance. */
   static final long RESTART_GRACE_MILLIS = 6_000;
 
-  /** Beyond that, a task may lack a run for so long while there is room. */
+  /** The additional time a task may be without a run while there is free capacity. */
   static final long MAX_UNSERVED_MILLIS = 3_000;
 
-  /** An unplanned disruption excuses a lack that begins so shortly after it. */
+  /** An unplanned disruption excuses a missing run that is due within this time after it. */
   static final long DISRUPTION_GRACE_MILLIS = 4_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final Map<TaskName, Watch> watches = new HashMap<>();
-  private final Set<String> recordAccepted = new HashSet<>();
+  private final Map<TaskName, TaskState> tasks = new HashMap<>();
+  private final Set<String> accepted = new HashSet<>();
   private final Set<String> cancelled = new HashSet<>();
-  private long disruptedAt = NEVER;
+  private long disruptedAtMillis = NEVER;
 
   void recordAccepted(SubmissionSpec spec, long now) {
-    if (!recordAccepted.add(spec.id())) {
+    if (!accepted.add(spec.id())) {
       return;
     }
     for (int step = 0; step < spec.steps().size(); step++) {
-      StepSpec watched = spec.steps().get(step);
-      if (watched.flags().persistent() && watched.dependsOn().isEmpty()) {
-        for (int index = 0; index < watched.count(); index++) {
-          watch(new TaskName(spec.id(), 0, step, index)).idle(now);
+      StepSpec stepSpec = spec.steps().get(step);
+      if (stepSpec.flags().persistent() && stepSpec.dependsOn().isEmpty()) {
+        for (int index = 0; index < stepSpec.count(); index++) {
+          taskState(new TaskName(spec.id(), 0, step, index)).markIdle(now);
         }
       }
     }
@@ -55,69 +55,69 @@
   }
 
   void recordStart(TaskName task) {
-    watch(task).runs++;
+    taskState(task).runCount++;
   }
 
   void recordEnd(TaskName task, long now) {
-    Watch watch = watch(task);
-    watch.runs--;
-    watch.idle(now);
+    TaskState state = taskState(task);
+    state.runCount--;
+    state.markIdle(now);
   }
 
   void recordDisruption(long now) {
-    disruptedAt = now;
+    disruptedAtMillis = now;
   }
 
-  /** Returns the tasks that have newly lacked a run for too long. */
-  List<TaskName> findOverdue(Predicate<TaskName> room, long now) {
-    List<TaskName> lacking = new ArrayList<>();
-    for (Map.Entry<TaskName, Watch> entry : watches.entrySet()) {
-      Watch watch = entry.getValue();
-      if (!wanted(entry.getKey()) || watch.runs > 0 || watch.reported) {
+  /** Returns the tasks that have been without a run for too long and are not reported yet. */
+  List<TaskName> findOverdue(Predicate<TaskName> hasCapacity, long now) {
+    List<TaskName> overdue = new ArrayList<>();
+    for (Map.Entry<TaskName, TaskState> entry : tasks.entrySet()) {
+      TaskState state = entry.getValue();
+      if (!shouldRun(entry.getKey()) || state.runCount > 0 || state.reported) {
         continue;
       }
-      if (!room.test(entry.getKey())) {
-        watch.lackingSince = Math.max(watch.lackingSince, now);
-      } else if (now - watch.lackingSince >= MAX_UNSERVED_MILLIS
-          && now - disruptedAt > MAX_UNSERVED_MILLIS + DISRUPTION_GRACE_MILLIS) {
-        watch.reported = true;
-        lacking.add(entry.getKey());
+      if (!hasCapacity.test(entry.getKey())) {
+        state.unservedSinceMillis = Math.max(state.unservedSinceMillis, now);
+      } else if (now - state.unservedSinceMillis >= MAX_UNSERVED_MILLIS
+          && now - disruptedAtMillis > MAX_UNSERVED_MILLIS + DISRUPTION_GRACE_MILLIS) {
+        state.reported = true;
+        overdue.add(entry.getKey());
       }
     }
-    return lacking;
+    return overdue;
   }
 
-  /** Returns the tasks that are wanted and not at work. */
+  /** Returns the tasks that should run and do not. */
   List<TaskName> idleTasks() {
-    return watches.keySet().stream()
-        .filter(task -> wanted(task) && watches.get(task).runs == 0)
+    return tasks.keySet().stream()
+        .filter(task -> shouldRun(task) && tasks.get(task).runCount == 0)
         .toList();
   }
 
-  /** Returns for how long a task has had no run. */
+  /** Returns the time in milliseconds for which a task has had no run. */
   long idleMillis(TaskName task, long now) {
-    return now - watches.get(task).idleSince;
+    return now - tasks.get(task).idleSinceMillis;
   }
 
-  private boolean wanted(TaskName task) {
-    return recordAccepted.contains(task.submission()) && !cancelled.contains(task.submission());
+  private boolean shouldRun(TaskName task) {
+    return accepted.contains(task.submission()) && !cancelled.contains(task.submission());
   }
 
-  private Watch watch(TaskName task) {
-    return watches.computeIfAbsent(task, name -> new Watch());
+  private TaskState taskState(TaskName task) {
+    return tasks.computeIfAbsent(task, name -> new TaskState());
   }
 
-  /** What is known of one task. */
-  private static final class Watch {
+  /** The observed state of one task. */
+  private static final class TaskState {
 
-    private int runs;
-    private long idleSince = NEVER;
-    private long lackingSince = NEVER;
+    private int runCount;
+    private long idleSinceMillis = NEVER;
+    private long unservedSinceMillis = NEVER;
     private boolean reported;
 
-    void idle(long now) {
-      idleSince = now;
-      lackingSince = now + RESTART_GRACE_MILLIS;
+    void markIdle(long now) {
+      idleSinceMillis = now;
+      unservedSinceMillis = now + RESTART_GRACE_MILLIS;
       reported = false;
     }
   }
--- a/core/src/main/java/org/hickorypier/core/verification/package-info.java
+++ b/core/src/main/java/org/hickorypier/core/verification/package-info.java
@@ -1,2 +1,2 @@
-/** Checks of what the scheduler promises, from what callers and workers see. */
+/** Checks of the scheduler's guarantees, based on what callers and workers observe. */
 package org.hickorypier.core.verification;
--- a/core/src/test/java/org/hickorypier/core/verification/GuaranteeCheckerTest.java
+++ b/core/src/test/java/org/hickorypier/core/verification/GuaranteeCheckerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A checker that finds nothing proves nothing: each promise is broken here once. */
+/** Violates each guarantee once, to show that the checker detects it. */
 class GuaranteeCheckerTest {
 
   private static final String ID = "0123456789abcdef";
@@ -26,7 +26,7 @@
   private final GuaranteeChecker checker = new GuaranteeChecker(clock::get);
 
   @BeforeEach
-  void handIn() {
+  void submit() {
     StepSpec first = step(List.of());
     StepSpec second = step(List.of(0));
     QueueTerms queue = new QueueTerms("q", "service", 0, 2, 1, 0, Optional.empty());
@@ -43,101 +43,101 @@
     return new ObservedRun(new RunKey(new TaskName(ID, 0, step, index), number), worker, 1);
   }
 
-  private void runs(ObservedRun run, RunEnd how) {
+  private void recordRun(ObservedRun run, RunEnd end) {
     checker.recordStart(run);
-    checker.recordEnd(run, how);
+    checker.recordEnd(run, end);
   }
 
-  private void breaks(String words) {
-    assertThat(checker.violations()).singleElement().asString().contains(words);
+  private void assertViolation(String text) {
+    assertThat(checker.violations()).singleElement().asString().contains(text);
   }
 
   @Test
-  void lawfulLifeBreaksNothing() {
-    runs(run(0, 0, 1, "a"), RunEnd.FAILED);
-    runs(run(0, 0, 2, "a"), RunEnd.DONE);
-    runs(run(0, 1, 1, "a"), RunEnd.DONE);
-    runs(run(1, 0, 1, "a"), RunEnd.DONE);
-    runs(run(1, 1, 1, "b"), RunEnd.DONE);
+  void validHistoryHasNoViolations() {
+    recordRun(run(0, 0, 1, "a"), RunEnd.FAILED);
+    recordRun(run(0, 0, 2, "a"), RunEnd.DONE);
+    recordRun(run(0, 1, 1, "a"), RunEnd.DONE);
+    recordRun(run(1, 0, 1, "a"), RunEnd.DONE);
+    recordRun(run(1, 1, 1, "b"), RunEnd.DONE);
     checker.checkShownState(ID, SubmissionState.COMPLETED);
     assertThat(checker.violations()).isEmpty();
     assertThat(checker.startCount()).isEqualTo(5);
   }
 
   @Test
-  void twoRunsAtOnce() {
+  void reportsConcurrentRunsOfOneTask() {
     checker.recordStart(run(0, 0, 1, "a"));
     checker.recordStart(run(0, 0, 2, "b"));
-    breaks("two runs at once");
+    assertViolation("two runs at once");
   }
 
   @Test
-  void startAfterAcknowledgedEnd() {
-    runs(run(0, 0, 1, "a"), RunEnd.DONE);
+  void reportsStartAfterAcknowledgedEnd() {
+    recordRun(run(0, 0, 1, "a"), RunEnd.DONE);
     checker.recordEndAcknowledged(run(0, 0, 1, "a"), RunEnd.DONE);
     checker.recordStart(run(0, 0, 2, "b"));
-    breaks("start after an acknowledged end");
+    assertViolation("start after an acknowledged end");
   }
 
   @Test
-  void startBeforeEarlierStepIsDone() {
+  void reportsStartBeforeDependencyIsDone() {
     checker.recordStart(run(1, 0, 1, "a"));
-    breaks("start before step 0 was done");
+    assertViolation("start before step 0 was done");
   }
 
   @Test
-  void startBeyondLastAttempt() {
+  void reportsStartAfterLastAttempt() {
     for (int number = 1; number <= 2; number++) {
-      runs(run(0, 0, number, "a"), RunEnd.FAILED);
+      recordRun(run(0, 0, number, "a"), RunEnd.FAILED);
       checker.recordEndAcknowledged(run(0, 0, number, "a"), RunEnd.FAILED);
     }
     checker.recordStart(run(0, 0, 3, "a"));
-    breaks("start after the last attempt");
+    assertViolation("start after the last attempt");
   }
 
   @Test
-  void workerOverItsCapacity() {
+  void reportsWorkerOverCapacity() {
     checker.setCapacity("a", new Resources(5_000, 0, 0));
     checker.recordStart(run(0, 0, 1, "a"));
     checker.recordStart(run(0, 1, 1, "a"));
-    breaks("worker a has 6000 running");
+    assertViolation("worker a has 6000 running");
   }
 
   @Test
-  void customerOverItsLimit() {
+  void reportsCustomerOverLimit() {
     checker.setLimit("customer", new Resources(2_000, 0, 0));
     checker.recordStart(run(0, 0, 1, "a"));
     assertThat(checker.violations()).isEmpty();
     checker.recordStart(run(0, 1, 1, "b"));
-    breaks("customer customer has 6000 running");
+    assertViolation("customer customer has 6000 running");
   }
 
   @Test
-  void startLongAfterCancellation() {
+  void reportsStartAfterCancellationGrace() {
     checker.recordCancelAcknowledged(ID);
     clock.set(3_001);
     checker.recordStart(run(0, 0, 1, "a"));
-    breaks("start after the cancellation");
+    assertViolation("start after the cancellation");
   }
 
   @Test
-  void refusedSubmissionThatRuns() {
+  void reportsStartOfRefusedSubmission() {
     checker.recordRejected(ID);
     checker.recordStart(run(0, 0, 1, "a"));
-    breaks("start of what was refused");
+    assertViolation("start of a refused submission");
   }
 
   @Test
-  void completedBeforeAllTasksAreDone() {
-    runs(run(0, 0, 1, "a"), RunEnd.DONE);
+  void reportsCompletedStateBeforeAllTasksAreDone() {
+    recordRun(run(0, 0, 1, "a"), RunEnd.DONE);
     checker.checkShownState(ID, SubmissionState.COMPLETED);
-    breaks("shown as completed too early");
+    assertViolation("shown as completed too early");
   }
 
   @Test
-  void failedWithAttemptsLeft() {
-    runs(run(0, 0, 1, "a"), RunEnd.FAILED);
+  void reportsFailedStateBeforeLastAttempt() {
+    recordRun(run(0, 0, 1, "a"), RunEnd.FAILED);
     checker.checkShownState(ID, SubmissionState.FAILED);
-    breaks("shown as failed before its last attempt");
+    assertViolation("shown as failed before its last attempt");
   }
 }
--- a/core/src/test/java/org/hickorypier/core/verification/PersistentTaskMonitorTest.java
+++ b/core/src/test/java/org/hickorypier/core/verification/PersistentTaskMonitorTest.java
@@ -16,73 +16,76 @@
 
   private static final String ID = "0000000000000001";
   private static final TaskName TASK = new TaskName(ID, 0, 0, 0);
-  private static final long ENDED = 20_000;
-  private static final long LATEST =
-      ENDED
+  private static final long ENDED_MILLIS = 20_000;
+  private static final long REPORT_MILLIS =
+      ENDED_MILLIS
           + PersistentTaskMonitor.RESTART_GRACE_MILLIS
           + PersistentTaskMonitor.MAX_UNSERVED_MILLIS;
-  private static final long CALM =
+  private static final long DISRUPTION_DELAY_MILLIS =
       PersistentTaskMonitor.MAX_UNSERVED_MILLIS + PersistentTaskMonitor.DISRUPTION_GRACE_MILLIS;
 
-  private final PersistentTaskMonitor tasks = new PersistentTaskMonitor();
+  private final PersistentTaskMonitor monitor = new PersistentTaskMonitor();
 
   PersistentTaskMonitorTest() {
-    StepFlags lasting = new StepFlags(false, false, false, false, true, false);
+    StepFlags persistent = new StepFlags(false, false, false, false, true, false);
     Resources each = new Resources(1_000, 100, 0);
-    StepSpec step = new StepSpec(1, each, 1_000, List.of(), lasting, "", "", 0, "", 0, 0);
+    StepSpec step = new StepSpec(1, each, 1_000, List.of(), persistent, "", "", 0, "", 0, 0);
     QueueTerms queue = new QueueTerms("queue", "service", 0, 3, 2, 1_000, Optional.empty());
-    tasks.recordAccepted(
+    monitor.recordAccepted(
         new SubmissionSpec(ID, "customer", queue, "text", List.of(step), 0, 0, 0, 0), 1_000);
   }
 
   @Test
-  void taskThatNeverRanIsReportedFromItsAcceptance() {
-    assertThat(tasks.findOverdue(task -> true, 9_999)).isEmpty();
-    assertThat(tasks.findOverdue(task -> true, 10_000)).containsExactly(TASK);
+  void taskThatNeverRanIsReportedAfterAcceptance() {
+    assertThat(monitor.findOverdue(task -> true, 9_999)).isEmpty();
+    assertThat(monitor.findOverdue(task -> true, 10_000)).containsExactly(TASK);
   }
 
   @Test
   void taskIsReportedOnceAfterItsLastRun() {
     runOnce();
-    assertThat(tasks.findOverdue(task -> true, LATEST - 1)).isEmpty();
-    assertThat(tasks.findOverdue(task -> true, LATEST)).containsExactly(TASK);
-    assertThat(tasks.findOverdue(task -> true, LATEST + 1)).isEmpty();
+    assertThat(monitor.findOverdue(task -> true, REPORT_MILLIS - 1)).isEmpty();
+    assertThat(monitor.findOverdue(task -> true, REPORT_MILLIS)).containsExactly(TASK);
+    assertThat(monitor.findOverdue(task -> true, REPORT_MILLIS + 1)).isEmpty();
   }
 
   @Test
-  void taskAtWorkIsNotReported() {
-    tasks.recordStart(TASK);
-    assertThat(tasks.findOverdue(task -> true, LATEST)).isEmpty();
-    assertThat(tasks.idleTasks()).isEmpty();
+  void runningTaskIsNotReported() {
+    monitor.recordStart(TASK);
+    assertThat(monitor.findOverdue(task -> true, REPORT_MILLIS)).isEmpty();
+    assertThat(monitor.idleTasks()).isEmpty();
   }
 
   @Test
-  void disruptionPutsTheReportOffUntilAllWasCalm() {
+  void disruptionPostponesReport() {
     runOnce();
-    tasks.recordDisruption(LATEST - 1_000);
-    assertThat(tasks.findOverdue(task -> true, LATEST - 1_000 + CALM)).isEmpty();
-    assertThat(tasks.findOverdue(task -> true, LATEST - 1_000 + CALM + 1)).containsExactly(TASK);
+    monitor.recordDisruption(REPORT_MILLIS - 1_000);
+    assertThat(monitor.findOverdue(task -> true, REPORT_MILLIS - 1_000 + DISRUPTION_DELAY_MILLIS))
+        .isEmpty();
+    assertThat(
+            monitor.findOverdue(task -> true, REPORT_MILLIS - 1_000 + DISRUPTION_DELAY_MILLIS + 1))
+        .containsExactly(TASK);
   }
 
   @Test
-  void lackOfRoomBeginsTheCountAnew() {
+  void lackOfCapacityRestartsCount() {
     runOnce();
-    tasks.findOverdue(task -> false, LATEST);
-    long again = LATEST + PersistentTaskMonitor.MAX_UNSERVED_MILLIS;
-    assertThat(tasks.findOverdue(task -> true, again - 1)).isEmpty();
-    assertThat(tasks.findOverdue(task -> true, again)).containsExactly(TASK);
+    monitor.findOverdue(task -> false, REPORT_MILLIS);
+    long reportMillis = REPORT_MILLIS + PersistentTaskMonitor.MAX_UNSERVED_MILLIS;
+    assertThat(monitor.findOverdue(task -> true, reportMillis - 1)).isEmpty();
+    assertThat(monitor.findOverdue(task -> true, reportMillis)).containsExactly(TASK);
   }
 
   @Test
   void cancelledTaskIsNotReported() {
     runOnce();
-    tasks.recordCancelRequested(ID);
-    assertThat(tasks.findOverdue(task -> true, LATEST)).isEmpty();
-    assertThat(tasks.idleTasks()).isEmpty();
+    monitor.recordCancelRequested(ID);
+    assertThat(monitor.findOverdue(task -> true, REPORT_MILLIS)).isEmpty();
+    assertThat(monitor.idleTasks()).isEmpty();
   }
 
   private void runOnce() {
-    tasks.recordStart(TASK);
-    tasks.recordEnd(TASK, ENDED);
+    monitor.recordStart(TASK);
+    monitor.recordEnd(TASK, ENDED_MILLIS);
   }
 }
