--- a/core/src/main/java/org/hickorypier/core/journal/JournalTask.java
+++ b/core/src/main/java/org/hickorypier/core/journal/JournalTask.java
@@ -86,8 +86,8 @@
   }
 
   // After a first attempt ran and failed, the task may be cancelled, or its second attempt may
-  // never
-  // start. NOT_RUN would be wrong then: the caller would repeat work that has had its effects.
+  // never start. NOT_RUN would be wrong then: the caller would repeat work that has had its
+  // effects.
   void end(Outcome lastOutcome, String sentence) {
     open = null;
     boolean ranBefore = lastOutcome == Outcome.NOT_RUN && earlierOutcome != null;
--- a/core/src/main/java/org/hickorypier/core/membership/RendezvousHash.java
+++ b/core/src/main/java/org/hickorypier/core/membership/RendezvousHash.java
@@ -64,8 +64,8 @@
   }
 
   // Instance names differ in their last character only. FNV alone leaves their hashes close
-  // together
-  // and prefers one instance for most keys; the finalizer of MurmurHash3 spreads every bit.
+  // together and prefers one instance for most keys; the finalizer of MurmurHash3 spreads every
+  // bit.
   private static long mix(long value) {
     long mixed = (value ^ (value >>> SHIFT_BITS)) * FIRST_FACTOR;
     mixed = (mixed ^ (mixed >>> SHIFT_BITS)) * SECOND_FACTOR;
--- a/core/src/main/java/org/hickorypier/core/routing/Router.java
+++ b/core/src/main/java/org/hickorypier/core/routing/Router.java
@@ -28,15 +28,13 @@
  */
 public final class Router {
 
-  /**
-   * From entry to home and from home to peer; a third hop costs more than the wait in the queue.
-   */
+  /** Entry to home and home to peer; a third hop costs more than the wait in the queue. */
   public static final int MAX_HOPS = 2;
 
   /**
-   * The age at which a digest is ignored. Digests arrive every second with 8 instances and every 5
-   * s with 60. A dead link is detected within 3.5 s, so this limit is for a peer that is live but
-   * does not send digests any more.
+   * Older digests are ignored. Digests arrive every second with 8 instances and every 5 s with 60.
+   * A dead link is detected within 3.5 s, so this limit is for a peer that is live but does not
+   * send digests any more.
    */
   public static final long MAX_DIGEST_AGE_MILLIS = 12_000;
 
--- a/core/src/test/java/org/hickorypier/core/journal/JournalTest.java
+++ b/core/src/test/java/org/hickorypier/core/journal/JournalTest.java
@@ -158,8 +158,7 @@
   // Guards against a double start and an untrue "not run". Two homes and a caller append records in
   // random order, appends are repeated late, and an instance starts an attempt only after it has
   // read it back as applied. Of work that is not idempotent, at most one attempt that is not void
-  // may
-  // start; the outcome "not run" must mean that no attempt was reported to have run.
+  // may start; the outcome "not run" must mean that no attempt was reported to have run.
   @Property(tries = 2000, seed = "21")
   void startsAtMostOnceAndReportsNotRunCorrectly(@ForAll Random random) {
     boolean idempotent = random.nextBoolean();
--- a/core/src/test/java/org/hickorypier/core/routing/BackOffTest.java
+++ b/core/src/test/java/org/hickorypier/core/routing/BackOffTest.java
@@ -22,8 +22,7 @@
   }
 
   // 100 peers lose the same instance at the same moment. If all of them retried after the same
-  // delay,
-  // the recovered instance would receive 100 handshakes at once.
+  // delay, the recovered instance would receive 100 handshakes at once.
   @Test
   void delaysAreSpreadByJitter() {
     long different =
