--- a/core/src/main/java/org/hickorypier/core/membership/HomeHistory.java
+++ b/core/src/main/java/org/hickorypier/core/membership/HomeHistory.java
@@ -56,7 +56,7 @@
    *     request
    * @param interruptionMillis after this time without a record the peers may have considered this
    *     instance dead
-   * @param now the time
+   * @param now the time in milliseconds
    */
   public HomeHistory(String own, long retentionMillis, long interruptionMillis, long now) {
     this.own = own;
@@ -70,7 +70,7 @@
    * changed.
    *
    * @param candidates the instances that can be home of new work
-   * @param now the time
+   * @param now the time in milliseconds
    */
   public void recordCandidates(Set<String> candidates, long now) {
     checkForInterruption(now);
@@ -91,7 +91,7 @@
    *
    * @param key the key
    * @param instance the instance
-   * @param now the time
+   * @param now the time in milliseconds
    */
   public void recordLostForward(String key, String instance, long now) {
     lostForwards.put(key, new LostForward(instance, now));
@@ -100,7 +100,7 @@
   /**
    * Returns the recorded views, to be sent to another instance.
    *
-   * @param now the time
+   * @param now the time in milliseconds
    * @return the views, with their ages in milliseconds
    */
   public HomeViews snapshot(long now) {
@@ -118,7 +118,7 @@
    *
    * @param instance the instance
    * @param peerViews the views that it recorded
-   * @param now the time
+   * @param now the time in milliseconds
    */
   public void mergePeerHistory(String instance, HomeViews peerViews, long now) {
     mergedPeers.add(instance);
@@ -165,7 +165,7 @@
   /**
    * Returns whether all other histories were merged since this instance began to record.
    *
-   * @param now the time
+   * @param now the time in milliseconds
    * @return false for a short time after the start and after a long pause
    */
   public boolean hasHeardFromAllPeers(long now) {
@@ -178,7 +178,7 @@
    * a time.
    *
    * @param sinceMillis the time
-   * @param now the present time
+   * @param now the present time in milliseconds
    * @return false if the record was interrupted after that time
    */
   public boolean isUninterruptedSince(long sinceMillis, long now) {
@@ -190,7 +190,7 @@
    * Returns the former homes of a key that may still be running it.
    *
    * @param key the key
-   * @param now the time
+   * @param now the time in milliseconds
    * @return the former homes; none unless the candidates changed or the history is incomplete
    */
   public FormerHomes formerHomes(String key, long now) {
@@ -201,7 +201,7 @@
    * Returns the former homes of a key within a period.
    *
    * @param key the key
-   * @param now the time
+   * @param now the time in milliseconds
    * @param backMillis the length of the period in milliseconds, back from the present
    * @return the former homes; none unless the candidates changed or the history is incomplete
    */
@@ -229,7 +229,7 @@
    *
    * @param instance the instance
    * @param key the key
-   * @param now the time
+   * @param now the time in milliseconds
    * @param sinceMillis the length of the period in milliseconds
    * @return false if another instance was home meanwhile, or if the record begins later
    */
--- a/core/src/main/java/org/hickorypier/core/membership/MembershipView.java
+++ b/core/src/main/java/org/hickorypier/core/membership/MembershipView.java
@@ -53,7 +53,7 @@
    * Applies the platform's list of entry instances.
    *
    * @param list the whole list
-   * @param now the time
+   * @param now the time in milliseconds
    */
   public void updateListed(Collection<ListedMember> list, long now) {
     listed = list.stream().map(ListedMember::name).collect(Collectors.toUnmodifiableSet());
@@ -84,7 +84,7 @@
    *
    * @param name the peer's name
    * @param incarnation its incarnation; earlier ones count as dead
-   * @param now the time
+   * @param now the time in milliseconds
    */
   public void recordLinkUp(String name, long incarnation, long now) {
     Member member = members.computeIfAbsent(name, ignored -> new Member(now));
@@ -96,7 +96,7 @@
    * Records that the link to a peer is down.
    *
    * @param name the peer's name
-   * @param now the time
+   * @param now the time in milliseconds
    */
   public void recordLinkDown(String name, long now) {
     Member member = members.computeIfAbsent(name, ignored -> new Member(now));
@@ -107,7 +107,7 @@
   /**
    * Returns the instances that count as live, this one included.
    *
-   * @param now the time
+   * @param now the time in milliseconds
    * @return their names
    */
   public Set<String> liveInstances(long now) {
@@ -126,7 +126,7 @@
    * Returns the live instances that may be assigned workers and work: those that are neither
    * leaving nor drained. If there are none, all live ones, so that accepted work can finish.
    *
-   * @param now the time
+   * @param now the time in milliseconds
    * @return their names
    */
   public Set<String> candidates(long now) {
@@ -143,7 +143,7 @@
    *
    * @param name the instance's name
    * @param incarnation the incarnation
-   * @param now the time
+   * @param now the time in milliseconds
    * @return false also if a later incarnation has replaced it
    */
   public boolean isLive(String name, long incarnation, long now) {
@@ -157,7 +157,7 @@
    * Returns the preferred instance for a worker or a piece of work.
    *
    * @param key the worker's name, or the text of the work's key
-   * @param now the time
+   * @param now the time in milliseconds
    * @return the instance's name; never empty, since this instance is always live to itself
    */
   public String preferredInstance(String key, long now) {
--- a/core/src/main/java/org/hickorypier/core/routing/Router.java
+++ b/core/src/main/java/org/hickorypier/core/routing/Router.java
@@ -55,7 +55,7 @@
    *
    * @param peer the peer's name
    * @param capacity the free capacity that it reports
-   * @param now the time
+   * @param now the time in milliseconds
    */
   public void recordDigest(String peer, PeerCapacity capacity, long now) {
     peers.put(peer, new Peer(peer, capacity, now));
@@ -90,7 +90,7 @@
    * @param hops how many times it has been forwarded so far
    * @param atHome whether this instance is its home
    * @param fitsHere whether all its tasks can be placed on local workers now
-   * @param now the time
+   * @param now the time in milliseconds
    * @return the route; the work of a forward is deducted from the peer's capacity
    */
   public Route route(WorkItem item, int hops, boolean atHome, boolean fitsHere, long now) {
