--- a/core/src/main/java/org/hickorypier/core/routing/PeerRoom.java
+++ b/core/src/main/java/org/hickorypier/core/routing/PeerCapacity.java
@@ -3,25 +3,25 @@
 import org.hickorypier.core.model.Resources;
 
 /**
- * What a peer's digest says of its room.
+ * The free capacity that a peer's digest reports.
  *
  * <p>Immutable.
  *
- * @param taking whether it takes new work
- * @param free what is free on its workers, added up
- * @param slots slots free on its workers, added up
- * @param waiting tasks that wait there already
+ * @param acceptsWork whether the peer accepts new work
+ * @param free the total of the free resources on its workers
+ * @param freeSlots the total of the free slots on its workers
+ * @param waitingTasks the number of tasks that already wait there
  */
-public record PeerRoom(boolean taking, Resources free, int slots, int waiting) {
+public record PeerCapacity(boolean acceptsWork, Resources free, int freeSlots, int waitingTasks) {
 
   /**
-   * Returns how many tasks of a size have room, by the sums alone.
+   * Returns how many tasks of a size fit, according to the totals.
    *
-   * @param size what one task declares
-   * @return the number of tasks; the peer may still refuse, as the room may be in pieces
+   * @param size the resources that one task declares
+   * @return the number of tasks; the peer may still refuse, as its capacity may be fragmented
    */
   public long tasksThatFit(Resources size) {
-    long fitting = taking ? slots : 0;
+    long fitting = acceptsWork ? freeSlots : 0;
     fitting = Math.min(fitting, quotient(free.milliProcessors(), size.milliProcessors()));
     fitting = Math.min(fitting, quotient(free.memoryMebibytes(), size.memoryMebibytes()));
     return Math.min(fitting, quotient(free.accelerators(), size.accelerators()));
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/AdmissionRule.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/AdmissionRule.java
@@ -61,7 +61,7 @@
         .filter(reply -> reply.knowledge() == WorkKnowledge.NEVER_TAKEN)
         .forEach(reply -> uncertainHomes.remove(reply.instance()));
     boolean isFirstRun =
-        recentHomes.complete() && !recentHomes.ownEarlierLife() && uncertainHomes.isEmpty();
+        recentHomes.complete() && !recentHomes.ownEarlierIncarnation() && uncertainHomes.isEmpty();
     return isFirstRun ? Step.RUN : Step.RUN_AFTER_EARLIER_TRY;
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/FreshnessService.java
@@ -82,7 +82,7 @@
   private void recordLogRead() {
     long age = logAgeMillis.getAsLong();
     if (age != Long.MAX_VALUE) {
-      proof.logRead(timers.nowMillis() - age);
+      proof.recordLogRead(timers.nowMillis() - age);
     }
   }
 
@@ -112,7 +112,7 @@
             .flatMap(reply -> reply.text().stream())
             .flatMap(text -> parse(text).stream())
             .toList();
-    proof.round(sentMillis, appliedOffset.getAsLong(), true, freshness, replies.size());
+    proof.recordPeerRound(sentMillis, appliedOffset.getAsLong(), true, freshness, replies.size());
   }
 
   private static Optional<PeerFreshness> parse(String text) {
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/HistoryExchange.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/HistoryExchange.java
@@ -65,7 +65,7 @@
     this.firstGeneration = firstGeneration;
     requests.registerQuestionHandler(
         QuestionKind.HOMES,
-        text -> Uni.createFrom().item(codec.encode(history.tell(timers.nowMillis()))));
+        text -> Uni.createFrom().item(codec.encode(history.snapshot(timers.nowMillis()))));
   }
 
   /** Starts recording candidates and asking the other instances. */
@@ -75,16 +75,16 @@
 
   private void updateHistory() {
     long now = timers.nowMillis();
-    history.note(cluster.homeCandidates(), now);
+    history.recordCandidates(cluster.homeCandidates(), now);
     if (!instanceListRead.getAsBoolean()) {
       return;
     }
-    Set<String> awaited = history.unheard(cluster.liveOtherInstances());
-    if (awaited.isEmpty() && !history.isTaught(now)) {
+    Set<String> awaited = history.awaitedPeers(cluster.liveOtherInstances());
+    if (awaited.isEmpty() && !history.hasHeardFromAllPeers(now)) {
       if (firstGeneration.getAsBoolean()) {
-        history.nothingBefore();
+        history.markHistoryComplete();
       }
-      history.taughtByAll();
+      history.markHeardFromAllPeers();
       LOGGER.log(
           Level.INFO,
           "homes: received the history of all live instances: {0}",
@@ -113,7 +113,7 @@
 
   private void learn(String instance, byte[] data) {
     try {
-      history.learn(instance, codec.decode(data), timers.nowMillis());
+      history.mergePeerHistory(instance, codec.decode(data), timers.nowMillis());
     } catch (UndecodableException error) {
       // An instance of another version has an unreadable history, so its past counts as unknown.
       LOGGER.log(
@@ -121,7 +121,7 @@
           "homes: history of {0} cannot be decoded: {1}",
           instance,
           error.getMessage());
-      history.learn(instance, new HomeViews(0, List.of()), timers.nowMillis());
+      history.mergePeerHistory(instance, new HomeViews(0, List.of()), timers.nowMillis());
     }
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeAdmission.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/HomeAdmission.java
@@ -115,7 +115,9 @@
   // Work of an earlier incarnation of this instance may run for longer than callers retry.
   private boolean wasNeverAccepted(WorkKey key) {
     FormerHomes former = history.formerHomes(key.toString(), timers.nowMillis());
-    return recentFormerHomes(key).complete() && !former.ownEarlierLife() && work.wasNeverTaken(key);
+    return recentFormerHomes(key).complete()
+        && !former.ownEarlierIncarnation()
+        && work.wasNeverTaken(key);
   }
 
   private FormerHomes recentFormerHomes(WorkKey key) {
@@ -131,7 +133,7 @@
    */
   public boolean isSettledHome(String instance, WorkKey key) {
     String home = AttemptKey.workOf(key).toString();
-    return history.hasBeenHome(instance, home, timers.nowMillis(), HOME_SETTLING_MILLIS);
+    return history.hasBeenSoleHome(instance, home, timers.nowMillis(), HOME_SETTLING_MILLIS);
   }
 
   /**
@@ -147,7 +149,7 @@
       return;
     }
     FormerHomes former = history.formerHomes(key.toString(), timers.nowMillis());
-    if (former.none()) {
+    if (former.areRuledOut()) {
       run(submission, answer);
     } else {
       ask(submission, former, instancesToAsk(former), answer);
@@ -166,7 +168,7 @@
   /** An earlier incarnation may have left tasks on any worker, so all live instances are asked. */
   private Set<String> instancesToAsk(FormerHomes former) {
     boolean allLive = cluster.liveInstances().containsAll(former.others());
-    boolean suffices = former.complete() && !former.ownEarlierLife() && allLive;
+    boolean suffices = former.complete() && !former.ownEarlierIncarnation() && allLive;
     return suffices ? former.others() : cluster.liveOtherInstances();
   }
 
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/WorkShifter.java
@@ -8,7 +8,7 @@
 import org.hickorypier.core.model.Resources;
 import org.hickorypier.core.model.WorkItem;
 import org.hickorypier.core.model.WorkKey;
-import org.hickorypier.core.routing.PeerRoom;
+import org.hickorypier.core.routing.PeerCapacity;
 import org.hickorypier.core.routing.Route;
 import org.hickorypier.core.routing.Router;
 import org.hickorypier.core.scheduling.Scheduler;
@@ -91,14 +91,14 @@
       Resources free =
           new Resources(digest.milliProcessors(), digest.memoryMebibytes(), digest.accelerators());
       int waiting = digest.waiting().stream().mapToInt(Integer::intValue).sum();
-      PeerRoom room = new PeerRoom(digest.taking(), free, digest.slots(), waiting);
-      router.digest(peer.name(), room, timers.nowMillis());
+      PeerCapacity room = new PeerCapacity(digest.taking(), free, digest.slots(), waiting);
+      router.recordDigest(peer.name(), room, timers.nowMillis());
     }
   }
 
   @Override
   public void down(PeerIdentity peer) {
-    router.down(peer.name());
+    router.removePeer(peer.name());
   }
 
   private void shiftWaitingWork() {
@@ -133,9 +133,9 @@
   // makes the home ask about the work first, which prevents a second concurrent run.
   private void onShiftResult(WorkKey key, String peer, WorkResult result) {
     if (result.refusal().isPresent()) {
-      router.refused(peer);
+      router.recordRefusal(peer);
     } else if (result.outcome() == Outcome.UNKNOWN) {
-      history.sentTo(key.toString(), peer, timers.nowMillis());
+      history.recordLostForward(key.toString(), peer, timers.nowMillis());
     }
   }
 }
