--- a/daemon/src/main/java/org/hickorypier/daemon/HealthRoutes.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/HealthRoutes.java
@@ -30,7 +30,7 @@
   }
 
   private void ready(RoutingContext context) {
-    Optional<String> obstacle = readiness.obstacle();
+    Optional<String> obstacle = readiness.unreadyReason();
     context
         .response()
         .setStatusCode(obstacle.isEmpty() ? STATUS_READY : STATUS_NOT_READY)
--- a/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
@@ -413,7 +413,7 @@
         digests.own(
             configuration.current().offset(),
             freshness.ageMillis(),
-            readiness.obstacle().isEmpty()));
+            readiness.unreadyReason().isEmpty()));
   }
 
   private void startControl() {
--- a/daemon/src/main/java/org/hickorypier/daemon/OperatorDesk.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/OperatorDesk.java
@@ -55,7 +55,7 @@
     new OperatorApi(
             executor,
             new ConfiguredOperators(configuration::current, settings.operatorKey()),
-            readiness::configurationObstacle,
+            readiness::configurationUnreadyReason,
             control,
             DaemonConstants.SENDER_MILLIS)
         .mount(router);
@@ -66,7 +66,7 @@
     if (configuration.current().isDraining(settings.name())) {
       return "draining";
     }
-    return readiness.obstacle().isEmpty() ? "ready" : "not ready";
+    return readiness.unreadyReason().isEmpty() ? "ready" : "not ready";
   }
 
   private List<String> behind(long offset) {
--- a/daemon/src/main/java/org/hickorypier/daemon/caller/SlowSenderGuard.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/BodyTimeoutHandler.java
@@ -10,19 +10,19 @@
  * memory. With a bound on the body and on the time, what they can hold is bounded too. Only the
  * sending is timed: a caller may wait for its answer as long as it likes. Thread safe.
  */
-public final class SlowSenderGuard implements Handler<RoutingContext> {
+public final class BodyTimeoutHandler implements Handler<RoutingContext> {
 
   private static final int STATUS_REQUEST_TIMEOUT = 408;
 
-  private final long senderMillis;
+  private final long bodyTimeoutMillis;
 
   /**
    * Creates a guard.
    *
    * @param senderMillis how long a caller may take to send its body
    */
-  public SlowSenderGuard(long senderMillis) {
-    this.senderMillis = senderMillis;
+  public BodyTimeoutHandler(long senderMillis) {
+    this.bodyTimeoutMillis = senderMillis;
   }
 
   @Override
@@ -31,7 +31,7 @@
         context
             .vertx()
             .setTimer(
-                senderMillis,
+                bodyTimeoutMillis,
                 id -> {
                   if (!context.request().isEnded()) {
                     context.response().putHeader("Connection", "close");
--- a/daemon/src/main/java/org/hickorypier/daemon/caller/CallerApi.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/CallerApi.java
@@ -33,7 +33,7 @@
   private static final String BEARER = "Bearer ";
 
   /** A takeover, after which more is known of lost work, takes some seconds. */
-  private static final String ASK_AGAIN_SECONDS = "2";
+  private static final String UNKNOWN_RETRY_AFTER_SECONDS = "2";
 
   private static final int STATUS_GONE = 410;
   private static final int STATUS_FAILED = 502;
@@ -41,8 +41,8 @@
 
   private final CallerGateway gateway;
   private final CallerRequestParser parser;
-  private final long bodyLimit;
-  private final long senderMillis;
+  private final long bodyLimitBytes;
+  private final long bodyTimeoutMillis;
 
   /**
    * Creates the interface.
@@ -56,8 +56,8 @@
       CallerGateway gateway, CallerRequestParser parser, long bodyLimit, long senderMillis) {
     this.gateway = gateway;
     this.parser = parser;
-    this.bodyLimit = bodyLimit;
-    this.senderMillis = senderMillis;
+    this.bodyLimitBytes = bodyLimit;
+    this.bodyTimeoutMillis = senderMillis;
   }
 
   /**
@@ -66,44 +66,44 @@
    * @param router the router to add to
    */
   public void mount(Router router) {
-    router.route("/v1/requests").handler(new SlowSenderGuard(senderMillis));
-    router.route("/v1/jobs").handler(new SlowSenderGuard(senderMillis));
-    router.post("/v1/requests").handler(body()).handler(this::run);
-    router.post("/v1/jobs").handler(body()).handler(this::accept);
-    router.get("/v1/jobs/:requestId").handler(context -> job(context, gateway::find));
-    router.delete("/v1/jobs/:requestId").handler(context -> job(context, gateway::cancel));
+    router.route("/v1/requests").handler(new BodyTimeoutHandler(bodyTimeoutMillis));
+    router.route("/v1/jobs").handler(new BodyTimeoutHandler(bodyTimeoutMillis));
+    router.post("/v1/requests").handler(bodyHandler()).handler(this::run);
+    router.post("/v1/jobs").handler(bodyHandler()).handler(this::accept);
+    router.get("/v1/jobs/:requestId").handler(context -> callForJob(context, gateway::find));
+    router.delete("/v1/jobs/:requestId").handler(context -> callForJob(context, gateway::cancel));
     router.errorHandler(
         413,
         context ->
-            error(
+            writeError(
                 context.response(),
                 Outcome.NOT_RUN,
                 413,
-                "the body is larger than " + bodyLimit + " bytes",
+                "the body is larger than " + bodyLimitBytes + " bytes",
                 0));
   }
 
-  private BodyHandler body() {
-    return BodyHandler.create(false).setBodyLimit(bodyLimit);
+  private BodyHandler bodyHandler() {
+    return BodyHandler.create(false).setBodyLimit(bodyLimitBytes);
   }
 
   private void run(RoutingContext context) {
-    parsed(
+    parseAndCall(
         context,
         REQUEST_CLASSES,
-        request -> gateway.run(key(context), request),
-        result -> answer(context.response(), result));
+        request -> gateway.run(presentedKey(context), request),
+        result -> writeResult(context.response(), result));
   }
 
   private void accept(RoutingContext context) {
-    parsed(
+    parseAndCall(
         context,
         JOB_CLASSES,
-        request -> gateway.accept(key(context), request),
+        request -> gateway.accept(presentedKey(context), request),
         view -> writeJob(context.response(), 202, view));
   }
 
-  private <T> void parsed(
+  private <T> void parseAndCall(
       RoutingContext context,
       List<WorkClass> classes,
       Function<CallerRequest, Uni<T>> call,
@@ -111,59 +111,64 @@
     Buffer body = context.body().buffer();
     try {
       CallerRequest request = parser.parse(body == null ? new byte[0] : body.getBytes(), classes);
-      call.apply(request).subscribe().with(answered, failure -> failed(context, failure));
+      call.apply(request).subscribe().with(answered, failure -> writeFailure(context, failure));
     } catch (BadRequestException error) {
-      error(context.response(), Outcome.NOT_RUN, 400, error.getMessage(), 0);
+      writeError(context.response(), Outcome.NOT_RUN, 400, error.getMessage(), 0);
     }
   }
 
-  private void job(RoutingContext context, JobCall call) {
-    call.apply(key(context), context.pathParam("requestId"))
+  private void callForJob(RoutingContext context, JobCall call) {
+    call.apply(presentedKey(context), context.pathParam("requestId"))
         .subscribe()
-        .with(view -> writeJob(context.response(), 200, view), failure -> failed(context, failure));
+        .with(
+            view -> writeJob(context.response(), 200, view),
+            failure -> writeFailure(context, failure));
   }
 
-  private void failed(RoutingContext context, Throwable failure) {
+  private void writeFailure(RoutingContext context, Throwable failure) {
     if (failure instanceof DeniedException denied) {
-      error(
+      writeError(
           context.response(),
           denied.kind().outcome(),
           denied.kind().status(),
           denied.getMessage(),
           denied.retryAfterMillis());
     } else {
-      outcome(context.response(), Outcome.UNKNOWN);
-      end(context.response(), STATUS_UNKNOWN, message("internal error: " + failure.getMessage()));
+      putOutcomeHeader(context.response(), Outcome.UNKNOWN);
+      end(context.response(), STATUS_UNKNOWN, errorBody("internal error: " + failure.getMessage()));
     }
   }
 
-  private void answer(HttpServerResponse response, WorkResult result) {
+  private void writeResult(HttpServerResponse response, WorkResult result) {
     if (result.refusal().isPresent()) {
-      refused(response, result.outcome(), result.refusal().get());
+      writeRefusal(response, result.outcome(), result.refusal().get());
       return;
     }
     WorkResult.Answered answered = (WorkResult.Answered) result;
-    outcome(response, answered.outcome());
+    putOutcomeHeader(response, answered.outcome());
     boolean isBodyLost = answered.body().length == 0 && !answered.detail().isEmpty();
     if (answered.outcome() == Outcome.COMPLETED && isBodyLost) {
-      end(response, STATUS_GONE, message(answered.detail()));
+      end(response, STATUS_GONE, errorBody(answered.detail()));
     } else if (answered.outcome() == Outcome.COMPLETED) {
       end(response, 200, Buffer.buffer(answered.body()));
     } else {
       int status = answered.outcome() == Outcome.FAILED ? STATUS_FAILED : STATUS_UNKNOWN;
       if (answered.outcome() == Outcome.UNKNOWN) {
-        response.putHeader("Retry-After", ASK_AGAIN_SECONDS);
+        response.putHeader("Retry-After", UNKNOWN_RETRY_AFTER_SECONDS);
       }
       boolean hasBody = answered.body().length > 0;
-      end(response, status, hasBody ? Buffer.buffer(answered.body()) : message(answered.detail()));
+      end(
+          response,
+          status,
+          hasBody ? Buffer.buffer(answered.body()) : errorBody(answered.detail()));
     }
   }
 
-  private static void refused(HttpServerResponse response, Outcome outcome, Refusal refusal) {
+  private static void writeRefusal(HttpServerResponse response, Outcome outcome, Refusal refusal) {
     DeniedException denied = DeniedException.of(refusal);
     response.putHeader("Hickory-Reason", refusal.reason().name().toLowerCase(Locale.ROOT));
     int status = outcome == Outcome.UNKNOWN ? STATUS_UNKNOWN : denied.kind().status();
-    error(response, outcome, status, refusal.detail(), refusal.retryAfterMillis());
+    writeError(response, outcome, status, refusal.detail(), refusal.retryAfterMillis());
   }
 
   private static void writeJob(HttpServerResponse response, int status, JobView view) {
@@ -178,25 +183,25 @@
     end(response, status, body.toBuffer().appendString("\n"));
   }
 
-  private static void error(
+  private static void writeError(
       HttpServerResponse response,
       Outcome outcome,
       int status,
       String message,
       long retryAfterMillis) {
-    outcome(response, outcome);
+    putOutcomeHeader(response, outcome);
     if (retryAfterMillis > 0) {
       long seconds = Math.max(1, (retryAfterMillis + 999) / 1_000);
       response.putHeader("Retry-After", Long.toString(seconds));
     }
-    end(response, status, message(message));
+    end(response, status, errorBody(message));
   }
 
-  private static Buffer message(String text) {
+  private static Buffer errorBody(String text) {
     return new JsonObject().put("error", text).toBuffer().appendString("\n");
   }
 
-  private static void outcome(HttpServerResponse response, Outcome outcome) {
+  private static void putOutcomeHeader(HttpServerResponse response, Outcome outcome) {
     if (!response.ended() && !response.closed()) {
       response.putHeader(OUTCOME_HEADER, outcome.text());
     }
@@ -208,7 +213,7 @@
     }
   }
 
-  private static String key(RoutingContext context) {
+  private static String presentedKey(RoutingContext context) {
     String header = context.request().getHeader("Authorization");
     return header != null && header.startsWith(BEARER) ? header.substring(BEARER.length()) : "";
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/caller/CallerRequestParser.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/CallerRequestParser.java
@@ -16,8 +16,8 @@
 public final class CallerRequestParser {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final Pattern REQUEST_ID = Pattern.compile("[A-Za-z0-9._:-]{1,80}");
-  private static final String REQUEST_ID_RANGE =
+  private static final Pattern REQUEST_ID_PATTERN = Pattern.compile("[A-Za-z0-9._:-]{1,80}");
+  private static final String REQUEST_ID_RULE =
       "1 to 80 letters, digits, points, colons, hyphens and underscores";
   private static final Set<String> FIELDS =
       Set.of(
@@ -37,7 +37,7 @@
   private static final long MAX_MEMORY_MEBIBYTES = 16L * 1_024 * 1_024;
   private static final int MAX_ACCELERATORS = 64;
   private static final int MAX_TASKS = 1_000;
-  private static final long MAX_MILLIS = 7L * 24 * 60 * 60 * 1_000;
+  private static final long MAX_DURATION_MILLIS = 7L * 24 * 60 * 60 * 1_000;
   private static final long DEFAULT_RUN_MILLIS = 1_000;
   private static final long DEFAULT_JOB_DEADLINE_MILLIS = 24L * 60 * 60 * 1_000;
 
@@ -62,27 +62,27 @@
    */
   public CallerRequest parse(byte[] body, List<WorkClass> classes) throws BadRequestException {
     JsonNode root = readObject(body);
-    checkNames(root);
-    WorkClass workClass = workClass(root, classes);
+    checkFieldNames(root);
+    WorkClass workClass = parseWorkClass(root, classes);
     long defaultDeadline =
         workClass.isSynchronous() ? defaultDeadlineMillis : DEFAULT_JOB_DEADLINE_MILLIS;
-    double processors = decimal(root, "processors", 0.1, 0.001, MAX_PROCESSORS);
+    double processors = parseDecimal(root, "processors", 0.1, 0.001, MAX_PROCESSORS);
     Resources resources =
         new Resources(
             Math.round(processors * 1_000),
-            whole(root, "memoryMebibytes", 64, 1, MAX_MEMORY_MEBIBYTES),
-            (int) whole(root, "accelerators", 0, 0, MAX_ACCELERATORS));
+            parseInteger(root, "memoryMebibytes", 64, 1, MAX_MEMORY_MEBIBYTES),
+            (int) parseInteger(root, "accelerators", 0, 0, MAX_ACCELERATORS));
     return new CallerRequest(
-        text(root, "team", ""),
-        requestId(root),
+        parseString(root, "team", ""),
+        parseRequestId(root),
         workClass,
-        text(root, "name", workClass.name().toLowerCase(Locale.ROOT)),
-        flag(root, "idempotent"),
+        parseString(root, "name", workClass.name().toLowerCase(Locale.ROOT)),
+        parseBoolean(root, "idempotent"),
         resources,
-        (int) whole(root, "tasks", 1, 1, workClass.isSynchronous() ? 1 : MAX_TASKS),
-        whole(root, "deadlineMillis", defaultDeadline, 1, MAX_MILLIS),
-        whole(root, "runMillis", DEFAULT_RUN_MILLIS, 1, MAX_MILLIS),
-        payload(root));
+        (int) parseInteger(root, "tasks", 1, 1, workClass.isSynchronous() ? 1 : MAX_TASKS),
+        parseInteger(root, "deadlineMillis", defaultDeadline, 1, MAX_DURATION_MILLIS),
+        parseInteger(root, "runMillis", DEFAULT_RUN_MILLIS, 1, MAX_DURATION_MILLIS),
+        serializePayload(root));
   }
 
   private static JsonNode readObject(byte[] body) throws BadRequestException {
@@ -97,7 +97,7 @@
     }
   }
 
-  private static void checkNames(JsonNode root) throws BadRequestException {
+  private static void checkFieldNames(JsonNode root) throws BadRequestException {
     var names = root.fieldNames();
     while (names.hasNext()) {
       String name = names.next();
@@ -108,9 +108,9 @@
     }
   }
 
-  private static WorkClass workClass(JsonNode root, List<WorkClass> classes)
+  private static WorkClass parseWorkClass(JsonNode root, List<WorkClass> classes)
       throws BadRequestException {
-    String name = text(root, "class", classes.get(0).name());
+    String name = parseString(root, "class", classes.get(0).name());
     for (WorkClass candidate : classes) {
       if (candidate.name().equalsIgnoreCase(name)) {
         return candidate;
@@ -120,15 +120,15 @@
     throw new BadRequestException("class", name, "one of " + allowed);
   }
 
-  private static String requestId(JsonNode root) throws BadRequestException {
-    String id = text(root, "requestId", "");
-    if (!REQUEST_ID.matcher(id).matches()) {
-      throw new BadRequestException("requestId", "'" + id + "'", REQUEST_ID_RANGE);
+  private static String parseRequestId(JsonNode root) throws BadRequestException {
+    String id = parseString(root, "requestId", "");
+    if (!REQUEST_ID_PATTERN.matcher(id).matches()) {
+      throw new BadRequestException("requestId", "'" + id + "'", REQUEST_ID_RULE);
     }
     return id;
   }
 
-  private static String text(JsonNode root, String field, String fallback)
+  private static String parseString(JsonNode root, String field, String fallback)
       throws BadRequestException {
     JsonNode node = root.get(field);
     if (node == null) {
@@ -140,7 +140,7 @@
     return node.textValue();
   }
 
-  private static boolean flag(JsonNode root, String field) throws BadRequestException {
+  private static boolean parseBoolean(JsonNode root, String field) throws BadRequestException {
     JsonNode node = root.get(field);
     if (node == null) {
       return false;
@@ -151,7 +151,8 @@
     return node.booleanValue();
   }
 
-  private static long whole(JsonNode root, String field, long fallback, long least, long most)
+  private static long parseInteger(
+      JsonNode root, String field, long fallback, long least, long most)
       throws BadRequestException {
     JsonNode node = root.get(field);
     if (node == null) {
@@ -164,7 +165,7 @@
     return node.longValue();
   }
 
-  private static double decimal(
+  private static double parseDecimal(
       JsonNode root, String field, double fallback, double least, double most)
       throws BadRequestException {
     JsonNode node = root.get(field);
@@ -177,7 +178,7 @@
     return node.doubleValue();
   }
 
-  private static byte[] payload(JsonNode root) throws BadRequestException {
+  private static byte[] serializePayload(JsonNode root) throws BadRequestException {
     JsonNode node = root.get("payload");
     if (node == null) {
       return new byte[0];
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/ClusterJobScope.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/ClusterJobScope.java
@@ -42,7 +42,7 @@
 
   @Override
   public boolean isReady() {
-    return readiness.obstacle().isEmpty();
+    return readiness.unreadyReason().isEmpty();
   }
 
   @Override
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerRequests.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerRequests.java
@@ -104,7 +104,7 @@
       }
       return;
     }
-    Optional<String> obstacle = readiness.obstacle();
+    Optional<String> obstacle = readiness.unreadyReason();
     if (obstacle.isPresent()) {
       answer.accept(notTaken(RefusalReason.NOT_READY, obstacle.get()));
     } else if (hops == Cluster.TO_HOME) {
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
@@ -67,43 +67,44 @@
 
   @Override
   public Uni<WorkResult> run(String presentedKey, CallerRequest request) {
-    return onControl(
+    return runOnControlThread(
         emitter -> {
-          Submission submission = admitted(presentedKey, request);
+          Submission submission = admit(presentedKey, request);
           routing.route(firstTries.note(submission, timers.nowMillis()), emitter::complete);
         });
   }
 
   @Override
   public Uni<JobView> accept(String presentedKey, CallerRequest request) {
-    return onControl(
+    return runOnControlThread(
         emitter ->
-            jobs.accept(admitted(presentedKey, request))
+            jobs.accept(admit(presentedKey, request))
                 .subscribe()
                 .with(emitter::complete, emitter::fail));
   }
 
   @Override
   public Uni<JobView> find(String presentedKey, String requestId) {
-    return onControl(
-        emitter -> emitter.complete(jobs.find(new WorkKey(team(presentedKey), requestId))));
+    return runOnControlThread(
+        emitter ->
+            emitter.complete(jobs.find(new WorkKey(authenticateTeam(presentedKey), requestId))));
   }
 
   @Override
   public Uni<JobView> cancel(String presentedKey, String requestId) {
-    return onControl(
+    return runOnControlThread(
         emitter ->
-            jobs.cancel(new WorkKey(team(presentedKey), requestId))
+            jobs.cancel(new WorkKey(authenticateTeam(presentedKey), requestId))
                 .subscribe()
                 .with(emitter::complete, emitter::fail));
   }
 
-  private Submission admitted(String presentedKey, CallerRequest request) throws DeniedException {
-    Optional<String> obstacle = readiness.obstacle();
+  private Submission admit(String presentedKey, CallerRequest request) throws DeniedException {
+    Optional<String> obstacle = readiness.unreadyReason();
     if (obstacle.isPresent()) {
       throw new DeniedException(DenialKind.UNAVAILABLE, obstacle.get(), RETRY_AFTER_MILLIS);
     }
-    String team = team(presentedKey);
+    String team = authenticateTeam(presentedKey);
     if (!request.team().isEmpty() && !request.team().equals(team)) {
       throw new DeniedException(
           DenialKind.FOREIGN_TEAM, "the key does not belong to team " + request.team(), 0);
@@ -123,7 +124,7 @@
     return new Submission(item, request.payload());
   }
 
-  private String team(String presentedKey) throws DeniedException {
+  private String authenticateTeam(String presentedKey) throws DeniedException {
     KeyCheck check = KeyVerifier.check(configuration.current(), presentedKey);
     if (!check.isValid()) {
       throw new DeniedException(DenialKind.BAD_KEY, "the key is not valid", 0);
@@ -135,7 +136,7 @@
     return check.team();
   }
 
-  private <T> Uni<T> onControl(ControlStep<T> step) {
+  private <T> Uni<T> runOnControlThread(ControlStep<T> step) {
     return Uni.createFrom()
         .emitter(
             (Consumer<UniEmitter<? super T>>)
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
@@ -30,22 +30,22 @@
   private static final Logger LOGGER = System.getLogger(HomeRouting.class.getName());
 
   /** A tenth of the time in which a lost instance is noticed. */
-  private static final Duration PAUSE = Duration.ofMillis(150);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
   /**
    * A takeover takes less. Past it the caller hears how things stand, while it may still choose.
    */
-  private static final long PATIENCE_MILLIS = 5_000;
+  private static final long RETRY_WINDOW_MILLIS = 5_000;
 
   /** A request that is lost with more instances than these may be what ends them. */
-  private static final int LOSSES_LIMIT = 2;
+  private static final int MAX_RETRIED_LOSSES = 2;
 
   /** After these the same try may be taken a moment later, there or at the next home. */
-  private static final Set<RefusalReason> PASSING =
+  private static final Set<RefusalReason> TRANSIENT_REASONS =
       Set.of(RefusalReason.NOT_READY, RefusalReason.SHUTTING_DOWN, RefusalReason.NO_ROOM);
 
   private final HomeDirectory homes;
-  private final BiConsumer<Submission, Consumer<WorkResult>> intake;
+  private final BiConsumer<Submission, Consumer<WorkResult>> localIntake;
   private final TimerService timers;
   private final Executor control;
 
@@ -63,7 +63,7 @@
       TimerService timers,
       Executor control) {
     this.homes = homes;
-    this.intake = intake;
+    this.localIntake = intake;
     this.timers = timers;
     this.control = control;
   }
@@ -75,64 +75,64 @@
    * @param answer is given the final answer, on the control thread
    */
   public void route(Submission submission, Consumer<WorkResult> answer) {
-    new Route(submission, answer).go();
+    new RoutedRequest(submission, answer).attempt();
   }
 
   /** One request on its way. */
-  private final class Route {
+  private final class RoutedRequest {
 
     private final Consumer<WorkResult> answer;
-    private final long untilMillis;
+    private final long retryUntilMillis;
     private Submission submission;
     private int losses;
 
-    Route(Submission submission, Consumer<WorkResult> answer) {
+    RoutedRequest(Submission submission, Consumer<WorkResult> answer) {
       this.submission = submission;
       this.answer = answer;
-      this.untilMillis =
-          Math.min(submission.item().deadlineMillis(), timers.nowMillis() + PATIENCE_MILLIS);
+      this.retryUntilMillis =
+          Math.min(submission.item().deadlineMillis(), timers.nowMillis() + RETRY_WINDOW_MILLIS);
     }
 
-    void go() {
+    void attempt() {
       Optional<String> home = homes.remoteHome(key());
       if (home.isEmpty()) {
-        intake.accept(submission, this::answered);
+        localIntake.accept(submission, this::handleResult);
         return;
       }
       homes
           .forward(home.get(), submission)
           .subscribe()
           .with(
-              result -> control.execute(() -> answered(result)),
-              error -> control.execute(() -> answered(failed(error))));
+              result -> control.execute(() -> handleResult(result)),
+              error -> control.execute(() -> handleResult(forwardingFailure(error))));
     }
 
-    private void answered(WorkResult result) {
+    private void handleResult(WorkResult result) {
       boolean lost = result.refusal().isEmpty() && result.outcome() == Outcome.UNKNOWN;
       if (lost) {
         losses++;
         submission = submission.afterEarlierTry();
       }
-      boolean again = lost ? mayRunAgain() : isPassing(result);
-      long until = lost ? submission.item().deadlineMillis() : untilMillis;
-      boolean inTime = timers.nowMillis() + PAUSE.toMillis() < until;
+      boolean again = lost ? isRetryableAfterLoss() : isTransientRefusal(result);
+      long until = lost ? submission.item().deadlineMillis() : retryUntilMillis;
+      boolean inTime = timers.nowMillis() + RETRY_DELAY.toMillis() < until;
       if (again && inTime) {
-        timers.after(PAUSE, this::go);
+        timers.after(RETRY_DELAY, this::attempt);
       } else {
         answer.accept(result);
       }
     }
 
-    private boolean mayRunAgain() {
-      return submission.item().idempotent() && losses <= LOSSES_LIMIT;
+    private boolean isRetryableAfterLoss() {
+      return submission.item().idempotent() && losses <= MAX_RETRIED_LOSSES;
     }
 
-    private boolean isPassing(WorkResult result) {
+    private boolean isTransientRefusal(WorkResult result) {
       return result instanceof WorkResult.Unsettled
-          && result.refusal().map(Refusal::reason).filter(PASSING::contains).isPresent();
+          && result.refusal().map(Refusal::reason).filter(TRANSIENT_REASONS::contains).isPresent();
     }
 
-    private WorkResult failed(Throwable error) {
+    private WorkResult forwardingFailure(Throwable error) {
       LOGGER.log(Level.WARNING, "entry: {0} not forwarded: {1}", key(), error.getMessage());
       return new WorkResult.Answered(
           Outcome.UNKNOWN, "internal error: " + error.getMessage(), new byte[0]);
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/Readiness.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/Readiness.java
@@ -11,5 +11,5 @@
    *
    * @return a sentence, or empty if new work is taken
    */
-  Optional<String> obstacle();
+  Optional<String> unreadyReason();
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/ReadinessCheck.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/ReadinessCheck.java
@@ -17,7 +17,7 @@
   private final BooleanSupplier caughtUp;
   private final LongSupplier configurationAgeMillis;
   private final BooleanSupplier draining;
-  private final long freshnessMillis;
+  private final long maxConfigurationAgeMillis;
   private boolean shuttingDown;
 
   /**
@@ -36,7 +36,7 @@
     this.caughtUp = caughtUp;
     this.configurationAgeMillis = configurationAgeMillis;
     this.draining = draining;
-    this.freshnessMillis = freshnessMillis;
+    this.maxConfigurationAgeMillis = freshnessMillis;
   }
 
   /** Takes no new work from now on. */
@@ -45,14 +45,14 @@
   }
 
   @Override
-  public Optional<String> obstacle() {
+  public Optional<String> unreadyReason() {
     if (shuttingDown) {
       return Optional.of("this instance is shutting down");
     }
     if (draining.getAsBoolean()) {
       return Optional.of("this instance is being drained");
     }
-    return configurationObstacle();
+    return configurationUnreadyReason();
   }
 
   /**
@@ -61,11 +61,11 @@
    *
    * @return a sentence, or empty if it can
    */
-  public Optional<String> configurationObstacle() {
+  public Optional<String> configurationUnreadyReason() {
     if (!caughtUp.getAsBoolean()) {
       return Optional.of("this instance has not read the configuration yet");
     }
-    if (configurationAgeMillis.getAsLong() > freshnessMillis) {
+    if (configurationAgeMillis.getAsLong() > maxConfigurationAgeMillis) {
       return Optional.of("this instance cannot tell whether its configuration is recent");
     }
     return Optional.empty();
--- a/daemon/src/main/java/org/hickorypier/daemon/operator/OperatorApi.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/operator/OperatorApi.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
-import org.hickorypier.daemon.caller.SlowSenderGuard;
+import org.hickorypier.daemon.caller.BodyTimeoutHandler;
 import org.hickorypier.language.Statement;
 import org.hickorypier.language.StatementParser;
 import org.hickorypier.language.StatementPrinter;
@@ -80,7 +80,7 @@
    * @param router the router to add to
    */
   public void mount(Router router) {
-    router.post(STATEMENTS_PATH).handler(new SlowSenderGuard(senderMillis));
+    router.post(STATEMENTS_PATH).handler(new BodyTimeoutHandler(senderMillis));
     router
         .post(STATEMENTS_PATH)
         .handler(BodyHandler.create(false).setBodyLimit(BODY_LIMIT))
--- a/daemon/src/test/java/org/hickorypier/daemon/caller/CallerSessionTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/caller/CallerSessionTest.java
@@ -22,8 +22,8 @@
 /** A whole session of a caller over HTTP, against a golden file. */
 class CallerSessionTest {
 
-  private static final long BODY_LIMIT = 400;
-  private static final long SENDER_MILLIS = 10_000;
+  private static final long BODY_LIMIT_BYTES = 400;
+  private static final long BODY_TIMEOUT_MILLIS = 10_000;
   private static final String NO_BODY = "";
 
   private static final List<Step> SESSION =
@@ -61,7 +61,10 @@
   void start() throws Exception {
     Router router = Router.router(vertx);
     new CallerApi(
-            new FakeCallerGateway(), new CallerRequestParser(5_000), BODY_LIMIT, SENDER_MILLIS)
+            new FakeCallerGateway(),
+            new CallerRequestParser(5_000),
+            BODY_LIMIT_BYTES,
+            BODY_TIMEOUT_MILLIS)
         .mount(router);
     server =
         vertx
@@ -79,16 +82,16 @@
   }
 
   @Test
-  void sessionIsThatOfTheGoldenFile() throws Exception {
+  void sessionMatchesGoldenFile() throws Exception {
     StringBuilder session = new StringBuilder();
     for (Step step : SESSION) {
-      session.append(play(step));
+      session.append(execute(step));
     }
 
     assertThat(session.toString()).isEqualTo(golden());
   }
 
-  private String play(Step step) throws IOException, InterruptedException {
+  private String execute(Step step) throws IOException, InterruptedException {
     HttpRequest call =
         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + server.actualPort() + step.path))
             .method(step.method, BodyPublishers.ofString(step.body))
@@ -126,7 +129,7 @@
   }
 
   private static Step job(String method, String path, String body) {
-    return new Step(method, path, FakeCallerGateway.GOOD_KEY, body);
+    return new Step(method, path, FakeCallerGateway.VALID_KEY, body);
   }
 
   private record Step(String method, String path, String key, String body) {}
--- a/daemon/src/test/java/org/hickorypier/daemon/caller/FakeCallerGateway.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/caller/FakeCallerGateway.java
@@ -11,12 +11,12 @@
 /** A daemon behind the callers' interface whose answers follow from the request's id alone. */
 final class FakeCallerGateway implements CallerGateway {
 
-  static final String GOOD_KEY = "key.secret";
+  static final String VALID_KEY = "key.secret";
   private static final String TEAM = "labels";
 
   @Override
   public Uni<WorkResult> run(String presentedKey, CallerRequest request) {
-    if (!presentedKey.equals(GOOD_KEY)) {
+    if (!presentedKey.equals(VALID_KEY)) {
       return Uni.createFrom()
           .failure(new DeniedException(DenialKind.BAD_KEY, "the key is not valid", 0));
     }
--- a/daemon/src/test/java/org/hickorypier/daemon/entry/HomeRoutingTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/entry/HomeRoutingTest.java
@@ -29,39 +29,39 @@
       new WorkResult.Answered(Outcome.COMPLETED, "", new byte[] {1});
   private static final WorkResult LOST =
       new WorkResult.Answered(Outcome.UNKNOWN, "the home was lost", new byte[0]);
-  private static final WorkResult NO_LINK = unsettled(RefusalReason.NOT_READY);
+  private static final WorkResult NOT_READY = unsettled(RefusalReason.NOT_READY);
 
   private final ManualTimerService timers = new ManualTimerService();
-  private final Homes homes = new Homes();
+  private final FakeHomeDirectory homes = new FakeHomeDirectory();
   private final List<WorkResult> answers = new ArrayList<>();
   private final HomeRouting routing =
       new HomeRouting(homes, (submission, answer) -> answer.accept(COMPLETED), timers, timers);
 
   /** Guards against "not run", and against a caller sent away, while the home has no link. */
   @Test
-  void requestWaitsForTheNextHome() {
-    homes.answers.addAll(List.of(NO_LINK, NO_LINK, COMPLETED));
+  void refusedRequestIsRetriedUntilHomeIsReady() {
+    homes.answers.addAll(List.of(NOT_READY, NOT_READY, COMPLETED));
 
     routing.route(request(true), answers::add);
     timers.advance(Duration.ofSeconds(1));
 
     assertThat(answers).containsExactly(COMPLETED);
-    assertThat(homes.taken).extracting(Submission::mayHaveRun).containsOnly(false);
+    assertThat(homes.forwarded).extracting(Submission::mayHaveRun).containsOnly(false);
   }
 
   @Test
-  void nextHomeLearnsThatTheLostOneMayHaveRunTheRequest() {
+  void retryAfterLossMarksRequestAsPossiblyRun() {
     homes.answers.addAll(List.of(LOST, COMPLETED));
 
     routing.route(request(true), answers::add);
     timers.advance(Duration.ofSeconds(1));
 
     assertThat(answers).containsExactly(COMPLETED);
-    assertThat(homes.taken).extracting(Submission::mayHaveRun).containsExactly(false, true);
+    assertThat(homes.forwarded).extracting(Submission::mayHaveRun).containsExactly(false, true);
   }
 
   @Test
-  void requestThatMayRunOnceOnlyIsNotBroughtToAnotherHome() {
+  void nonIdempotentRequestIsNotRetriedAfterLoss() {
     homes.answers.addAll(List.of(LOST, COMPLETED));
 
     routing.route(request(false), answers::add);
@@ -72,19 +72,19 @@
 
   /** Guards against a request that ends every home it is brought to. */
   @Test
-  void requestThatIsLostWithEachHomeIsGivenUp() {
+  void requestIsNotRetriedAfterThreeLosses() {
     homes.answers.addAll(List.of(LOST, LOST, LOST, LOST, LOST));
 
     routing.route(request(true), answers::add);
     timers.advance(Duration.ofSeconds(4));
 
     assertThat(answers).containsExactly(LOST);
-    assertThat(homes.taken).hasSize(3);
+    assertThat(homes.forwarded).hasSize(3);
   }
 
   @Test
-  void requestWithoutHomeIsAnsweredAsUnknownBeforeItsDeadline() {
-    homes.endless = NO_LINK;
+  void requestWithoutReadyHomeIsAnsweredAsUnknownBeforeItsDeadline() {
+    homes.defaultAnswer = NOT_READY;
 
     routing.route(request(true), answers::add);
     timers.advance(Duration.ofMillis(DEADLINE_MILLIS));
@@ -94,17 +94,17 @@
 
   /** Guards against a caller who hears nothing until its own patience ends, tries after tries. */
   @Test
-  void callerHearsInTimeThatNoHomeCanTell() {
-    homes.endless = NO_LINK;
+  void transientRefusalIsReturnedWhenRetryWindowEnds() {
+    homes.defaultAnswer = NOT_READY;
 
     routing.route(request(true, 60_000), answers::add);
     timers.advance(Duration.ofSeconds(5));
 
-    assertThat(answers).containsExactly(NO_LINK);
+    assertThat(answers).containsExactly(NOT_READY);
   }
 
   @Test
-  void requestThatCannotBeServedInTimeIsAnsweredAtOnce() {
+  void requestRefusedForItsDeadlineIsNotRetried() {
     WorkResult tooLate = unsettled(RefusalReason.DEADLINE_TOO_NEAR);
     homes.answers.addAll(List.of(tooLate, COMPLETED));
 
@@ -137,11 +137,11 @@
   }
 
   /** Another instance is home, and answers as planned. */
-  private static final class Homes implements HomeDirectory {
+  private static final class FakeHomeDirectory implements HomeDirectory {
 
     private final Deque<WorkResult> answers = new ArrayDeque<>();
-    private final List<Submission> taken = new ArrayList<>();
-    private WorkResult endless;
+    private final List<Submission> forwarded = new ArrayList<>();
+    private WorkResult defaultAnswer;
 
     @Override
     public Optional<String> remoteHome(WorkKey key) {
@@ -150,8 +150,8 @@
 
     @Override
     public Uni<WorkResult> forward(String home, Submission submission) {
-      taken.add(submission);
-      return Uni.createFrom().item(answers.isEmpty() ? endless : answers.poll());
+      forwarded.add(submission);
+      return Uni.createFrom().item(answers.isEmpty() ? defaultAnswer : answers.poll());
     }
   }
 }
