--- a/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
@@ -21,9 +21,10 @@
 import org.hickorypier.daemon.work.WorkResult;
 
 /**
- * The first filters of every call: authenticate, check readiness, find the home.
+ * The entry point of caller requests: it checks that the instance is ready, authenticates the
+ * caller's key and routes the request to its home, the instance that decides on it.
  *
- * <p>Safe to call from any thread; the work is done on the control thread.
+ * <p>Thread-safe. Every call is handed over to the control thread.
  */
 public final class EntryService implements CallerGateway {
 
@@ -40,13 +41,13 @@
   /**
    * Creates the service.
    *
-   * @param control the control thread
-   * @param timers the time
-   * @param configuration teams and keys
-   * @param readiness whether new work is taken
-   * @param routing brings requests to their homes
-   * @param firstTries remembers who came back
-   * @param jobs the jobs
+   * @param control the executor of the control thread
+   * @param timers the clock and timers
+   * @param configuration the source of teams and API keys
+   * @param readiness decides whether new work is accepted
+   * @param routing forwards synchronous requests to their homes
+   * @param firstTries records when each request was first tried, to recognize retries
+   * @param jobs the job service
    */
   public EntryService(
       Executor control,
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/HomeDirectory.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/HomeDirectory.java
@@ -6,23 +6,27 @@
 import org.hickorypier.daemon.work.Submission;
 import org.hickorypier.daemon.work.WorkResult;
 
-/** Finds the instance at which a piece of work is decided. Called on the control thread. */
+/**
+ * Locates the home of a piece of work, the instance that decides on it, and forwards work to it.
+ *
+ * <p>Called on the control thread.
+ */
 public interface HomeDirectory {
 
   /**
-   * Returns the other instance which is home of the work.
+   * Returns the home of the work if it is another instance.
    *
-   * @param key the work
-   * @return the instance's name, or empty if this instance is the home
+   * @param key the key of the work
+   * @return the name of the home instance, or empty if this instance is the home
    */
   Optional<String> remoteHome(WorkKey key);
 
   /**
-   * Hands the work to its home.
+   * Forwards the work to its home.
    *
-   * @param home the home's name
+   * @param home the name of the home instance
    * @param submission the work
-   * @return the final answer; a failure if the home could not be asked
+   * @return the final result, or a failure if the home could not be reached
    */
   Uni<WorkResult> forward(String home, Submission submission);
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
@@ -17,30 +17,37 @@
 import org.hickorypier.daemon.work.WorkResult;
 
 /**
- * Brings a request to its home, and to the next home if that one is lost or cannot tell yet.
+ * Routes a request to its home, and retries at the next home if that one is lost or cannot decide
+ * yet.
  *
- * <p>Belongs to the control thread. Load: homes die, sleep and start anew under their callers. Harm
- * prevented: for the second or two until the others agree on the next home, the caller would be
- * sent away again and again, each time with a part of what it is willing to wait gone. The home
- * learns that an earlier try may have run. A request that is known not to be served in time is not
- * tried again: its caller hears that at once.
+ * <p>Home instances fail, pause and restart while requests are open. The other instances need a
+ * second or two to agree on the next home; without retries here the caller would be refused
+ * repeatedly during that time, and each refusal would use up part of its own timeout. After a loss
+ * the retry tells the next home that an earlier attempt may have run. A request that is refused
+ * because it cannot be served before its deadline is not retried: the caller is answered at once.
+ *
+ * <p>Confined to the control thread.
  */
 public final class HomeRouting {
 
   private static final Logger LOGGER = System.getLogger(HomeRouting.class.getName());
 
-  /** A tenth of the time in which a lost instance is noticed. */
+  /** The delay before a retry: a tenth of the time that it takes to detect a lost instance. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
   /**
-   * A takeover takes less. Past it the caller hears how things stand, while it may still choose.
+   * The time for retries of transient refusals. A takeover takes less. Once it has passed, the
+   * caller gets the last refusal while it still has time to choose what to do next.
    */
   private static final long RETRY_WINDOW_MILLIS = 5_000;
 
-  /** A request that is lost with more instances than these may be what ends them. */
+  /**
+   * The number of lost homes after which a request is still retried. A request that loses more
+   * instances than this may itself be the cause of their failures.
+   */
   private static final int MAX_RETRIED_LOSSES = 2;
 
-  /** After these the same try may be taken a moment later, there or at the next home. */
+  /** Refusals that may clear within moments, at the same home or at the next one. */
   private static final Set<RefusalReason> TRANSIENT_REASONS =
       Set.of(RefusalReason.NOT_READY, RefusalReason.SHUTTING_DOWN, RefusalReason.NO_ROOM);
 
@@ -52,33 +59,33 @@
   /**
    * Creates the routing.
    *
-   * @param homes where work is decided
-   * @param intake takes work in that is decided here
-   * @param timers the time
-   * @param control the control thread
+   * @param homes locates homes and forwards work to them
+   * @param localIntake accepts work whose home is this instance
+   * @param timers the clock and timers
+   * @param control the executor of the control thread
    */
   public HomeRouting(
       HomeDirectory homes,
-      BiConsumer<Submission, Consumer<WorkResult>> intake,
+      BiConsumer<Submission, Consumer<WorkResult>> localIntake,
       TimerService timers,
       Executor control) {
     this.homes = homes;
-    this.localIntake = intake;
+    this.localIntake = localIntake;
     this.timers = timers;
     this.control = control;
   }
 
   /**
-   * Brings a request to its home.
+   * Routes a request to its home.
    *
    * @param submission the request
-   * @param answer is given the final answer, on the control thread
+   * @param answer receives the final result, on the control thread
    */
   public void route(Submission submission, Consumer<WorkResult> answer) {
     new RoutedRequest(submission, answer).attempt();
   }
 
-  /** One request on its way. */
+  /** The state of one request while it is routed. */
   private final class RoutedRequest {
 
     private final Consumer<WorkResult> answer;
@@ -108,15 +115,15 @@
     }
 
     private void handleResult(WorkResult result) {
-      boolean lost = result.refusal().isEmpty() && result.outcome() == Outcome.UNKNOWN;
-      if (lost) {
+      boolean isLost = result.refusal().isEmpty() && result.outcome() == Outcome.UNKNOWN;
+      if (isLost) {
         losses++;
         submission = submission.afterEarlierTry();
       }
-      boolean again = lost ? isRetryableAfterLoss() : isTransientRefusal(result);
-      long until = lost ? submission.item().deadlineMillis() : retryUntilMillis;
-      boolean inTime = timers.nowMillis() + RETRY_DELAY.toMillis() < until;
-      if (again && inTime) {
+      boolean isRetryable = isLost ? isRetryableAfterLoss() : isTransientRefusal(result);
+      long untilMillis = isLost ? submission.item().deadlineMillis() : retryUntilMillis;
+      boolean isInTime = timers.nowMillis() + RETRY_DELAY.toMillis() < untilMillis;
+      if (isRetryable && isInTime) {
         timers.after(RETRY_DELAY, this::attempt);
       } else {
         answer.accept(result);
@@ -133,7 +140,11 @@
     }
 
     private WorkResult forwardingFailure(Throwable error) {
-      LOGGER.log(Level.WARNING, "entry: {0} not forwarded: {1}", key(), error.getMessage());
+      LOGGER.log(
+          Level.WARNING,
+          "entry: could not forward {0} to its home: {1}",
+          key(),
+          error.getMessage());
       return new WorkResult.Answered(
           Outcome.UNKNOWN, "internal error: " + error.getMessage(), new byte[0]);
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/ReadinessCheck.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/ReadinessCheck.java
@@ -5,12 +5,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * Takes new work only while the configuration is known to be recent.
+ * Accepts new work only while the configuration is known to be recent.
  *
- * <p>Belongs to the control thread. An instance cut off from the log would go on taking work for a
- * key that was withdrawn long ago. It counts the time since it last heard the end of the log, or a
- * peer that had heard it, on its own clock; past the bound it takes no new work. If the log is down
- * for all, nothing newer can have been acknowledged, and the peers' word keeps all of them going.
+ * <p>An instance that is partitioned from the log would otherwise keep accepting work for a key
+ * that was withdrawn long ago. It measures on its own clock how long ago it last read the end of
+ * the log, or last heard from a peer that had read it; past the limit it accepts no new work. If
+ * the log is unavailable to all instances, no newer change can have been acknowledged, and the
+ * peers' messages keep all instances ready.
+ *
+ * <p>Confined to the control thread.
  */
 public final class ReadinessCheck implements Readiness {
 
@@ -23,23 +26,24 @@
   /**
    * Creates the check.
    *
-   * @param caughtUp whether the configuration was once read to its end
-   * @param configurationAgeMillis for how long changes may have been missed
-   * @param draining whether an operator drains this instance
-   * @param freshnessMillis the longest such time
+   * @param caughtUp whether the configuration has been read to the end of the log at least once
+   * @param configurationAgeMillis the time in milliseconds during which changes may have been
+   *     missed
+   * @param draining whether an operator is draining this instance
+   * @param maxConfigurationAgeMillis the largest such time with which new work is accepted
    */
   public ReadinessCheck(
       BooleanSupplier caughtUp,
       LongSupplier configurationAgeMillis,
       BooleanSupplier draining,
-      long freshnessMillis) {
+      long maxConfigurationAgeMillis) {
     this.caughtUp = caughtUp;
     this.configurationAgeMillis = configurationAgeMillis;
     this.draining = draining;
-    this.maxConfigurationAgeMillis = freshnessMillis;
+    this.maxConfigurationAgeMillis = maxConfigurationAgeMillis;
   }
 
-  /** Takes no new work from now on. */
+  /** Makes this instance refuse new work from now on. */
   public void shutDown() {
     shuttingDown = true;
   }
@@ -56,10 +60,10 @@
   }
 
   /**
-   * Returns why the configuration cannot be relied on. Operators are served while an instance is
-   * drained, or nobody could end the draining.
+   * Returns why the configuration cannot be relied on. Draining and shutdown are not considered:
+   * operator requests must be served while an instance is drained, or nobody could end the drain.
    *
-   * @return a sentence, or empty if it can
+   * @return a sentence, or empty if the configuration can be relied on
    */
   public Optional<String> configurationUnreadyReason() {
     if (!caughtUp.getAsBoolean()) {
--- a/daemon/src/test/java/org/hickorypier/daemon/entry/HomeRoutingTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/entry/HomeRoutingTest.java
@@ -21,7 +21,7 @@
 import org.hickorypier.daemon.work.WorkResult;
 import org.junit.jupiter.api.Test;
 
-/** What a caller hears while the home of its request is lost, asleep or not certain yet. */
+/** Tests the results that callers get while the home of a request is lost, paused or not ready. */
 class HomeRoutingTest {
 
   private static final long DEADLINE_MILLIS = 5_000;
@@ -37,7 +37,10 @@
   private final HomeRouting routing =
       new HomeRouting(homes, (submission, answer) -> answer.accept(COMPLETED), timers, timers);
 
-  /** Guards against "not run", and against a caller sent away, while the home has no link. */
+  /**
+   * Guards against a caller that is refused, or told "not run", while the home is not ready because
+   * it has no link.
+   */
   @Test
   void refusedRequestIsRetriedUntilHomeIsReady() {
     homes.answers.addAll(List.of(NOT_READY, NOT_READY, COMPLETED));
@@ -49,6 +52,7 @@
     assertThat(homes.forwarded).extracting(Submission::mayHaveRun).containsOnly(false);
   }
 
+  /** Guards against a certain "not run" from the next home after the lost home may have run it. */
   @Test
   void retryAfterLossMarksRequestAsPossiblyRun() {
     homes.answers.addAll(List.of(LOST, COMPLETED));
@@ -60,6 +64,7 @@
     assertThat(homes.forwarded).extracting(Submission::mayHaveRun).containsExactly(false, true);
   }
 
+  /** Guards against a second run of a request that the lost home may already have run. */
   @Test
   void nonIdempotentRequestIsNotRetriedAfterLoss() {
     homes.answers.addAll(List.of(LOST, COMPLETED));
@@ -70,7 +75,7 @@
     assertThat(answers).containsExactly(LOST);
   }
 
-  /** Guards against a request that ends every home it is brought to. */
+  /** Guards against a request that brings down every home to which it is routed. */
   @Test
   void requestIsNotRetriedAfterThreeLosses() {
     homes.answers.addAll(List.of(LOST, LOST, LOST, LOST, LOST));
@@ -92,7 +97,10 @@
     assertThat(answers).extracting(WorkResult::outcome).containsExactly(Outcome.UNKNOWN);
   }
 
-  /** Guards against a caller who hears nothing until its own patience ends, tries after tries. */
+  /**
+   * Guards against a caller that gets no answer before its own timeout, on every attempt, because
+   * transient refusals are retried until the deadline.
+   */
   @Test
   void transientRefusalIsReturnedWhenRetryWindowEnds() {
     homes.defaultAnswer = NOT_READY;
@@ -114,7 +122,7 @@
   }
 
   private static WorkResult unsettled(RefusalReason reason) {
-    return new WorkResult.Unsettled(new Refusal(reason, "as the test says", 1_000));
+    return new WorkResult.Unsettled(new Refusal(reason, "refused by the test", 1_000));
   }
 
   private static Submission request(boolean idempotent) {
@@ -136,7 +144,7 @@
     return new Submission(item, new byte[0]);
   }
 
-  /** Another instance is home, and answers as planned. */
+  /** A directory with a remote home that returns scripted results, then a default result. */
   private static final class FakeHomeDirectory implements HomeDirectory {
 
     private final Deque<WorkResult> answers = new ArrayDeque<>();
