--- a/daemon/src/main/java/org/hickorypier/daemon/caller/BadRequestException.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/BadRequestException.java
@@ -1,14 +1,17 @@
 package org.hickorypier.daemon.caller;
 
-/** A caller's request is malformed. The message names the field, its value and what is allowed. */
+/**
+ * Thrown for a malformed caller request. The message names the field, its value and the allowed
+ * values.
+ */
 public final class BadRequestException extends Exception {
 
   /**
    * Creates the exception.
    *
-   * @param field the field's name
-   * @param value the value found
-   * @param allowed what is allowed
+   * @param field the name of the field
+   * @param value the rejected value
+   * @param allowed a description of the allowed values
    */
   public BadRequestException(String field, Object value, String allowed) {
     super("field " + field + ": " + value + " is not allowed; allowed: " + allowed);
--- a/daemon/src/main/java/org/hickorypier/daemon/caller/BodyTimeoutHandler.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/BodyTimeoutHandler.java
@@ -4,11 +4,14 @@
 import io.vertx.ext.web.RoutingContext;
 
 /**
- * Cuts off a caller that does not finish sending its body in time.
+ * Closes the connection of a caller that does not finish sending its body in time.
  *
- * <p>A sender that stops half-way would keep its buffer for ever; many of them would fill the
- * memory. With a bound on the body and on the time, what they can hold is bounded too. Only the
- * sending is timed: a caller may wait for its answer as long as it likes. Thread safe.
+ * <p>A caller that stops half-way through its body would hold its buffer forever, and many such
+ * callers would exhaust the memory. The limits on the size of a body and on the time to send it
+ * together bound the memory that they can hold. Only the sending is timed: a caller may wait for
+ * its response for any time.
+ *
+ * <p>Thread-safe.
  */
 public final class BodyTimeoutHandler implements Handler<RoutingContext> {
 
@@ -17,12 +20,12 @@
   private final long bodyTimeoutMillis;
 
   /**
-   * Creates a guard.
+   * Creates a handler.
    *
-   * @param senderMillis how long a caller may take to send its body
+   * @param bodyTimeoutMillis the time in milliseconds within which a caller must send its body
    */
-  public BodyTimeoutHandler(long senderMillis) {
-    this.bodyTimeoutMillis = senderMillis;
+  public BodyTimeoutHandler(long bodyTimeoutMillis) {
+    this.bodyTimeoutMillis = bodyTimeoutMillis;
   }
 
   @Override
--- a/daemon/src/main/java/org/hickorypier/daemon/caller/CallerApi.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/CallerApi.java
@@ -19,11 +19,11 @@
 /**
  * The HTTP interface for callers.
  *
- * <p>Thread safe: it holds no state and runs on the event loops.
+ * <p>Thread-safe: it holds no mutable state and runs on the event loops.
  */
 public final class CallerApi {
 
-  /** The header that names the outcome of every answer. */
+  /** The response header that carries the outcome of every request. */
   public static final String OUTCOME_HEADER = "Hickory-Outcome";
 
   private static final List<WorkClass> REQUEST_CLASSES =
@@ -32,7 +32,7 @@
       List.of(WorkClass.BATCH, WorkClass.GANG, WorkClass.SERVICE);
   private static final String BEARER = "Bearer ";
 
-  /** A takeover, after which more is known of lost work, takes some seconds. */
+  /** A takeover, after which the outcome of lost work may be known, takes some seconds. */
   private static final String UNKNOWN_RETRY_AFTER_SECONDS = "2";
 
   private static final int STATUS_GONE = 410;
@@ -47,23 +47,26 @@
   /**
    * Creates the interface.
    *
-   * @param gateway the rest of the daemon
-   * @param parser reads the bodies
-   * @param bodyLimit the largest body in bytes
-   * @param senderMillis how long a caller may take to send its body
+   * @param gateway the services of the daemon that the interface calls
+   * @param parser parses the request bodies
+   * @param bodyLimitBytes the largest accepted body in bytes
+   * @param bodyTimeoutMillis the time in milliseconds within which a caller must send its body
    */
   public CallerApi(
-      CallerGateway gateway, CallerRequestParser parser, long bodyLimit, long senderMillis) {
+      CallerGateway gateway,
+      CallerRequestParser parser,
+      long bodyLimitBytes,
+      long bodyTimeoutMillis) {
     this.gateway = gateway;
     this.parser = parser;
-    this.bodyLimitBytes = bodyLimit;
-    this.bodyTimeoutMillis = senderMillis;
+    this.bodyLimitBytes = bodyLimitBytes;
+    this.bodyTimeoutMillis = bodyTimeoutMillis;
   }
 
   /**
-   * Adds the routes.
+   * Adds the routes of this interface.
    *
-   * @param router the router to add to
+   * @param router the router to which the routes are added
    */
   public void mount(Router router) {
     router.route("/v1/requests").handler(new BodyTimeoutHandler(bodyTimeoutMillis));
--- a/daemon/src/main/java/org/hickorypier/daemon/caller/CallerRequestParser.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/CallerRequestParser.java
@@ -12,7 +12,7 @@
 import org.hickorypier.core.model.Resources;
 import org.hickorypier.core.model.WorkClass;
 
-/** Reads and checks the JSON body of a caller's request. Thread safe. */
+/** Parses and validates the JSON body of a caller's request. Thread-safe. */
 public final class CallerRequestParser {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -46,19 +46,20 @@
   /**
    * Creates a parser.
    *
-   * @param defaultDeadlineMillis the deadline of synchronous requests that name none
+   * @param defaultDeadlineMillis the deadline in milliseconds of synchronous requests that declare
+   *     none
    */
   public CallerRequestParser(long defaultDeadlineMillis) {
     this.defaultDeadlineMillis = defaultDeadlineMillis;
   }
 
   /**
-   * Reads a request.
+   * Parses a request.
    *
    * @param body the JSON body
-   * @param classes the classes allowed on this path
-   * @return the request
-   * @throws BadRequestException if a field is missing, unknown or out of its range
+   * @param classes the work classes allowed on the path of the request; the first is the default
+   * @return the validated request
+   * @throws BadRequestException if a field is missing, unknown or out of range
    */
   public CallerRequest parse(byte[] body, List<WorkClass> classes) throws BadRequestException {
     JsonNode root = readObject(body);
@@ -128,11 +129,11 @@
     return id;
   }
 
-  private static String parseString(JsonNode root, String field, String fallback)
+  private static String parseString(JsonNode root, String field, String defaultValue)
       throws BadRequestException {
     JsonNode node = root.get(field);
     if (node == null) {
-      return fallback;
+      return defaultValue;
     }
     if (!node.isTextual()) {
       throw new BadRequestException(field, node, "a string");
@@ -152,28 +153,28 @@
   }
 
   private static long parseInteger(
-      JsonNode root, String field, long fallback, long least, long most)
+      JsonNode root, String field, long defaultValue, long min, long max)
       throws BadRequestException {
     JsonNode node = root.get(field);
     if (node == null) {
-      return fallback;
+      return defaultValue;
     }
-    boolean fits = node.canConvertToLong() && node.canConvertToExactIntegral();
-    if (!node.isNumber() || !fits || node.longValue() < least || node.longValue() > most) {
-      throw new BadRequestException(field, node, "a whole number from " + least + " to " + most);
+    boolean isIntegral = node.canConvertToLong() && node.canConvertToExactIntegral();
+    if (!node.isNumber() || !isIntegral || node.longValue() < min || node.longValue() > max) {
+      throw new BadRequestException(field, node, "a whole number from " + min + " to " + max);
     }
     return node.longValue();
   }
 
   private static double parseDecimal(
-      JsonNode root, String field, double fallback, double least, double most)
+      JsonNode root, String field, double defaultValue, double min, double max)
       throws BadRequestException {
     JsonNode node = root.get(field);
     if (node == null) {
-      return fallback;
+      return defaultValue;
     }
-    if (!node.isNumber() || !(node.doubleValue() >= least) || !(node.doubleValue() <= most)) {
-      throw new BadRequestException(field, node, "a number from " + least + " to " + most);
+    if (!node.isNumber() || !(node.doubleValue() >= min) || !(node.doubleValue() <= max)) {
+      throw new BadRequestException(field, node, "a number from " + min + " to " + max);
     }
     return node.doubleValue();
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/caller/DenialKind.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/DenialKind.java
@@ -3,23 +3,23 @@
 import org.hickorypier.core.model.Outcome;
 import org.hickorypier.core.model.RefusalReason;
 
-/** Why a caller's request is not taken, with the HTTP status that says so. */
+/** The reasons for which a caller's request is denied, each with its HTTP status. */
 public enum DenialKind {
   /** The key is unknown or withdrawn. */
   BAD_KEY(401),
   /** The key belongs to another team. */
   FOREIGN_TEAM(403),
-  /** There is no such job. */
+  /** The job does not exist. */
   NOT_FOUND(404),
-  /** It was cancelled, or clashes with other work under the same id. */
+  /** The work was cancelled, or conflicts with other work under the same id. */
   CONFLICT(409),
-  /** Nobody can tell yet whether it was taken. */
+  /** It is not known yet whether the work was accepted. */
   UNDECIDED(504),
-  /** It can never run as declared. */
+  /** The work can never run as declared. */
   IMPOSSIBLE(422),
-  /** The team has its fill; others may not. */
+  /** The team has reached its limit; other teams may still have capacity. */
   TEAM_BUSY(429),
-  /** The cell is full, or this instance cannot take work now. */
+  /** The cell is full, or this instance cannot accept work now. */
   UNAVAILABLE(503);
 
   private final int status;
@@ -38,8 +38,9 @@
   }
 
   /**
-   * Returns what a denial of this kind says of the request. An instance that takes nothing now does
-   * not know whether an earlier try of it has run elsewhere.
+   * Returns the outcome of a request that is denied for this reason. It is unknown if the instance
+   * accepts no work now, because that instance cannot know whether an earlier attempt of the
+   * request ran elsewhere.
    *
    * @return the outcome
    */
--- a/daemon/src/main/java/org/hickorypier/daemon/caller/DeniedException.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/DeniedException.java
@@ -2,7 +2,10 @@
 
 import org.hickorypier.core.model.Refusal;
 
-/** A call is not taken, and nothing of it has run; its kind tells what that says of the request. */
+/**
+ * Thrown if a call is denied. Nothing of this call has run; {@link DenialKind#outcome()} tells what
+ * is known about the request as a whole.
+ */
 public final class DeniedException extends Exception {
 
   private final DenialKind kind;
@@ -11,9 +14,9 @@
   /**
    * Creates the exception.
    *
-   * @param kind why
+   * @param kind the reason for the denial
    * @param message a sentence for the caller
-   * @param retryAfterMillis when to come back, 0 if there is no use in it
+   * @param retryAfterMillis the delay before a retry in milliseconds, 0 if a retry is of no use
    */
   public DeniedException(DenialKind kind, String message, long retryAfterMillis) {
     super(message);
@@ -22,7 +25,7 @@
   }
 
   /**
-   * Turns a refusal of the decisions into one of this layer.
+   * Converts a refusal by the scheduler into a denial of the call.
    *
    * @param refusal the refusal
    * @return the exception
@@ -33,18 +36,18 @@
   }
 
   /**
-   * Returns why the request was not taken.
+   * Returns the reason for the denial.
    *
-   * @return the kind
+   * @return the kind of the denial
    */
   public DenialKind kind() {
     return kind;
   }
 
   /**
-   * Returns when to come back.
+   * Returns the delay before a retry.
    *
-   * @return milliseconds from now, 0 if there is no use in it
+   * @return the delay in milliseconds from now, 0 if a retry is of no use
    */
   public long retryAfterMillis() {
     return retryAfterMillis;
--- a/daemon/src/test/java/org/hickorypier/daemon/caller/CallerSessionTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/caller/CallerSessionTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A whole session of a caller over HTTP, against a golden file. */
+/** Compares the responses to a complete HTTP session of a caller with a golden file. */
 class CallerSessionTest {
 
   private static final long BODY_LIMIT_BYTES = 400;
--- a/daemon/src/test/java/org/hickorypier/daemon/caller/FakeCallerGateway.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/caller/FakeCallerGateway.java
@@ -8,7 +8,7 @@
 import org.hickorypier.core.model.WorkKey;
 import org.hickorypier.daemon.work.WorkResult;
 
-/** A daemon behind the callers' interface whose answers follow from the request's id alone. */
+/** A gateway whose results depend on the key and on the id of the request alone. */
 final class FakeCallerGateway implements CallerGateway {
 
   static final String VALID_KEY = "key.secret";
