--- a/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
@@ -21,8 +21,9 @@
 import org.hickorypier.daemon.work.WorkResult;
 
 /**
- * The entry point of caller requests: it checks that the instance is ready, authenticates the
- * caller's key and routes the request to its home, the instance that decides on it.
+ * The entry point of caller requests: it authenticates the caller's key, accepts new work only
+ * while the instance is ready, and routes a synchronous request to its home, the instance that
+ * decides on it.
  *
  * <p>Thread-safe. Every call is handed over to the control thread.
  */
@@ -101,9 +102,9 @@
   }
 
   private Submission admit(String presentedKey, CallerRequest request) throws DeniedException {
-    Optional<String> obstacle = readiness.unreadyReason();
-    if (obstacle.isPresent()) {
-      throw new DeniedException(DenialKind.UNAVAILABLE, obstacle.get(), RETRY_AFTER_MILLIS);
+    Optional<String> unreadyReason = readiness.unreadyReason();
+    if (unreadyReason.isPresent()) {
+      throw new DeniedException(DenialKind.UNAVAILABLE, unreadyReason.get(), RETRY_AFTER_MILLIS);
     }
     String team = authenticateTeam(presentedKey);
     if (!request.team().isEmpty() && !request.team().equals(team)) {
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
@@ -22,9 +22,10 @@
  *
  * <p>Home instances fail, pause and restart while requests are open. The other instances need a
  * second or two to agree on the next home; without retries here the caller would be refused
- * repeatedly during that time, and each refusal would use up part of its own timeout. After a loss
- * the retry tells the next home that an earlier attempt may have run. A request that is refused
- * because it cannot be served before its deadline is not retried: the caller is answered at once.
+ * repeatedly during that time, and each refusal would use up part of the time that the caller is
+ * willing to wait. After a loss the retry tells the next home that an earlier attempt may have run.
+ * A request that is refused because it cannot be served before its deadline is not retried: the
+ * caller is answered at once.
  *
  * <p>Confined to the control thread.
  */
