--- a/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/Hickoryd.java
@@ -421,7 +421,7 @@
         digests.localDigest(
             configuration.current().offset(),
             freshness.ageMillis(),
-            readiness.obstacle().isEmpty()));
+            readiness.unreadyReason().isEmpty()));
   }
 
   private void startControl() {
--- a/daemon/src/main/java/org/hickorypier/daemon/caller/SlowSenderGuard.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/caller/BodyTimeoutHandler.java
@@ -4,25 +4,28 @@
 import io.vertx.ext.web.RoutingContext;
 
 /**
- * Cuts off a caller that does not finish sending its body in time.
+ * Closes the connection of a caller that does not finish sending its body in time.
  *
- * <p>A sender that stops half-way would keep its buffer for ever; many of them would fill the
- * memory. With a bound on the body and on the time, what they can hold is bounded too. Only the
- * sending is timed: a caller may wait for its answer as long as it likes. Thread safe.
+ * <p>A caller that stops half-way through its body would hold its buffer forever, and many such
+ * callers would exhaust the memory. The limits on the size of a body and on the time to send it
+ * together bound the memory that they can hold. Only the sending is timed: a caller may wait for
+ * its response for any time.
+ *
+ * <p>Thread-safe.
  */
-public final class SlowSenderGuard implements Handler<RoutingContext> {
+public final class BodyTimeoutHandler implements Handler<RoutingContext> {
 
   private static final int STATUS_REQUEST_TIMEOUT = 408;
 
-  private final long senderMillis;
+  private final long bodyTimeoutMillis;
 
   /**
-   * Creates a guard.
+   * Creates a handler.
    *
-   * @param senderMillis how long a caller may take to send its body
+   * @param bodyTimeoutMillis the time in milliseconds within which a caller must send its body
    */
-  public SlowSenderGuard(long senderMillis) {
-    this.senderMillis = senderMillis;
+  public BodyTimeoutHandler(long bodyTimeoutMillis) {
+    this.bodyTimeoutMillis = bodyTimeoutMillis;
   }
 
   @Override
@@ -31,7 +34,7 @@
         context
             .vertx()
             .setTimer(
-                senderMillis,
+                bodyTimeoutMillis,
                 id -> {
                   if (!context.request().isEnded()) {
                     context.response().putHeader("Connection", "close");
--- a/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerRequestDispatcher.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/cluster/PeerRequestDispatcher.java
@@ -104,7 +104,7 @@
       }
       return;
     }
-    Optional<String> notReadyReason = readiness.obstacle();
+    Optional<String> notReadyReason = readiness.unreadyReason();
     if (notReadyReason.isPresent()) {
       answer.accept(unsettledResult(RefusalReason.NOT_READY, notReadyReason.get()));
     } else if (hops == Cluster.HOPS_TO_HOME) {
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/EntryService.java
@@ -21,9 +21,11 @@
 import org.hickorypier.daemon.work.WorkResult;
 
 /**
- * The first filters of every call: authenticate, check readiness, find the home.
+ * The entry point of caller requests: it authenticates the caller's key, accepts new work only
+ * while the instance is ready, and routes a synchronous request to its home, the instance that
+ * decides on it.
  *
- * <p>Safe to call from any thread; the work is done on the control thread.
+ * <p>Thread-safe. Every call is handed over to the control thread.
  */
 public final class EntryService implements CallerGateway {
 
@@ -40,13 +42,13 @@
   /**
    * Creates the service.
    *
-   * @param control the control thread
-   * @param timers the time
-   * @param configuration teams and keys
-   * @param readiness whether new work is taken
-   * @param routing brings requests to their homes
-   * @param firstTries remembers who came back
-   * @param jobs the jobs
+   * @param control the executor of the control thread
+   * @param timers the clock and timers
+   * @param configuration the source of teams and API keys
+   * @param readiness decides whether new work is accepted
+   * @param routing forwards synchronous requests to their homes
+   * @param firstTries records when each request was first tried, to recognize retries
+   * @param jobs the job service
    */
   public EntryService(
       Executor control,
@@ -67,43 +69,44 @@
 
   @Override
   public Uni<WorkResult> run(String presentedKey, CallerRequest request) {
-    return onControl(
+    return runOnControlThread(
         emitter -> {
-          Submission submission = admitted(presentedKey, request);
+          Submission submission = admit(presentedKey, request);
           routing.route(firstTries.recordTry(submission, timers.nowMillis()), emitter::complete);
         });
   }
 
   @Override
   public Uni<JobView> accept(String presentedKey, CallerRequest request) {
-    return onControl(
+    return runOnControlThread(
         emitter ->
-            jobs.accept(admitted(presentedKey, request))
+            jobs.accept(admit(presentedKey, request))
                 .subscribe()
                 .with(emitter::complete, emitter::fail));
   }
 
   @Override
   public Uni<JobView> find(String presentedKey, String requestId) {
-    return onControl(
-        emitter -> emitter.complete(jobs.find(new WorkKey(team(presentedKey), requestId))));
+    return runOnControlThread(
+        emitter ->
+            emitter.complete(jobs.find(new WorkKey(authenticateTeam(presentedKey), requestId))));
   }
 
   @Override
   public Uni<JobView> cancel(String presentedKey, String requestId) {
-    return onControl(
+    return runOnControlThread(
         emitter ->
-            jobs.cancel(new WorkKey(team(presentedKey), requestId))
+            jobs.cancel(new WorkKey(authenticateTeam(presentedKey), requestId))
                 .subscribe()
                 .with(emitter::complete, emitter::fail));
   }
 
-  private Submission admitted(String presentedKey, CallerRequest request) throws DeniedException {
-    Optional<String> obstacle = readiness.obstacle();
-    if (obstacle.isPresent()) {
-      throw new DeniedException(DenialKind.UNAVAILABLE, obstacle.get(), RETRY_AFTER_MILLIS);
+  private Submission admit(String presentedKey, CallerRequest request) throws DeniedException {
+    Optional<String> unreadyReason = readiness.unreadyReason();
+    if (unreadyReason.isPresent()) {
+      throw new DeniedException(DenialKind.UNAVAILABLE, unreadyReason.get(), RETRY_AFTER_MILLIS);
     }
-    String team = team(presentedKey);
+    String team = authenticateTeam(presentedKey);
     if (!request.team().isEmpty() && !request.team().equals(team)) {
       throw new DeniedException(
           DenialKind.FOREIGN_TEAM, "the key does not belong to team " + request.team(), 0);
@@ -123,7 +126,7 @@
     return new Submission(item, request.payload());
   }
 
-  private String team(String presentedKey) throws DeniedException {
+  private String authenticateTeam(String presentedKey) throws DeniedException {
     KeyCheck check = KeyVerifier.check(configuration.current(), presentedKey);
     if (!check.isValid()) {
       throw new DeniedException(DenialKind.BAD_KEY, "the key is not valid", 0);
@@ -135,7 +138,7 @@
     return check.team();
   }
 
-  private <T> Uni<T> onControl(ControlStep<T> step) {
+  private <T> Uni<T> runOnControlThread(ControlStep<T> step) {
     return Uni.createFrom()
         .emitter(
             (Consumer<UniEmitter<? super T>>)
--- a/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/entry/HomeRouting.java
@@ -17,123 +17,135 @@
 import org.hickorypier.daemon.work.WorkResult;
 
 /**
- * Brings a request to its home, and to the next home if that one is lost or cannot tell yet.
+ * Routes a request to its home, and retries at the next home if that one is lost or cannot decide
+ * yet.
  *
- * <p>Belongs to the control thread. Load: homes die, sleep and start anew under their callers. Harm
- * prevented: for the second or two until the others agree on the next home, the caller would be
- * sent away again and again, each time with a part of what it is willing to wait gone. The home
- * learns that an earlier try may have run. A request that is known not to be served in time is not
- * tried again: its caller hears that at once.
+ * <p>Home instances fail, pause and restart while requests are open. The other instances need a
+ * second or two to agree on the next home; without retries here the caller would be refused
+ * repeatedly during that time, and each refusal would use up part of the time that the caller is
+ * willing to wait. After a loss the retry tells the next home that an earlier attempt may have run.
+ * A request that is refused because it cannot be served before its deadline is not retried: the
+ * caller is answered at once.
+ *
+ * <p>Confined to the control thread.
  */
 public final class HomeRouting {
 
   private static final Logger LOGGER = System.getLogger(HomeRouting.class.getName());
 
-  /** A tenth of the time in which a lost instance is noticed. */
-  private static final Duration PAUSE = Duration.ofMillis(150);
+  /** The delay before a retry: a tenth of the time that it takes to detect a lost instance. */
+  private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
   /**
-   * A takeover takes less. Past it the caller hears how things stand, while it may still choose.
+   * The time for retries of transient refusals. A takeover takes less. Once it has passed, the
+   * caller gets the last refusal while it still has time to choose what to do next.
    */
-  private static final long PATIENCE_MILLIS = 5_000;
+  private static final long RETRY_WINDOW_MILLIS = 5_000;
 
-  /** A request that is lost with more instances than these may be what ends them. */
-  private static final int LOSSES_LIMIT = 2;
+  /**
+   * The number of lost homes after which a request is still retried. A request that loses more
+   * instances than this may itself be the cause of their failures.
+   */
+  private static final int MAX_RETRIED_LOSSES = 2;
 
-  /** After these the same try may be taken a moment later, there or at the next home. */
-  private static final Set<RefusalReason> PASSING =
+  /** Refusals that may clear within moments, at the same home or at the next one. */
+  private static final Set<RefusalReason> TRANSIENT_REASONS =
       Set.of(RefusalReason.NOT_READY, RefusalReason.SHUTTING_DOWN, RefusalReason.NO_ROOM);
 
   private final HomeDirectory homes;
-  private final BiConsumer<Submission, Consumer<WorkResult>> intake;
+  private final BiConsumer<Submission, Consumer<WorkResult>> localIntake;
   private final TimerService timers;
   private final Executor control;
 
   /**
    * Creates the routing.
    *
-   * @param homes where work is decided
-   * @param intake takes work in that is decided here
-   * @param timers the time
-   * @param control the control thread
+   * @param homes locates homes and forwards work to them
+   * @param localIntake accepts work whose home is this instance
+   * @param timers the clock and timers
+   * @param control the executor of the control thread
    */
   public HomeRouting(
       HomeDirectory homes,
-      BiConsumer<Submission, Consumer<WorkResult>> intake,
+      BiConsumer<Submission, Consumer<WorkResult>> localIntake,
       TimerService timers,
       Executor control) {
     this.homes = homes;
-    this.intake = intake;
+    this.localIntake = localIntake;
     this.timers = timers;
     this.control = control;
   }
 
   /**
-   * Brings a request to its home.
+   * Routes a request to its home.
    *
    * @param submission the request
-   * @param answer is given the final answer, on the control thread
+   * @param answer receives the final result, on the control thread
    */
   public void route(Submission submission, Consumer<WorkResult> answer) {
-    new Route(submission, answer).go();
+    new RoutedRequest(submission, answer).attempt();
   }
 
-  /** One request on its way. */
-  private final class Route {
+  /** The state of one request while it is routed. */
+  private final class RoutedRequest {
 
     private final Consumer<WorkResult> answer;
-    private final long untilMillis;
+    private final long retryUntilMillis;
     private Submission submission;
     private int losses;
 
-    Route(Submission submission, Consumer<WorkResult> answer) {
+    RoutedRequest(Submission submission, Consumer<WorkResult> answer) {
       this.submission = submission;
       this.answer = answer;
-      this.untilMillis =
-          Math.min(submission.item().deadlineMillis(), timers.nowMillis() + PATIENCE_MILLIS);
+      this.retryUntilMillis =
+          Math.min(submission.item().deadlineMillis(), timers.nowMillis() + RETRY_WINDOW_MILLIS);
     }
 
-    void go() {
+    void attempt() {
       Optional<String> home = homes.remoteHome(key());
       if (home.isEmpty()) {
-        intake.accept(submission, this::answered);
+        localIntake.accept(submission, this::handleResult);
         return;
       }
       homes
           .forward(home.get(), submission)
           .subscribe()
           .with(
-              result -> control.execute(() -> answered(result)),
-              error -> control.execute(() -> answered(failed(error))));
+              result -> control.execute(() -> handleResult(result)),
+              error -> control.execute(() -> handleResult(forwardingFailure(error))));
     }
 
-    private void answered(WorkResult result) {
-      boolean lost = result.refusal().isEmpty() && result.outcome() == Outcome.UNKNOWN;
-      if (lost) {
+    private void handleResult(WorkResult result) {
+      boolean isLost = result.refusal().isEmpty() && result.outcome() == Outcome.UNKNOWN;
+      if (isLost) {
         losses++;
         submission = submission.withPossibleEarlierRun();
       }
-      boolean again = lost ? mayRunAgain() : isPassing(result);
-      long until = lost ? submission.item().deadlineMillis() : untilMillis;
-      boolean inTime = timers.nowMillis() + PAUSE.toMillis() < until;
-      if (again && inTime) {
-        timers.after(PAUSE, this::go);
+      boolean isRetryable = isLost ? isRetryableAfterLoss() : isTransientRefusal(result);
+      long untilMillis = isLost ? submission.item().deadlineMillis() : retryUntilMillis;
+      boolean isInTime = timers.nowMillis() + RETRY_DELAY.toMillis() < untilMillis;
+      if (isRetryable && isInTime) {
+        timers.after(RETRY_DELAY, this::attempt);
       } else {
         answer.accept(result);
       }
     }
 
-    private boolean mayRunAgain() {
-      return submission.item().idempotent() && losses <= LOSSES_LIMIT;
+    private boolean isRetryableAfterLoss() {
+      return submission.item().idempotent() && losses <= MAX_RETRIED_LOSSES;
     }
 
-    private boolean isPassing(WorkResult result) {
+    private boolean isTransientRefusal(WorkResult result) {
       return result instanceof WorkResult.Unsettled
-          && result.refusal().map(Refusal::reason).filter(PASSING::contains).isPresent();
+          && result.refusal().map(Refusal::reason).filter(TRANSIENT_REASONS::contains).isPresent();
     }
 
-    private WorkResult failed(Throwable error) {
-      LOGGER.log(Level.WARNING, "entry: {0} not forwarded: {1}", key(), error.getMessage());
+    private WorkResult forwardingFailure(Throwable error) {
+      LOGGER.log(
+          Level.WARNING,
+          "entry: could not forward {0} to its home: {1}",
+          key(),
+          error.getMessage());
       return new WorkResult.Answered(
           Outcome.UNKNOWN, "internal error: " + error.getMessage(), new byte[0]);
     }
--- a/daemon/src/test/java/org/hickorypier/daemon/entry/HomeRoutingTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/entry/HomeRoutingTest.java
@@ -21,7 +21,7 @@
 import org.hickorypier.daemon.work.WorkResult;
 import org.junit.jupiter.api.Test;
 
-/** What a caller hears while the home of its request is lost, asleep or not certain yet. */
+/** Tests the results that callers get while the home of a request is lost, paused or not ready. */
 class HomeRoutingTest {
 
   private static final long DEADLINE_MILLIS = 5_000;
@@ -29,39 +29,44 @@
       new WorkResult.Answered(Outcome.COMPLETED, "", new byte[] {1});
   private static final WorkResult LOST =
       new WorkResult.Answered(Outcome.UNKNOWN, "the home was lost", new byte[0]);
-  private static final WorkResult NO_LINK = unsettled(RefusalReason.NOT_READY);
+  private static final WorkResult NOT_READY = unsettled(RefusalReason.NOT_READY);
 
   private final ManualTimerService timers = new ManualTimerService();
-  private final Homes homes = new Homes();
+  private final FakeHomeDirectory homes = new FakeHomeDirectory();
   private final List<WorkResult> answers = new ArrayList<>();
   private final HomeRouting routing =
       new HomeRouting(homes, (submission, answer) -> answer.accept(COMPLETED), timers, timers);
 
-  /** Guards against "not run", and against a caller sent away, while the home has no link. */
+  /**
+   * Guards against a caller that is refused, or told "not run", while the home is not ready because
+   * it has no link.
+   */
   @Test
-  void requestWaitsForTheNextHome() {
-    homes.answers.addAll(List.of(NO_LINK, NO_LINK, COMPLETED));
+  void refusedRequestIsRetriedUntilHomeIsReady() {
+    homes.answers.addAll(List.of(NOT_READY, NOT_READY, COMPLETED));
 
     routing.route(request(true), answers::add);
     timers.advance(Duration.ofSeconds(1));
 
     assertThat(answers).containsExactly(COMPLETED);
-    assertThat(homes.taken).extracting(Submission::mayHaveRun).containsOnly(false);
+    assertThat(homes.forwarded).extracting(Submission::mayHaveRun).containsOnly(false);
   }
 
+  /** Guards against a certain "not run" from the next home after the lost home may have run it. */
   @Test
-  void nextHomeLearnsThatTheLostOneMayHaveRunTheRequest() {
+  void retryAfterLossMarksRequestAsPossiblyRun() {
     homes.answers.addAll(List.of(LOST, COMPLETED));
 
     routing.route(request(true), answers::add);
     timers.advance(Duration.ofSeconds(1));
 
     assertThat(answers).containsExactly(COMPLETED);
-    assertThat(homes.taken).extracting(Submission::mayHaveRun).containsExactly(false, true);
+    assertThat(homes.forwarded).extracting(Submission::mayHaveRun).containsExactly(false, true);
   }
 
+  /** Guards against a second run of a request that the lost home may already have run. */
   @Test
-  void requestThatMayRunOnceOnlyIsNotBroughtToAnotherHome() {
+  void nonIdempotentRequestIsNotRetriedAfterLoss() {
     homes.answers.addAll(List.of(LOST, COMPLETED));
 
     routing.route(request(false), answers::add);
@@ -70,21 +75,21 @@
     assertThat(answers).containsExactly(LOST);
   }
 
-  /** Guards against a request that ends every home it is brought to. */
+  /** Guards against a request that brings down every home to which it is routed. */
   @Test
-  void requestThatIsLostWithEachHomeIsGivenUp() {
+  void requestIsNotRetriedAfterThreeLosses() {
     homes.answers.addAll(List.of(LOST, LOST, LOST, LOST, LOST));
 
     routing.route(request(true), answers::add);
     timers.advance(Duration.ofSeconds(4));
 
     assertThat(answers).containsExactly(LOST);
-    assertThat(homes.taken).hasSize(3);
+    assertThat(homes.forwarded).hasSize(3);
   }
 
   @Test
-  void requestWithoutHomeIsAnsweredAsUnknownBeforeItsDeadline() {
-    homes.endless = NO_LINK;
+  void requestWithoutReadyHomeIsAnsweredAsUnknownBeforeItsDeadline() {
+    homes.defaultAnswer = NOT_READY;
 
     routing.route(request(true), answers::add);
     timers.advance(Duration.ofMillis(DEADLINE_MILLIS));
@@ -92,19 +97,22 @@
     assertThat(answers).extracting(WorkResult::outcome).containsExactly(Outcome.UNKNOWN);
   }
 
-  /** Guards against a caller who hears nothing until its own patience ends, tries after tries. */
+  /**
+   * Guards against a caller that gets no answer before its own timeout, on every attempt, because
+   * transient refusals are retried until the deadline.
+   */
   @Test
-  void callerHearsInTimeThatNoHomeCanTell() {
-    homes.endless = NO_LINK;
+  void transientRefusalIsReturnedWhenRetryWindowEnds() {
+    homes.defaultAnswer = NOT_READY;
 
     routing.route(request(true, 60_000), answers::add);
     timers.advance(Duration.ofSeconds(5));
 
-    assertThat(answers).containsExactly(NO_LINK);
+    assertThat(answers).containsExactly(NOT_READY);
   }
 
   @Test
-  void requestThatCannotBeServedInTimeIsAnsweredAtOnce() {
+  void requestRefusedForItsDeadlineIsNotRetried() {
     WorkResult tooLate = unsettled(RefusalReason.DEADLINE_TOO_NEAR);
     homes.answers.addAll(List.of(tooLate, COMPLETED));
 
@@ -114,7 +122,7 @@
   }
 
   private static WorkResult unsettled(RefusalReason reason) {
-    return new WorkResult.Unsettled(new Refusal(reason, "as the test says", 1_000));
+    return new WorkResult.Unsettled(new Refusal(reason, "refused by the test", 1_000));
   }
 
   private static Submission request(boolean idempotent) {
@@ -136,12 +144,12 @@
     return new Submission(item, new byte[0]);
   }
 
-  /** Another instance is home, and answers as planned. */
-  private static final class Homes implements HomeDirectory {
+  /** A directory with a remote home that returns scripted results, then a default result. */
+  private static final class FakeHomeDirectory implements HomeDirectory {
 
     private final Deque<WorkResult> answers = new ArrayDeque<>();
-    private final List<Submission> taken = new ArrayList<>();
-    private WorkResult endless;
+    private final List<Submission> forwarded = new ArrayList<>();
+    private WorkResult defaultAnswer;
 
     @Override
     public Optional<String> remoteHome(WorkKey key) {
@@ -150,8 +158,8 @@
 
     @Override
     public Uni<WorkResult> forward(String home, Submission submission) {
-      taken.add(submission);
-      return Uni.createFrom().item(answers.isEmpty() ? endless : answers.poll());
+      forwarded.add(submission);
+      return Uni.createFrom().item(answers.isEmpty() ? defaultAnswer : answers.poll());
     }
   }
 }
