--- a/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/Node.java
@@ -56,7 +56,9 @@
 
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-  /** A sample takes about 20 us; three slow samples show that the machine has become slow. */
+  /**
+   * A sample takes about 20 us; four slow samples in a row show that the machine has become slow.
+   */
   private static final Duration SPEED_SAMPLE_PERIOD = Duration.ofMillis(250);
 
   /** Longer than a takeover takes. */
@@ -129,7 +131,7 @@
             wallClock,
             suspensionDetector,
             log,
-            settings.cellTerms(),
+            settings.cellTimings(),
             settings.workerHeartbeatMillis());
     String peerAddress = "" + settings.advertisedPeer();
     OwnerDirectory directory = new OwnerDirectory(store, timers, log, this::handleOwnerChange);
--- a/daemon/src/main/java/org/hickorypier/daemon/node/NodeSettings.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/node/NodeSettings.java
@@ -24,7 +24,7 @@
  * @param ready the address of the readiness check of the load balancer
  * @param store the address of the platform's store
  * @param advisor the address of the advisor, or null if there is none
- * @param cellTerms the durations that the owner of a cell applies
+ * @param cellTimings the durations that the owner of a cell applies
  * @param strength the load that the machine can carry as an owner
  * @param revokeMillis the time within which a revoked key must stop working
  * @param groupLifetimeMillis the time without a heartbeat after which a group member loses its
@@ -43,7 +43,7 @@
     ServiceAddress ready,
     ServiceAddress store,
     ServiceAddress advisor,
-    CellTimings cellTerms,
+    CellTimings cellTimings,
     Strength strength,
     long revokeMillis,
     long groupLifetimeMillis,
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/AdviceCallBalancer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/AdviceCallBalancer.java
@@ -67,8 +67,8 @@
    * ones for short calls: the advisor still works off the calls of the lost owner, and a short
    * check queued behind them waits for 1.1 s.
    */
-  Instance add(String address, Ownership.AdvisorClient asker) {
-    Instance instance = new Instance(address, asker);
+  Instance add(String address, Ownership.AdvisorClient advisorClient) {
+    Instance instance = new Instance(address, advisorClient);
     int position = 0;
     while (position < instances.size() && instances.get(position).address.compareTo(address) <= 0) {
       position++;
@@ -184,14 +184,14 @@
   static final class Instance {
 
     private final String address;
-    private final Ownership.AdvisorClient asker;
+    private final Ownership.AdvisorClient advisorClient;
     private double backlogMillis;
     private boolean silent;
     private int openCalls;
 
-    private Instance(String address, Ownership.AdvisorClient asker) {
+    private Instance(String address, Ownership.AdvisorClient advisorClient) {
       this.address = address;
-      this.asker = asker;
+      this.advisorClient = advisorClient;
     }
 
     private boolean isPreferredTo(Instance other) {
@@ -202,7 +202,7 @@
       long timeoutMillis = Math.round(backlogMillis + callMillis) + TIMEOUT_SLACK_MILLIS;
       backlogMillis += callMillis;
       openCalls++;
-      return asker
+      return advisorClient
           .ask(
               new LinkRequest.Advise(step, workers, timeoutMillis),
               timeoutMillis + TIMEOUT_SLACK_MILLIS)
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/JournalWriter.java
@@ -56,7 +56,7 @@
 
   private final StoreClient store;
   private final TimerService timers;
-  private final SuspensionDetector pauseGuard;
+  private final SuspensionDetector suspensionDetector;
   private final EventLog log;
   private final int epoch;
   private final Callbacks callbacks;
@@ -83,14 +83,14 @@
   JournalWriter(
       StoreClient store,
       TimerService timers,
-      SuspensionDetector pauses,
+      SuspensionDetector suspensionDetector,
       EventLog log,
       int epoch,
       long sequence,
       Callbacks callbacks) {
     this.store = store;
     this.timers = timers;
-    this.pauseGuard = pauses;
+    this.suspensionDetector = suspensionDetector;
     this.log = log;
     this.epoch = epoch;
     this.sequence = sequence;
@@ -139,7 +139,7 @@
    */
   boolean isProven(long withinMillis) {
     return !stopped
-        && pauseGuard.isUninterruptedSince(provenAt)
+        && suspensionDetector.isUninterruptedSince(provenAt)
         && timers.nowMillis() - provenAt <= withinMillis;
   }
 
@@ -155,7 +155,7 @@
     boolean proofStale = timers.nowMillis() - provenAt > PROOF_PERIOD_MILLIS;
     if (!stopped
         && inFlight.isEmpty()
-        && (proofStale || !pauseGuard.isUninterruptedSince(provenAt))) {
+        && (proofStale || !suspensionDetector.isUninterruptedSince(provenAt))) {
       put(JournalKeys.PROOF, new byte[] {1});
     }
   }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/LeaseRenewer.java
@@ -47,7 +47,7 @@
   /** The delay before a worker that still does not answer is asked again. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-  private final OwnerDependencies instruments;
+  private final OwnerDependencies dependencies;
   private final Cell cell;
   private final WorkerView worker;
   private final long fencingToken;
@@ -69,13 +69,13 @@
   }
 
   LeaseRenewer(
-      OwnerDependencies instruments,
+      OwnerDependencies dependencies,
       Cell cell,
       WorkerView worker,
       long fencingToken,
       BooleanSupplier mayOrder,
       Events events) {
-    this.instruments = instruments;
+    this.dependencies = dependencies;
     this.cell = cell;
     this.worker = worker;
     this.fencingToken = fencingToken;
@@ -104,13 +104,13 @@
       return;
     }
     if (!mayOrder.getAsBoolean()) {
-      instruments.timers().after(RETRY_DELAY, this::renew);
+      dependencies.timers().after(RETRY_DELAY, this::renew);
       return;
     }
-    long sentAt = instruments.timers().nowMillis();
-    long deadline = worker.nextDeadline(sentAt, instruments.terms().leaseMillis());
+    long sentAt = dependencies.timers().nowMillis();
+    long deadline = worker.nextDeadline(sentAt, dependencies.timings().leaseMillis());
     long wait = waitMillis(deadline);
-    instruments
+    dependencies
         .workers()
         .renewLease(
             new LeaseRenewal(
@@ -136,21 +136,21 @@
     if (stopped) {
       return;
     }
-    long now = instruments.timers().nowMillis();
+    long now = dependencies.timers().nowMillis();
     cell.renewalAnswered(worker, report, sentAt, now);
     events.workerAnswered();
     if (wait == 0) {
       renew();
     } else if (report.ended().isEmpty()) {
-      instruments
+      dependencies
           .timers()
           .after(now - sentAt < wait / 2 ? RENEWAL_DELAY : Duration.ZERO, this::renew);
     } else {
       // Until the ends are durable the worker would list them again, at once. While the store is
       // unavailable the lease must still be renewed, or the worker would stop all its runs.
       Once next = new Once(this::renew);
-      events.afterSave(() -> instruments.timers().after(RENEWAL_DELAY, next));
-      instruments.timers().after(UNSAVED_RENEWAL_DELAY, next);
+      events.afterSave(() -> dependencies.timers().after(RENEWAL_DELAY, next));
+      dependencies.timers().after(UNSAVED_RENEWAL_DELAY, next);
     }
   }
 
@@ -182,7 +182,7 @@
       return;
     }
     boolean alreadySilent = worker.silent();
-    cell.renewalUnanswered(worker, instruments.timers().nowMillis());
-    instruments.timers().after(alreadySilent ? RETRY_DELAY : FIRST_RETRY_DELAY, this::renew);
+    cell.renewalUnanswered(worker, dependencies.timers().nowMillis());
+    dependencies.timers().after(alreadySilent ? RETRY_DELAY : FIRST_RETRY_DELAY, this::renew);
   }
 }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OrderSender.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OrderSender.java
@@ -32,7 +32,7 @@
 
   private final OwnerDependencies dependencies;
   private final int epoch;
-  private final AdviceCallBalancer adviceCalls;
+  private final AdviceCallBalancer adviceCallBalancer;
   private final Events events;
   private Cell cell;
   private JournalWriter journal;
@@ -51,10 +51,13 @@
   }
 
   OrderSender(
-      OwnerDependencies dependencies, int epoch, AdviceCallBalancer adviceCalls, Events events) {
+      OwnerDependencies dependencies,
+      int epoch,
+      AdviceCallBalancer adviceCallBalancer,
+      Events events) {
     this.dependencies = dependencies;
     this.epoch = epoch;
-    this.adviceCalls = adviceCalls;
+    this.adviceCallBalancer = adviceCallBalancer;
     this.events = events;
   }
 
@@ -127,7 +130,7 @@
         TaskNames.formatStep(step.submission().spec().id(), step.occurrence(), step.index());
     List<String> ids = workers.stream().map(WorkerView::id).toList();
     long askedAt = now();
-    Optional<Future<LinkReply>> call = adviceCalls.ask(name, ids, callMillis);
+    Optional<Future<LinkReply>> call = adviceCallBalancer.ask(name, ids, callMillis);
     call.ifPresent(
         answer -> answer.onSuccess(reply -> handleAdviceReply(step, workers, reply, askedAt)));
     return call.isPresent();
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Owner.java
@@ -63,7 +63,7 @@
   private final JournalWriter journal;
   private final WorkerListReader workerListReader;
   private final Consumer<String> onLost;
-  private final Map<String, LeaseRenewer> renewals = new HashMap<>();
+  private final Map<String, LeaseRenewer> leaseRenewers = new HashMap<>();
   private final Map<Submission, List<Promise<LinkReply>>> pendingAcceptances = new HashMap<>();
 
   /** Cancellations that wait for the journal. */
@@ -78,15 +78,16 @@
   Owner(
       OwnerDependencies dependencies,
       Takeover.Result taken,
-      AdviceCallBalancer adviceCalls,
+      AdviceCallBalancer adviceCallBalancer,
       Optional<Collection<CustomerLimits>> customers,
       Consumer<String> onLost) {
     this.dependencies = dependencies;
     this.epoch = taken.epoch();
     this.onLost = onLost;
     long now = dependencies.timers().nowMillis();
-    OrderSender orders = new OrderSender(dependencies, taken.epoch(), adviceCalls, workerEvents);
-    this.cell = new Cell(dependencies.terms(), orders, dependencies.log(), taken.epoch(), now);
+    OrderSender orders =
+        new OrderSender(dependencies, taken.epoch(), adviceCallBalancer, workerEvents);
+    this.cell = new Cell(dependencies.timings(), orders, dependencies.log(), taken.epoch(), now);
     this.journal =
         new JournalWriter(
             dependencies.store(),
@@ -255,7 +256,7 @@
     tickTimer.cancel();
     journal.stop();
     workerListReader.stop();
-    renewals.values().forEach(LeaseRenewer::stop);
+    leaseRenewers.values().forEach(LeaseRenewer::stop);
     pendingAcceptances
         .values()
         .forEach(
@@ -317,7 +318,7 @@
   }
 
   private boolean maySendOrders() {
-    return !ended && journal.isProven(dependencies.terms().ownershipProofMillis());
+    return !ended && journal.isProven(dependencies.timings().ownershipProofMillis());
   }
 
   private void workersListed(Map<String, WorkerEntry> entries, Set<String> departed) {
@@ -328,16 +329,16 @@
   }
 
   private void updateRenewals() {
-    renewals.values().removeIf(LeaseRenewer::isStopped);
+    leaseRenewers.values().removeIf(LeaseRenewer::isStopped);
     for (WorkerView worker : cell.workers()) {
-      LeaseRenewer current = renewals.get(worker.id());
+      LeaseRenewer current = leaseRenewers.get(worker.id());
       if (current == null || !current.isFor(worker)) {
         if (current != null) {
           current.stop();
         }
         LeaseRenewer renewal =
             new LeaseRenewer(dependencies, cell, worker, epoch, this::maySendOrders, workerEvents);
-        renewals.put(worker.id(), renewal);
+        leaseRenewers.put(worker.id(), renewal);
         renewal.renew();
       }
     }
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerDependencies.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/OwnerDependencies.java
@@ -19,7 +19,7 @@
  * @param wallClock the wall clock, in milliseconds
  * @param suspensionDetector detects suspensions of the process
  * @param log receives the events
- * @param terms the parameters of the cell
+ * @param timings the parameters of the cell
  * @param workerHeartbeatMillis the interval at which a worker writes its entry in the list of
  *     workers
  */
@@ -30,5 +30,5 @@
     LongSupplier wallClock,
     SuspensionDetector suspensionDetector,
     EventLog log,
-    CellTimings terms,
+    CellTimings timings,
     long workerHeartbeatMillis) {}
--- a/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/owner/Ownership.java
@@ -90,12 +90,12 @@
    */
   private static final Duration LEAVE_FLUSH_TIMEOUT = Duration.ofMillis(300);
 
-  private final OwnerDependencies instruments;
+  private final OwnerDependencies dependencies;
   private final String memberName;
   private final Candidate self;
   private final long lifetimeMillis;
   private final OwnerDirectory directory;
-  private final AdviceCallBalancer advice;
+  private final AdviceCallBalancer adviceCallBalancer;
   private OwnerCheck ownerCheck;
   private LongSupplier silentMillis = () -> 0;
   private Optional<Collection<CustomerLimits>> customers = Optional.empty();
@@ -119,20 +119,20 @@
   /**
    * Creates the ownership of an instance that is not the owner yet.
    *
-   * @param instruments the shared clients, timers and log
+   * @param dependencies the shared clients, timers and log
    * @param member this instance's name in the group
    * @param self this instance and what its machine can carry
    * @param lifetimeMillis how long the group keeps a member without a heartbeat, in milliseconds
    * @param directory is told of a new owner
    */
   public Ownership(
-      OwnerDependencies instruments,
+      OwnerDependencies dependencies,
       String member,
       Candidate self,
       long lifetimeMillis,
       OwnerDirectory directory) {
-    this.instruments = instruments;
-    this.advice = new AdviceCallBalancer(instruments.timers());
+    this.dependencies = dependencies;
+    this.adviceCallBalancer = new AdviceCallBalancer(dependencies.timers());
     this.memberName = member;
     this.self = self;
     this.lifetimeMillis = lifetimeMillis;
@@ -160,11 +160,11 @@
   public void start(OwnerCheck check, LongSupplier ownerSilentMillis) {
     ownerCheck = check;
     silentMillis = ownerSilentMillis;
-    instruments
+    dependencies
         .timers()
         .every(Duration.ofMillis(lifetimeMillis / HEARTBEATS_PER_LIFETIME), this::joinGroup);
     int jitterMillis = Math.floorMod(memberName.hashCode(), COMPARE_JITTER_MILLIS);
-    instruments
+    dependencies
         .timers()
         .every(Duration.ofMillis(COMPARE_PERIOD_MILLIS + jitterMillis), this::compareWithOwner);
     joinGroup();
@@ -192,7 +192,7 @@
       return;
     }
     joining = true;
-    instruments
+    dependencies
         .store()
         .join(JournalKeys.GROUP, memberName, JournalKeys.TOPIC, lifetimeMillis, generation)
         .onComplete(
@@ -243,8 +243,8 @@
    * @return removes the client; to be run when the instance is gone
    */
   public Runnable addAdvisorClient(String address, AdvisorClient client) {
-    AdviceCallBalancer.Instance helper = advice.add(address, client);
-    return () -> advice.remove(helper);
+    AdviceCallBalancer.Instance helper = adviceCallBalancer.add(address, client);
+    return () -> adviceCallBalancer.remove(helper);
   }
 
   /** An instance that can ask the advisor. */
@@ -315,7 +315,7 @@
    * @param reason the reason, for the log
    */
   public void tryTakeOver(String reason) {
-    long now = instruments.timers().nowMillis();
+    long now = dependencies.timers().nowMillis();
     if (owner == null && now - lastTakeoverAttemptAt > MIN_TAKEOVER_INTERVAL_MILLIS) {
       lastTakeoverAttemptAt = now;
       takeOver(reason, () -> true, null);
@@ -330,7 +330,7 @@
    * @param silent returns whether the owner is still silent
    */
   public void tryTakeOverUnlessAlive(String reason, BooleanSupplier silent) {
-    long now = instruments.timers().nowMillis();
+    long now = dependencies.timers().nowMillis();
     if (owner == null
         && now - lastSuspicionAt > MIN_SUSPICION_INTERVAL_MILLIS
         && silent.getAsBoolean()) {
@@ -341,7 +341,7 @@
 
   private Future<Void> awaitSignOfLife() {
     Promise<Void> elapsed = Promise.promise();
-    instruments.timers().after(LIVENESS_WAIT, elapsed::tryComplete);
+    dependencies.timers().after(LIVENESS_WAIT, elapsed::tryComplete);
     return elapsed.future();
   }
 
@@ -352,9 +352,9 @@
    * @return true if this instance is the owner afterwards
    */
   public Future<Boolean> takeOverOnRequest() {
-    long deadline = instruments.timers().nowMillis() + REQUESTED_TAKEOVER_TIMEOUT_MILLIS;
+    long deadline = dependencies.timers().nowMillis() + REQUESTED_TAKEOVER_TIMEOUT_MILLIS;
     return takeOver(
-        "the owner asked for it", () -> instruments.timers().nowMillis() <= deadline, null);
+        "the owner asked for it", () -> dependencies.timers().nowMillis() <= deadline, null);
   }
 
   private Future<Boolean> takeOver(
@@ -366,10 +366,10 @@
       return Future.succeededFuture(false);
     }
     takingOver = true;
-    instruments.log().event(PART, "taking-over", "reason", reason, "generation", generation);
+    dependencies.log().event(PART, "taking-over", "reason", reason, "generation", generation);
     return new Takeover(
-            instruments.store(),
-            instruments.log(),
+            dependencies.store(),
+            dependencies.log(),
             self,
             randomFirstSequence(),
             directory.owner().epoch(),
@@ -380,7 +380,7 @@
             (taken, error) -> {
               takingOver = false;
               if (error != null) {
-                instruments.log().event(PART, "takeover-failed", "error", error.getMessage());
+                dependencies.log().event(PART, "takeover-failed", "error", error.getMessage());
                 return error instanceof SupersededException newer
                     ? handleSuperseded(newer.owner(), reason, wanted, livenessDelay)
                     : Future.succeededFuture(false);
@@ -391,7 +391,8 @@
               // An instance that was told to leave during the takeover has fenced its predecessor
               // nevertheless, and the cell would have no owner if this one gave it up. It becomes
               // the owner and hands over in its turn.
-              owner = new Owner(instruments, taken, advice, customers, this::endOwnership);
+              owner =
+                  new Owner(dependencies, taken, adviceCallBalancer, customers, this::endOwnership);
               announceOwner(self.toOwnerRecord(taken.epoch()));
               return Future.succeededFuture(true);
             });
@@ -438,17 +439,17 @@
    */
   public Future<Void> leave() {
     leaving = true;
-    instruments
+    dependencies
         .store()
         .leave(JournalKeys.GROUP, memberName)
         .onFailure(
-            error -> instruments.log().event(PART, "leave-failed", "error", error.getMessage()));
+            error -> dependencies.log().event(PART, "leave-failed", "error", error.getMessage()));
     if (owner == null) {
       return Future.succeededFuture();
     }
     Promise<Void> written = Promise.promise();
     owner.whenWritten(written::tryComplete);
-    instruments.timers().after(LEAVE_FLUSH_TIMEOUT, written::tryComplete);
+    dependencies.timers().after(LEAVE_FLUSH_TIMEOUT, written::tryComplete);
     return written.future();
   }
 
@@ -527,13 +528,13 @@
             JournalKeys.PRODUCER,
             present.epoch(),
             1);
-    instruments
+    dependencies
         .store()
         .append(announcement)
         .onFailure(
             error -> {
               if (owner != null && owner.epoch() == present.epoch()) {
-                instruments.timers().after(ANNOUNCE_RETRY_DELAY, () -> announceOwner(present));
+                dependencies.timers().after(ANNOUNCE_RETRY_DELAY, () -> announceOwner(present));
               }
             });
   }
@@ -554,14 +555,14 @@
       return;
     }
     successor
-        .apply(reported.toMessage(instruments.timers().nowMillis()))
+        .apply(reported.toMessage(dependencies.timers().nowMillis()))
         .onSuccess(
             reply -> {
               if (formerOwnership != reported) {
                 return;
               }
               if (reply instanceof LinkReply.NotOwner) {
-                instruments
+                dependencies
                     .timers()
                     .after(NOTIFY_RETRY_DELAY, () -> notifySuccessor(successorEpoch, successor));
               } else {
@@ -579,7 +580,7 @@
       endedOwner.end(reason);
       formerOwnership =
           new FormerOwnership(
-              endedOwner.epoch(), endedOwner.finalRoster(), instruments.timers().nowMillis());
+              endedOwner.epoch(), endedOwner.finalRoster(), dependencies.timers().nowMillis());
     }
   }
 }
--- a/daemon/src/test/java/org/hickorypier/daemon/node/NodeSettingsTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/NodeSettingsTest.java
@@ -37,7 +37,7 @@
     assertThat(settings.advisor()).isNull();
     assertThat(settings.graceMillis()).isEqualTo(6_000);
     assertThat(settings.groupLifetimeMillis()).isEqualTo(1_500);
-    assertThat(settings.cellTerms().leaseMillis()).isEqualTo(3_500);
+    assertThat(settings.cellTimings().leaseMillis()).isEqualTo(3_500);
     assertThat(settings.strength()).isEqualTo(Strength.of(0.36, 7));
   }
 
--- a/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/SmallCluster.java
@@ -144,14 +144,14 @@
 
   /** Replaces the keys of the customer. */
   void configure(String... keys) {
-    CustomerLimits terms = new CustomerLimits("customer", 100, Resources.NONE);
-    operator.configure(List.of(new CustomerAccess(terms, Set.of(keys))));
+    CustomerLimits limits = new CustomerLimits("customer", 100, Resources.NONE);
+    operator.configure(List.of(new CustomerAccess(limits, Set.of(keys))));
   }
 
   /** Limits the customer to one processor. */
   void limitToOneProcessor() {
-    CustomerLimits terms = new CustomerLimits("customer", 100, new Resources(1_000, 0, 0));
-    operator.configure(List.of(new CustomerAccess(terms, Set.of(KEY))));
+    CustomerLimits limits = new CustomerLimits("customer", 100, new Resources(1_000, 0, 0));
+    operator.configure(List.of(new CustomerAccess(limits, Set.of(KEY))));
   }
 
   /** Hides the configuration from instances that start from now on. */
