--- a/core/src/main/java/org/hickorypier/core/cell/CellState.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellState.java
@@ -31,8 +31,8 @@
   private long lastSubmissionNumber;
   final long takenOverAt;
   final CustomerUsage usage = new CustomerUsage();
-  final RunDurationEstimator learnedWork = new RunDurationEstimator();
-  final WorkerKindSpeedEstimator learnedSpeed = new WorkerKindSpeedEstimator();
+  final RunDurationEstimator durationEstimator = new RunDurationEstimator();
+  final WorkerKindSpeedEstimator speedEstimator = new WorkerKindSpeedEstimator();
   final UrgentReserve reserve = new UrgentReserve();
   final Map<String, Submission> submissions = new HashMap<>();
 
--- a/core/src/main/java/org/hickorypier/core/cell/CustomerUsage.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CustomerUsage.java
@@ -58,12 +58,12 @@
     if (!configured) {
       return false;
     }
-    CustomerLimits customerTerms = limits.get(customer);
-    if (customerTerms == null) {
+    CustomerLimits customerLimits = limits.get(customer);
+    if (customerLimits == null) {
       return true;
     }
     long[] sums = used.computeIfAbsent(customer, name -> new long[3]);
-    Resources limit = customerTerms.limit();
+    Resources limit = customerLimits.limit();
     return within(
             sums[0] + unresolvedCapacity.milliProcessors(),
             size.milliProcessors(),
--- a/core/src/main/java/org/hickorypier/core/cell/DepartureDetector.java
+++ b/core/src/main/java/org/hickorypier/core/cell/DepartureDetector.java
@@ -51,15 +51,15 @@
    * Records that an entry was removed.
    *
    * @param id the worker's id
-   * @param runningSince the end of the last pause of this process, in milliseconds; the clock has
+   * @param uninterruptedSince the end of the last suspension of this process, in milliseconds; the clock has
    *     run without interruption since then
    * @param now the time, in milliseconds
    * @return true if the worker has left
    */
-  public boolean recordRemoval(String id, long runningSince, long now) {
+  public boolean recordRemoval(String id, long uninterruptedSince, long now) {
     Long notBefore = drainingNotBefore.remove(id);
     return notBefore != null
-        && notBefore > runningSince
+        && notBefore > uninterruptedSince
         && now - notBefore < MAX_AGE_HEARTBEATS * heartbeatMillis;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/Dispatcher.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Dispatcher.java
@@ -41,14 +41,14 @@
 
   void pass(long now) {
     for (WorkerView worker : cell.workers.values()) {
-      worker.kindFactor = cell.learnedSpeed.factor(worker.entry().kind());
+      worker.kindFactor = cell.speedEstimator.factor(worker.entry().kind());
     }
     long unresolvedUpTo = cell.lastUnresolvedNumber(now);
     cell.usage.setUnresolvedCapacity(cell.unresolvedCapacity(now));
     Map<String, List<WorkerView>> workersByService = new HashMap<>();
-    for (StepRun step : UrgencyOrder.sorted(cell.readySteps, cell.learnedWork, now)) {
+    for (StepRun step : UrgencyOrder.sorted(cell.readySteps, cell.durationEstimator, now)) {
       if (!step.submission.isLive() || !step.hasWaitingTasks()) {
-        releaseClaim(step);
+        releaseReservation(step);
         cell.readySteps.remove(step);
       } else if (!cell.waitsForUnheardWorkers(step.submission, unresolvedUpTo)) {
         String service = step.submission.spec().queue().service();
@@ -75,7 +75,7 @@
     return workers.stream().anyMatch(worker -> advice.validTicket(worker, now) != null);
   }
 
-  /** Requests advice for a step that is about to become ready, without claiming room for it. */
+  /** Requests advice for a step that is about to become ready, without reserving resources for it. */
   private void requestAdviceAhead(StepRun step, List<WorkerView> workers, long now) {
     StepAdvice advice = step.advice;
     if (isRequestPending(advice, now)
@@ -96,8 +96,8 @@
     if (tasks.isEmpty()) {
       return;
     }
-    final StepReservation claim = step.claim;
-    releaseClaim(step);
+    final StepReservation reservation = step.reservation;
+    releaseReservation(step);
     StepAdvice advice = step.advice;
     Map<Task, WorkerView> chosen =
         Placer.choose(
@@ -111,8 +111,8 @@
       return;
     }
     if (isRequestPending(advice, now)) {
-      if (claim != null && now < claim.until()) {
-        claim(step, claim);
+      if (reservation != null && now < reservation.until()) {
+        reserve(step, reservation);
       }
       return;
     }
@@ -189,7 +189,7 @@
       Set<WorkerView> named = new LinkedHashSet<>(planned.values());
       if (cell.output.advise(step, List.copyOf(named))) {
         advice.requestedAt = now;
-        claimRoom(step, planned, now);
+        reserveResources(step, planned, now);
       }
       return;
     }
@@ -232,24 +232,24 @@
         : unrated.subList(0, MAX_WORKERS_PER_REQUEST);
   }
 
-  private void claimRoom(StepRun step, Map<Task, WorkerView> planned, long now) {
-    Map<WorkerView, Resources> rooms = new HashMap<>();
+  private void reserveResources(StepRun step, Map<Task, WorkerView> planned, long now) {
+    Map<WorkerView, Resources> resources = new HashMap<>();
     for (WorkerView worker : planned.values()) {
-      rooms.merge(worker, step.spec.taskResources(), Resources::plus);
+      resources.merge(worker, step.spec.taskResources(), Resources::plus);
     }
-    long call = Math.round(step.advice.terms.callMillis(rooms.size()));
-    claim(step, new StepReservation(rooms, now + 2 * call + ADVICE_RETRY_MILLIS));
+    long call = Math.round(step.advice.terms.callMillis(resources.size()));
+    reserve(step, new StepReservation(resources, now + 2 * call + ADVICE_RETRY_MILLIS));
   }
 
-  private void claim(StepRun step, StepReservation claim) {
-    step.claim = claim;
-    claim.rooms().forEach((worker, size) -> worker.reserve(size, 1));
+  private void reserve(StepRun step, StepReservation reservation) {
+    step.reservation = reservation;
+    reservation.resources().forEach((worker, size) -> worker.reserve(size, 1));
   }
 
-  private void releaseClaim(StepRun step) {
-    if (step.claim != null) {
-      step.claim.rooms().forEach((worker, size) -> worker.reserve(size, -1));
-      step.claim = null;
+  private void releaseReservation(StepRun step) {
+    if (step.reservation != null) {
+      step.reservation.resources().forEach((worker, size) -> worker.reserve(size, -1));
+      step.reservation = null;
     }
   }
 
@@ -267,7 +267,7 @@
   void adviceFailed(StepRun step, long now) {
     step.advice.requestedAt = 0;
     step.advice.nextRequestAt = now + ADVICE_RETRY_MILLIS;
-    releaseClaim(step);
+    releaseReservation(step);
     cell.dirty = true;
   }
 }
--- a/core/src/main/java/org/hickorypier/core/cell/RosterCodec.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RosterCodec.java
@@ -49,7 +49,7 @@
       }
       return packer.toByteArray();
     } catch (IOException error) {
-      throw new IllegalStateException("cannot encode the roster", error);
+      throw new IllegalStateException("cannot encode into a memory buffer", error);
     }
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
+++ b/core/src/main/java/org/hickorypier/core/cell/RunEndHandler.java
@@ -73,11 +73,11 @@
     Submission submission = task.step.submission;
     if (run != null && run.isConfirmed() && run.orderCopies > 0) {
       long tookMillis = now - run.confirmedAt;
-      cell.learnedWork.recordRun(submission.spec().queue().name(), tookMillis);
+      cell.durationEstimator.recordRun(submission.spec().queue().name(), tookMillis);
       task.step.longestRunMillis = Math.max(task.step.longestRunMillis, tookMillis);
       worker.slowStreak = 0;
       if (isComparable(run)) {
-        cell.learnedSpeed.recordRun(worker.entry().kind(), task.step, tookMillis);
+        cell.speedEstimator.recordRun(worker.entry().kind(), task.step, tookMillis);
       }
     }
     // A persistent task is never done: it starts again however it ends.
@@ -142,7 +142,7 @@
         "took_ms",
         now - submission.acceptedAt,
         "objective_ms",
-        submission.objectiveMillis(cell.learnedWork));
+        submission.objectiveMillis(cell.durationEstimator));
   }
 
   private void handleFailure(Task task, EndedRun ended, WorkerView worker, long now) {
--- a/core/src/main/java/org/hickorypier/core/cell/StepReservation.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StepReservation.java
@@ -9,7 +9,7 @@
  *
  * <p>Immutable.
  *
- * @param rooms the reserved resources by worker
+ * @param resources the reserved resources by worker
  * @param until when the reservation expires, on the owner's monotonic clock, in milliseconds
  */
-record StepReservation(Map<WorkerView, Resources> rooms, long until) {}
+record StepReservation(Map<WorkerView, Resources> resources, long until) {}
--- a/core/src/main/java/org/hickorypier/core/cell/StepRun.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StepRun.java
@@ -29,8 +29,8 @@
   /** Total duration of the compared runs at the usual worker speed, in milliseconds. */
   double comparedMillis;
 
-  /** Room that is claimed while an advice request is pending, or null. */
-  StepReservation claim;
+  /** Resources that are reserved while an advice request is pending, or null. */
+  StepReservation reservation;
 
   StepRun(Submission submission, int occurrence, int index, StepSpec spec, int firstTaskOffset) {
     this.submission = submission;
--- a/core/src/main/java/org/hickorypier/core/cell/StragglerDetector.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StragglerDetector.java
@@ -104,7 +104,7 @@
     StepRun step = run.task.step;
     String queue = step.submission.spec().queue().name();
     return Math.max(
-        step.longestRunMillis, cell.learnedWork.expectedMillis(queue, step.spec.estimateMillis()));
+        step.longestRunMillis, cell.durationEstimator.expectedMillis(queue, step.spec.estimateMillis()));
   }
 
   private long windowMillis(Run run) {
@@ -119,7 +119,7 @@
   private boolean isStraggling(Run run) {
     String queue = run.task.step.submission.spec().queue().name();
     if (run.pace == null
-        || !cell.learnedWork.isKnown(queue)
+        || !cell.durationEstimator.isKnown(queue)
         || !run.pace.isKnown(windowMillis(run))) {
       return false;
     }
--- a/core/src/main/java/org/hickorypier/core/cell/Submission.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Submission.java
@@ -117,8 +117,8 @@
   }
 
   /** Returns the time within which it meets its objective, in milliseconds. */
-  long objectiveMillis(RunDurationEstimator learned) {
-    long chain = learned.expectedMillis(spec.queue().name(), spec.criticalPathMillis());
+  long objectiveMillis(RunDurationEstimator durationEstimator) {
+    long chain = durationEstimator.expectedMillis(spec.queue().name(), spec.criticalPathMillis());
     return Math.round(spec.queue().stretch() * chain) + spec.queue().objectiveMillis();
   }
 
--- a/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UpcomingSteps.java
@@ -114,7 +114,7 @@
 
   private boolean isNearlyDone(StepRun step, long now) {
     String queue = step.submission.spec().queue().name();
-    long usualMillis = cell.learnedWork.expectedMillis(queue, step.spec.estimateMillis());
+    long usualMillis = cell.durationEstimator.expectedMillis(queue, step.spec.estimateMillis());
     for (Task task : step.tasks) {
       if (!task.done && !endsBy(now + LOOKAHEAD_MILLIS, task.currentRun, usualMillis)) {
         return false;
--- a/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
@@ -20,10 +20,10 @@
 
   private UrgencyOrder() {}
 
-  static List<StepRun> sorted(Collection<StepRun> open, RunDurationEstimator learned, long now) {
+  static List<StepRun> sorted(Collection<StepRun> open, RunDurationEstimator durationEstimator, long now) {
     List<Ranked> ranked = new ArrayList<>(open.size());
     for (StepRun step : open) {
-      ranked.add(rank(step, learned, now));
+      ranked.add(rank(step, durationEstimator, now));
     }
     ranked.sort(
         Comparator.comparingInt(Ranked::band)
@@ -37,11 +37,11 @@
     return sorted;
   }
 
-  private static Ranked rank(StepRun step, RunDurationEstimator learned, long now) {
+  private static Ranked rank(StepRun step, RunDurationEstimator durationEstimator, long now) {
     Submission submission = step.submission;
     QueueTerms queue = submission.spec().queue();
-    long objective = submission.objectiveMillis(learned);
-    long expectedEnd = now + learned.expectedMillis(queue.name(), step.spec.estimateMillis());
+    long objective = submission.objectiveMillis(durationEstimator);
+    long expectedEnd = now + durationEstimator.expectedMillis(queue.name(), step.spec.estimateMillis());
     // A persistent task is useful at any time, and its objective counts from the loss of its run.
     long from = step.isPersistent() ? step.waitingSince() : submission.acceptedAt;
     boolean useless =
--- a/core/src/main/java/org/hickorypier/core/cell/WorkerReportHandler.java
+++ b/core/src/main/java/org/hickorypier/core/cell/WorkerReportHandler.java
@@ -22,21 +22,21 @@
 
   private final CellState cell;
   private final RunController runs;
-  private final RunEndHandler ends;
-  private final StragglerDetector stragglers;
+  private final RunEndHandler runEndHandler;
+  private final StragglerDetector stragglerDetector;
   private final RunAdoption adoption;
 
   WorkerReportHandler(
       CellState cell,
       RunController runs,
-      RunEndHandler ends,
-      StragglerDetector stragglers,
+      RunEndHandler runEndHandler,
+      StragglerDetector stragglerDetector,
       RunAdoption adoption) {
     this.cell = cell;
     this.runs = runs;
     this.adoption = adoption;
-    this.ends = ends;
-    this.stragglers = stragglers;
+    this.runEndHandler = runEndHandler;
+    this.stragglerDetector = stragglerDetector;
   }
 
   void handleReport(WorkerView worker, RenewalReport report, long sentAt, long now) {
@@ -59,7 +59,7 @@
       listed.add(running.run());
       handleRunning(worker, running, report.clockMillis(), now);
     }
-    stragglers.moveStragglers(worker, now);
+    stragglerDetector.moveStragglers(worker, now);
     if (report.ended().size() < ENDS_PAGE_SIZE) {
       for (Run run : CellState.copy(worker.runs.values())) {
         if (!listed.contains(run.key)) {
@@ -75,7 +75,7 @@
     List<RunKey> processed = new ArrayList<>();
     for (EndedRun ended : report.ended()) {
       if (ended.number() > worker.lastProcessedEnd) {
-        ends.handleEnd(worker, ended, now);
+        runEndHandler.handleEnd(worker, ended, now);
         lastEnd = ended.number();
         processed.add(ended.run());
       }
@@ -104,7 +104,7 @@
       runs.confirm(run, now);
     }
     run.percent = running.percent();
-    stragglers.recordProgress(run, running.percent(), clock, now);
+    stragglerDetector.recordProgress(run, running.percent(), clock, now);
     if (run.task != null && !running.checkpoint().isEmpty()) {
       run.task.recordCheckpoint(running.checkpoint());
     }
--- a/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellFixture.java
@@ -15,7 +15,7 @@
 /** A cell whose orders are recorded, and whose writes become durable when the test says so. */
 final class CellFixture implements CellOutput {
 
-  static final CellTimings TERMS = CellTimings.of(10_000, 3_000, 60_000);
+  static final CellTimings TIMINGS = CellTimings.of(10_000, 3_000, 60_000);
   static final Resources CAPACITY = new Resources(16_000, 64_000, 0);
   static final QueueTerms QUEUE =
       new QueueTerms("queue", "service", 0, 2, 2, 1_000, Optional.empty());
@@ -43,7 +43,7 @@
   private long workerClock = 500;
 
   CellFixture(int epoch) {
-    cell = new Cell(TERMS, this, (part, event, fields) -> {}, epoch, now);
+    cell = new Cell(TIMINGS, this, (part, event, fields) -> {}, epoch, now);
     cell.configure(List.of());
   }
 
--- a/core/src/test/java/org/hickorypier/core/cell/CellTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/CellTest.java
@@ -171,16 +171,16 @@
   @Test
   void taskOfSilentWorkerStartsElsewhereAfterItsLeaseExpires() {
     final WorkerView worker = fixture.addWorker("w");
-    worker.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
+    worker.nextDeadline(fixture.now, CellFixture.TIMINGS.leaseMillis());
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
     fixture.addWorker("other");
     WorkerView runningWorker = fixture.starts.get(0).run().worker();
-    runningWorker.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
+    runningWorker.nextDeadline(fixture.now, CellFixture.TIMINGS.leaseMillis());
     cell.renewalUnanswered(runningWorker, fixture.now);
     final long silentAt = fixture.now;
 
-    fixture.advance(CellFixture.TERMS.leaseMillis());
+    fixture.advance(CellFixture.TIMINGS.leaseMillis());
     reportFromAllExcept(runningWorker);
     cell.tick(fixture.now, fixture.now);
     fixture.pass();
@@ -203,7 +203,7 @@
     final WorkerView leaving = fixture.addWorker("leaving");
     fixture.submit(spec("s", QUEUE, step(1, 1_000, 500, false)));
     fixture.confirmAll();
-    leaving.nextDeadline(fixture.now, CellFixture.TERMS.leaseMillis());
+    leaving.nextDeadline(fixture.now, CellFixture.TIMINGS.leaseMillis());
     fixture.addWorker("staying");
     fixture.listWorker("leaving", 1, true);
     fixture.unlistWorker("leaving");
@@ -307,7 +307,7 @@
     assertThat(successor.starts).hasSize(1);
     assertThat(successor.starts.get(0).run().key().task().submission()).isEqualTo("new");
 
-    successor.advance(CellFixture.TERMS.silentWorkerTimeoutMillis() + 1);
+    successor.advance(CellFixture.TIMINGS.silentWorkerTimeoutMillis() + 1);
     successor.confirmAll();
     successor.reportFrom(
         successor.findWorker("w"), 1, List.of(successor.starts.get(0).run().key()));
--- a/core/src/test/java/org/hickorypier/core/cell/TakenOverLeaseTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/TakenOverLeaseTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.hickorypier.core.cell.CellFixture.QUEUE;
-import static org.hickorypier.core.cell.CellFixture.TERMS;
+import static org.hickorypier.core.cell.CellFixture.TIMINGS;
 import static org.hickorypier.core.cell.CellFixture.persistentStep;
 import static org.hickorypier.core.cell.CellFixture.spec;
 
@@ -20,7 +20,7 @@
   /** Starts a persistent task on a worker that is then silent for some time. */
   private WorkerView silenceWorkerWithTask(String id, long silentMillis) {
     WorkerView leaving = fixture.addWorker("leaving-" + id);
-    leaving.nextDeadline(fixture.now, TERMS.leaseMillis());
+    leaving.nextDeadline(fixture.now, TIMINGS.leaseMillis());
     fixture.submit(spec(id, QUEUE, persistentStep(1)));
     fixture.confirmAll();
     fixture.cell.renewalUnanswered(leaving, fixture.now);
@@ -55,7 +55,7 @@
     silenceWorkerWithTask("s", 1_000);
     CellFixture successor = fixture.successor(2, "s");
     successor.addWorker("staying");
-    advance(successor, TERMS.leaseMillis() - 1_100);
+    advance(successor, TIMINGS.leaseMillis() - 1_100);
     assertThat(successor.starts).isEmpty();
 
     advance(successor, 1_500);
@@ -101,12 +101,12 @@
     assertThat(fixture.roster).noneMatch(RosterEntry::renewed);
 
     fixture.reportFrom(worker, worker.bornMillis, List.copyOf(worker.runs.keySet()));
-    assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isNegative();
+    assertThat(worker.nextDeadline(fixture.now, TIMINGS.leaseMillis())).isNegative();
     fixture.cell.tick(fixture.now, fixture.now);
-    assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isNegative();
+    assertThat(worker.nextDeadline(fixture.now, TIMINGS.leaseMillis())).isNegative();
     fixture.writePending();
     assertThat(fixture.roster).allMatch(RosterEntry::renewed);
-    assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isPositive();
+    assertThat(worker.nextDeadline(fixture.now, TIMINGS.leaseMillis())).isPositive();
   }
 
   /**
@@ -121,7 +121,7 @@
     WorkerView heard = successor.findWorker(worker.id());
     successor.reportFrom(heard, 1, List.copyOf(heard.runs.keySet()));
     successor.cell.renewalUnanswered(heard, successor.now);
-    advance(successor, TERMS.leaseMillis() - 1_100);
+    advance(successor, TIMINGS.leaseMillis() - 1_100);
     assertThat(successor.starts).isEmpty();
     advance(successor, 1_500);
     assertThat(successor.starts).hasSize(1);
@@ -161,7 +161,7 @@
         .extracting(each -> each.run().key().task().submission())
         .containsExactly("waiting");
 
-    advance(successor, TERMS.leaseMillis() - 200);
+    advance(successor, TIMINGS.leaseMillis() - 200);
     assertThat(successor.findWorker("staying").runs).hasSize(1);
     advance(successor, 700);
     assertThat(successor.findWorker("staying").runs).hasSize(2);
@@ -261,9 +261,9 @@
   @Test
   void renewalAfterLongSilenceCarriesNoDeadline() {
     WorkerView worker = fixture.addWorker("w");
-    assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isPositive();
+    assertThat(worker.nextDeadline(fixture.now, TIMINGS.leaseMillis())).isPositive();
     fixture.advance(6_000);
-    assertThat(worker.nextDeadline(fixture.now, TERMS.leaseMillis())).isNegative();
+    assertThat(worker.nextDeadline(fixture.now, TIMINGS.leaseMillis())).isNegative();
   }
 
   @Test
--- a/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
@@ -32,12 +32,12 @@
     QueueTerms queue = new QueueTerms("checks", "service", 0, 1, 1.5, 250, Optional.empty());
     Submission check = new Submission(spec("check", queue, step(1, 1_000, 70, false)), 1, 0, 1);
     StepRun batch = waitingStep("batch", 2, 0, false);
-    RunDurationEstimator learned = new RunDurationEstimator();
+    RunDurationEstimator durationEstimator = new RunDurationEstimator();
     long now = 1_100;
-    assertThat(UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), learned, now).get(0))
+    assertThat(UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), durationEstimator, now).get(0))
         .isSameAs(batch);
-    learned.recordRun("checks", 640);
-    assertThat(UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), learned, now).get(0))
+    durationEstimator.recordRun("checks", 640);
+    assertThat(UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), durationEstimator, now).get(0))
         .isSameAs(check.occurrences[0][0]);
   }
 
