--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
@@ -29,7 +29,7 @@
   private final WorkHistory history;
   private final Reservations reservations;
   private final PlacementPolicies policies;
-  private final UrgentPriorityLimit urgentTurns;
+  private final UrgentPriorityLimit urgentPriorityLimit;
   private final WorkerHolds holds;
   private final UrgentReserve urgentReserve;
   private final Map<QueuedItem, List<PlacedTask>> placedTasks = new LinkedHashMap<>();
@@ -56,14 +56,14 @@
     this.policies = policies;
     this.holds = holds;
     this.urgentReserve = urgentReserve;
-    this.urgentTurns = new UrgentPriorityLimit(settings.urgentHoldMillis(), settings.urgentTurn());
+    this.urgentPriorityLimit = new UrgentPriorityLimit(settings.urgentHoldMillis(), settings.urgentTurn());
   }
 
   List<Placement> run(long now) {
     placeHoldOwners(now);
     boolean placedAny = true;
     while (placedAny) {
-      boolean othersFirst = urgentTurns.isOtherWorkNext(now);
+      boolean othersFirst = urgentPriorityLimit.isOtherWorkNext(now);
       placedAny = placeOne(!othersFirst, now) || placeOne(othersFirst, now);
     }
     List<Placement> placements = new ArrayList<>(placedTasks.size());
@@ -75,7 +75,7 @@
   /** Tries the owners of holds first, since other items could fill the gaps on their workers. */
   private void placeHoldOwners(long now) {
     holds.releaseObsolete(now).forEach(this::retryOn);
-    urgentReserve.refresh(urgentTurns.isOtherWorkOverdue(now), now).forEach(this::retryOn);
+    urgentReserve.refresh(urgentPriorityLimit.isOtherWorkOverdue(now), now).forEach(this::retryOn);
     holds.holdForStarvingItem(now);
     for (QueuedItem owner : holds.owners()) {
       tryStart(order.team(owner.item().key().team()), owner, now);
@@ -95,7 +95,7 @@
       QueuedItem queued =
           startFirstPossible(team, urgent ? URGENT : team.classRotation().order(), now);
       if (queued != null) {
-        urgentTurns.recordStart(urgent);
+        urgentPriorityLimit.recordStart(urgent);
         team.classRotation().recordStart(queued.item().workClass());
         return true;
       }
@@ -104,7 +104,7 @@
       }
     }
     if (urgent && !queue.hasUrgent()) {
-      urgentTurns.recordNoUrgentWaiting();
+      urgentPriorityLimit.recordNoUrgentWaiting();
     }
     return false;
   }
@@ -154,10 +154,10 @@
     }
     PlacementPolicy policy = policies.of(queued.item().workClass());
     WorkerFilter usable = usableWorkers(queued, now);
-    Set<String> failedOn = history.failedWorkers(queued.item().key());
-    if (!failedOn.isEmpty()) {
-      WorkerFilter notFailedOn = worker -> !failedOn.contains(worker.name()) && usable.test(worker);
-      WorkerState preferred = policy.choose(queued, notFailedOn);
+    Set<String> failedWorkers = history.failedWorkers(queued.item().key());
+    if (!failedWorkers.isEmpty()) {
+      WorkerFilter withoutFailedWorkers = worker -> !failedWorkers.contains(worker.name()) && usable.test(worker);
+      WorkerState preferred = policy.choose(queued, withoutFailedWorkers);
       if (preferred != null) {
         return preferred;
       }
@@ -180,7 +180,7 @@
         (urgent || urgentReserve.admits(worker, queued.need()))
             && (worker.currentHold() == null
                 || worker.currentHold().admits(queued, now)
-                || urgent && !urgentTurns.isOtherWorkOverdue(now));
+                || urgent && !urgentPriorityLimit.isOtherWorkOverdue(now));
   }
 
   private boolean tryStartGang(TeamState team, QueuedItem queued, long now) {
--- a/core/src/main/java/org/hickorypier/core/scheduling/WorkerHolds.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/WorkerHolds.java
@@ -124,7 +124,7 @@
     QueuedItem longest = null;
     for (TeamState team : order.orderedTeams()) {
       for (WorkClass workClass : WorkClass.values()) {
-        QueuedItem head = firstNotHeldFor(team.queue(workClass));
+        QueuedItem head = firstWithoutHold(team.queue(workClass));
         if (head != null
             && head.firstFailedPlacementMillis() + holdAfterMillis <= now
             && (longest == null
@@ -137,7 +137,7 @@
     return longest;
   }
 
-  private static QueuedItem firstNotHeldFor(ClassQueue queue) {
+  private static QueuedItem firstWithoutHold(ClassQueue queue) {
     for (QueuedItem queued : queue.items()) {
       if (!queued.hasHold()) {
         return queued;
