--- a/daemon/src/main/java/org/hickorypier/daemon/link/LinkCodec.java
+++ b/daemon/src/main/java/org/hickorypier/daemon/link/LinkCodec.java
@@ -50,7 +50,7 @@
       pack(packer, request);
       return packer.toByteArray();
     } catch (IOException error) {
-      throw new IllegalStateException("packing into memory failed", error);
+      throw new IllegalStateException("cannot encode into a memory buffer", error);
     }
   }
 
@@ -60,7 +60,7 @@
       pack(packer, reply);
       return packer.toByteArray();
     } catch (IOException error) {
-      throw new IllegalStateException("packing into memory failed", error);
+      throw new IllegalStateException("cannot encode into a memory buffer", error);
     }
   }
 
