--- a/core/src/main/java/org/hickorypier/core/cell/CellState.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellState.java
@@ -111,13 +111,13 @@
   }
 
   Resources unresolvedCapacity(long now) {
-    Resources room = Resources.NONE;
+    Resources capacity = Resources.NONE;
     for (WorkerView worker : workers.values()) {
       if (mayHoldUnknownRuns(worker, now)) {
-        room = room.plus(worker.entry().capacity());
+        capacity = capacity.plus(worker.entry().capacity());
       }
     }
-    return room;
+    return capacity;
   }
 
   List<WorkerView> acceptingWorkers(String service, long now) {
--- a/core/src/main/java/org/hickorypier/core/cell/DepartureDetector.java
+++ b/core/src/main/java/org/hickorypier/core/cell/DepartureDetector.java
@@ -51,8 +51,8 @@
    * Records that an entry was removed.
    *
    * @param id the worker's id
-   * @param uninterruptedSince the end of the last suspension of this process, in milliseconds; the clock has
-   *     run without interruption since then
+   * @param uninterruptedSince the end of the last suspension of this process, in milliseconds; the
+   *     clock has run without interruption since then
    * @param now the time, in milliseconds
    * @return true if the worker has left
    */
--- a/core/src/main/java/org/hickorypier/core/cell/Dispatcher.java
+++ b/core/src/main/java/org/hickorypier/core/cell/Dispatcher.java
@@ -75,7 +75,7 @@
     return workers.stream().anyMatch(worker -> advice.validTicket(worker, now) != null);
   }
 
-  /** Requests advice for a step that is about to become ready, without reserving resources for it. */
+  /** Requests advice for a step that is about to become ready, without reserving resources. */
   private void requestAdviceAhead(StepRun step, List<WorkerView> workers, long now) {
     StepAdvice advice = step.advice;
     if (isRequestPending(advice, now)
@@ -207,21 +207,21 @@
       StepRun step, int wanted, List<WorkerView> workers) {
     List<WorkerView> unrated = new ArrayList<>();
     Map<WorkerView, Integer> slots = new HashMap<>();
-    int room = 0;
+    int totalSlots = 0;
     for (WorkerView worker : workers) {
       if (Placer.matches(step.spec, worker)) {
         int free = Placer.freeSlots(step, worker);
         slots.put(worker, free);
         if (!step.advice.isRated(worker)) {
           unrated.add(worker);
-          room += free;
+          totalSlots += free;
         } else if (step.advice.isSuitable(worker)) {
-          room += free;
+          totalSlots += free;
         }
       }
     }
     int needed = step.isGang() ? wanted : 1;
-    if (room < needed) {
+    if (totalSlots < needed) {
       return List.of();
     }
     unrated.sort(
--- a/core/src/main/java/org/hickorypier/core/cell/StragglerDetector.java
+++ b/core/src/main/java/org/hickorypier/core/cell/StragglerDetector.java
@@ -104,7 +104,8 @@
     StepRun step = run.task.step;
     String queue = step.submission.spec().queue().name();
     return Math.max(
-        step.longestRunMillis, cell.durationEstimator.expectedMillis(queue, step.spec.estimateMillis()));
+        step.longestRunMillis,
+        cell.durationEstimator.expectedMillis(queue, step.spec.estimateMillis()));
   }
 
   private long windowMillis(Run run) {
--- a/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
+++ b/core/src/main/java/org/hickorypier/core/cell/UrgencyOrder.java
@@ -20,7 +20,8 @@
 
   private UrgencyOrder() {}
 
-  static List<StepRun> sorted(Collection<StepRun> open, RunDurationEstimator durationEstimator, long now) {
+  static List<StepRun> sorted(
+      Collection<StepRun> open, RunDurationEstimator durationEstimator, long now) {
     List<Ranked> ranked = new ArrayList<>(open.size());
     for (StepRun step : open) {
       ranked.add(rank(step, durationEstimator, now));
@@ -41,7 +42,8 @@
     Submission submission = step.submission;
     QueueTerms queue = submission.spec().queue();
     long objective = submission.objectiveMillis(durationEstimator);
-    long expectedEnd = now + durationEstimator.expectedMillis(queue.name(), step.spec.estimateMillis());
+    long expectedEnd =
+        now + durationEstimator.expectedMillis(queue.name(), step.spec.estimateMillis());
     // A persistent task is useful at any time, and its objective counts from the loss of its run.
     long from = step.isPersistent() ? step.waitingSince() : submission.acceptedAt;
     boolean useless =
--- a/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
+++ b/core/src/main/java/org/hickorypier/core/scheduling/PlacementLoop.java
@@ -56,7 +56,8 @@
     this.policies = policies;
     this.holds = holds;
     this.urgentReserve = urgentReserve;
-    this.urgentPriorityLimit = new UrgentPriorityLimit(settings.urgentHoldMillis(), settings.urgentTurn());
+    this.urgentPriorityLimit =
+        new UrgentPriorityLimit(settings.urgentHoldMillis(), settings.urgentTurn());
   }
 
   List<Placement> run(long now) {
@@ -156,7 +157,8 @@
     WorkerFilter usable = usableWorkers(queued, now);
     Set<String> failedWorkers = history.failedWorkers(queued.item().key());
     if (!failedWorkers.isEmpty()) {
-      WorkerFilter withoutFailedWorkers = worker -> !failedWorkers.contains(worker.name()) && usable.test(worker);
+      WorkerFilter withoutFailedWorkers =
+          worker -> !failedWorkers.contains(worker.name()) && usable.test(worker);
       WorkerState preferred = policy.choose(queued, withoutFailedWorkers);
       if (preferred != null) {
         return preferred;
--- a/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
+++ b/core/src/test/java/org/hickorypier/core/cell/UrgencyOrderTest.java
@@ -34,10 +34,14 @@
     StepRun batch = waitingStep("batch", 2, 0, false);
     RunDurationEstimator durationEstimator = new RunDurationEstimator();
     long now = 1_100;
-    assertThat(UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), durationEstimator, now).get(0))
+    assertThat(
+            UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), durationEstimator, now)
+                .get(0))
         .isSameAs(batch);
     durationEstimator.recordRun("checks", 640);
-    assertThat(UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), durationEstimator, now).get(0))
+    assertThat(
+            UrgencyOrder.sorted(List.of(batch, check.occurrences[0][0]), durationEstimator, now)
+                .get(0))
         .isSameAs(check.occurrences[0][0]);
   }
 
--- a/core/src/test/java/org/hickorypier/core/scheduling/OverloadTest.java
+++ b/core/src/test/java/org/hickorypier/core/scheduling/OverloadTest.java
@@ -165,8 +165,9 @@
 
     assertThat(load.failed()).isBetween(3L, 8L);
     assertThat(load.scheduler().workers())
-        .filteredOn(room -> room.worker().name().equals("worker-0"))
-        .allMatch(room -> room.state().equals("quarantined") || room.state().equals("probing"));
+        .filteredOn(worker -> worker.worker().name().equals("worker-0"))
+        .allMatch(
+            worker -> worker.state().equals("quarantined") || worker.state().equals("probing"));
   }
 
   /**
@@ -186,7 +187,7 @@
       load.run(100);
     }
 
-    assertThat(load.scheduler().workers()).allMatch(room -> room.state().equals("open"));
+    assertThat(load.scheduler().workers()).allMatch(worker -> worker.state().equals("open"));
   }
 
   /**
@@ -202,7 +203,7 @@
       load.run(20);
     }
 
-    assertThat(load.scheduler().workers().stream().filter(room -> room.state().equals("open")))
+    assertThat(load.scheduler().workers().stream().filter(worker -> worker.state().equals("open")))
         .hasSizeGreaterThanOrEqualTo(6);
   }
 
@@ -222,8 +223,8 @@
     }
 
     assertThat(load.scheduler().workers())
-        .filteredOn(room -> room.worker().name().equals("worker-0"))
-        .allMatch(room -> room.state().equals("probing") && room.freeSlots() >= 7);
+        .filteredOn(worker -> worker.worker().name().equals("worker-0"))
+        .allMatch(worker -> worker.state().equals("probing") && worker.freeSlots() >= 7);
   }
 
   /**
