--- a/core/src/main/java/org/hickorypier/core/cell/CellState.java
+++ b/core/src/main/java/org/hickorypier/core/cell/CellState.java
@@ -31,8 +31,8 @@
   private long lastSubmissionNumber;
   final long takenOverAt;
   final CustomerUsage usage = new CustomerUsage();
-  final RunDurationEstimator learnedWork = new RunDurationEstimator();
-  final WorkerKindSpeedEstimator learnedSpeed = new WorkerKindSpeedEstimator();
+  final RunDurationEstimator durationEstimator = new RunDurationEstimator();
+  final WorkerKindSpeedEstimator speedEstimator = new WorkerKindSpeedEstimator();
   final UrgentReserve reserve = new UrgentReserve();
   final Map<String, Submission> submissions = new HashMap<>();
 
@@ -111,13 +111,13 @@
   }
 
   Resources unresolvedCapacity(long now) {
-    Resources room = Resources.NONE;
+    Resources capacity = Resources.NONE;
     for (WorkerView worker : workers.values()) {
       if (mayHoldUnknownRuns(worker, now)) {
-        room = room.plus(worker.entry().capacity());
+        capacity = capacity.plus(worker.entry().capacity());
       }
     }
-    return room;
+    return capacity;
   }
 
   List<WorkerView> acceptingWorkers(String service, long now) {
