--- a/daemon/src/test/java/org/hickorypier/daemon/node/ShutdownTest.java
+++ b/daemon/src/test/java/org/hickorypier/daemon/node/ShutdownTest.java
@@ -38,6 +38,7 @@
       cluster.waitUntil(idle::hasResponse);
       RawCaller stalled = caller(cluster, instance);
       stalled.write(RawCaller.head("POST", "5c0e7a21d94b36f1") + STALLED_BODY);
+      cluster.waitUntil(() -> instance.node().drainReport().open() == 1);
       SmallCluster.await(cluster.leave(instance, 0));
       SmallCluster.await(instance.node().closeFront());
       idle.awaitClosed();
